--- a/packages/state/__tests__/knownVersions.test.ts
+++ b/packages/state/__tests__/knownVersions.test.ts
@@ -25,5 +25,5 @@
   for (const at of [0, 1, 2]) noteVersion(versions, at + 1, at)
   noteVersion(versions, 9, 60_000)
   assert.deepEqual([1, 2, 59_999, 60_000].map(at => versionAt(versions, at)), [0, 3, 3, 9])
-  assert.equal(versions.known.length, 2)
+  assert.equal(versions.entries.length, 2)
 })
--- a/packages/state/__tests__/state.test.ts
+++ b/packages/state/__tests__/state.test.ts
@@ -4,7 +4,7 @@
 import { brandId, loadChart, makeRandom, makeRequestId } from '@lynxcourse/base'
 import type { ChangeId, HolderId, ResourceId } from '@lynxcourse/base'
 import {
-  applyEntry, claimLifetimeMs, claimSkewMs, createConfig, createMachine, deltaSince, findItem, listItems, outstanding,
+  applyEntry, claimLifetimeMs, maxClaimClockSkewMs, createConfig, createMachine, deltaSince, findItem, listItems, sumCeilings,
   profileSchema, readMachine, takeDelta, writeMachine, changeSchema, setItem
 } from '@lynxcourse/state'
 import type { Answer, ChangeAnswer, ClaimAnswer, Command, Machine, SettleAnswer } from '@lynxcourse/state'
@@ -110,7 +110,7 @@
   const id = makeRequestId(startAt, random)
   const claim = (one: typeof id): ClaimAnswer => (apply(log, { type: 'claim', id: one, holder: brandId('v1/a'), token: 't' }) as { claim: ClaimAnswer }).claim
   assert.equal(claim(id).result, 'granted')
-  assert.equal(claim(makeRequestId(startAt + claimSkewMs + 1, random)).result, 'refused')
+  assert.equal(claim(makeRequestId(startAt + maxClaimClockSkewMs + 1, random)).result, 'refused')
   log.at += claimLifetimeMs + 20_000
   assert.equal(claim(id).result, 'refused')
   assert.equal(log.machine.claims.records.size, 0)
@@ -151,9 +151,9 @@
     let cap = 10
     for (const { holder, amount, lapse, cap: nextCap } of steps) {
       const change = { resource, holder: holders[holder] ?? brandId<HolderId>(''), amount }
-      const before = outstanding(log.machine.allocations, resource)
+      const before = sumCeilings(log.machine.allocations, resource)
       apply(log, { type: 'allocate', changes: lapse ? [] : [change], lapsed: lapse ? [change] : [] })
-      const after = outstanding(log.machine.allocations, resource)
+      const after = sumCeilings(log.machine.allocations, resource)
       assert.ok(after <= cap || after <= before, `${after} out of ${cap}`)
       if (nextCap === null) continue
       publish(log, version++, `change-cap-${version}`, { regionCaps: { kochi: nextCap } })
--- a/packages/state/src/core/allocations.ts
+++ b/packages/state/src/core/allocations.ts
@@ -1,10 +1,12 @@
 /**
- * Shares of caps, kept in the log so that a new leader knows what its predecessor may have granted.
+ * Allocations: the shares of caps that holders may use. The replicated log carries them, so that a new
+ * leader knows what its predecessor may have granted.
  *
- * What can go wrong: a share is lowered and the freed part given to another VM while the first still
- * holds a grant of the old size, so that both together pass the cap. So each share has an amount,
- * which new grants carry, and a ceiling, the most that an unexpired grant may still carry; the sum of
- * the ceilings stays within the cap, and a ceiling falls only when the leader reports that it lapsed.
+ * An allocation may be lowered and the difference given to another VM while the first VM still holds a
+ * grant of the old size; both together would then exceed the cap. Each allocation therefore has an amount,
+ * which new grants carry, and a ceiling, the maximum that an unexpired grant may still carry. The sum of
+ * the ceilings stays within the cap, and a ceiling falls only when the leader reports that the grants above
+ * the amount have expired.
  */
 import type { HolderId, ResourceId } from '@lynxcourse/base'
 import type { AllocateCommand, AllocationChange } from '../types/commands.js'
@@ -14,52 +16,52 @@
   ceiling: number
 }
 
-export type Shares = Map<HolderId, Allocation>
+export type AllocationsByHolder = Map<HolderId, Allocation>
 
 export interface Allocations {
-  byResource: Map<ResourceId, Shares>
+  byResource: Map<ResourceId, AllocationsByHolder>
 }
 
 export function createAllocations (): Allocations {
   return { byResource: new Map() }
 }
 
-/** The sum that unexpired grants of a resource may come to. */
-export function outstanding (allocations: Allocations, resource: ResourceId): number {
+/** Returns the maximum that all unexpired grants of a resource may add up to. */
+export function sumCeilings (allocations: Allocations, resource: ResourceId): number {
   let sum = 0
-  for (const share of allocations.byResource.get(resource)?.values() ?? []) sum += share.ceiling
+  for (const allocation of allocations.byResource.get(resource)?.values() ?? []) sum += allocation.ceiling
   return sum
 }
 
 /**
- * Applies a plan. A raise that would take the ceilings over the cap is left out: the leader planned
- * on an older configuration, and the cap has been lowered since.
+ * Applies the allocations that the leader planned. Skips an increase that would raise the sum of the ceilings
+ * above the cap: the leader planned it from an older configuration, and the cap has been lowered since.
  *
- * @param capOf the cap less all floors, by the configuration at this point of the log
+ * @param getCap returns a resource's cap in the configuration at this point of the log
  */
-export function allocate (allocations: Allocations, command: AllocateCommand, capOf: (resource: ResourceId) => number): void {
-  for (const lapsed of command.lapsed) lapse(allocations, lapsed)
-  for (const change of command.changes) setShare(allocations, change, capOf(change.resource))
+export function applyAllocations (allocations: Allocations, command: AllocateCommand, getCap: (resource: ResourceId) => number): void {
+  for (const expired of command.lapsed) lowerCeiling(allocations, expired)
+  for (const change of command.changes) setAllocation(allocations, change, getCap(change.resource))
 }
 
-function lapse (allocations: Allocations, lapsed: AllocationChange): void {
-  const shares = allocations.byResource.get(lapsed.resource)
-  const share = shares?.get(lapsed.holder)
-  // A share changed since the leader judged it is judged again.
-  if (shares === undefined || share === undefined || share.amount !== lapsed.amount) return
-  share.ceiling = share.amount
-  if (share.amount === 0) shares.delete(lapsed.holder)
-  if (shares.size === 0) allocations.byResource.delete(lapsed.resource)
+function lowerCeiling (allocations: Allocations, expired: AllocationChange): void {
+  const allocationsByHolder = allocations.byResource.get(expired.resource)
+  const allocation = allocationsByHolder?.get(expired.holder)
+  // The allocation changed after the leader checked it, so the leader has to check it again.
+  if (allocationsByHolder === undefined || allocation === undefined || allocation.amount !== expired.amount) return
+  allocation.ceiling = allocation.amount
+  if (allocation.amount === 0) allocationsByHolder.delete(expired.holder)
+  if (allocationsByHolder.size === 0) allocations.byResource.delete(expired.resource)
 }
 
-function setShare (allocations: Allocations, change: AllocationChange, cap: number): void {
-  const shares = allocations.byResource.get(change.resource) ?? new Map<HolderId, Allocation>()
-  const share = shares.get(change.holder) ?? { amount: 0, ceiling: 0 }
-  const ceiling = Math.max(share.ceiling, change.amount)
-  const sum = outstanding(allocations, change.resource) - share.ceiling + ceiling
-  if (change.amount > share.amount && sum > cap) return
-  share.amount = change.amount
-  share.ceiling = ceiling
-  shares.set(change.holder, share)
-  allocations.byResource.set(change.resource, shares)
+function setAllocation (allocations: Allocations, change: AllocationChange, cap: number): void {
+  const allocationsByHolder = allocations.byResource.get(change.resource) ?? new Map<HolderId, Allocation>()
+  const allocation = allocationsByHolder.get(change.holder) ?? { amount: 0, ceiling: 0 }
+  const ceiling = Math.max(allocation.ceiling, change.amount)
+  const sum = sumCeilings(allocations, change.resource) - allocation.ceiling + ceiling
+  if (change.amount > allocation.amount && sum > cap) return
+  allocation.amount = change.amount
+  allocation.ceiling = ceiling
+  allocationsByHolder.set(change.holder, allocation)
+  allocations.byResource.set(change.resource, allocationsByHolder)
 }
--- a/packages/state/src/core/caps.ts
+++ b/packages/state/src/core/caps.ts
@@ -1,25 +1,25 @@
-/** Resources with a cap, their names and what of a cap may be granted. */
+/** Names of the capped resources and the caps that the configuration sets for them. */
 import type { RegionId, ResourceId, ShiftId } from '@lynxcourse/base'
 import { activeShifts, listItems } from './config.js'
 import type { Config } from './config.js'
 import type { Profile } from '../types/profile.js'
 
-/** The cap on requests in flight to a region, under one profile. */
+/** Returns the id of the cap on requests in flight to a region, under one profile. */
 export function regionResource (profile: Profile, region: RegionId): ResourceId {
   return `region:${profile.name}:${region}` as ResourceId
 }
 
-/** The cap on requests in flight over a link between regions, under one profile. */
+/** Returns the id of the cap on requests in flight from one region to another, under one profile. */
 export function linkResource (profile: Profile, from: RegionId, to: RegionId): ResourceId {
   return `link:${profile.name}:${from}>${to}` as ResourceId
 }
 
-/** The cap on requests in flight that a shift moved. */
+/** Returns the id of the cap on requests in flight that a shift has moved. */
 export function shiftResource (shift: ShiftId): ResourceId {
   return `shift:${shift}` as ResourceId
 }
 
-/** Every capped resource of the configuration with its cap. */
+/** Returns the cap of every capped resource in the configuration. */
 export function listCaps (config: Config): Map<ResourceId, number> {
   const caps = new Map<ResourceId, number>()
   for (const { profile, retired } of listItems(config, 'profile')) {
@@ -35,7 +35,7 @@
   return caps
 }
 
-/** The cap of one resource; nothing may be granted of one that the configuration does not name. */
-export function capOf (config: Config, resource: ResourceId): number {
+/** Returns the cap of one resource; 0 for a resource without a cap in the configuration, so that nothing is granted. */
+export function getCap (config: Config, resource: ResourceId): number {
   return listCaps(config).get(resource) ?? 0
 }
--- a/packages/state/src/core/changes.ts
+++ b/packages/state/src/core/changes.ts
@@ -1,12 +1,12 @@
-/** Applies operators' changes and the leader's own steps to the configuration. */
+/** Applies operators' changes and the steps that the leader plans to the configuration. */
 import { canTake, nextState } from '@lynxcourse/base'
 import type { Chart } from '@lynxcourse/base'
-import type { AdvanceDrainCommand, AdvanceShiftCommand, Change, ChangeAnswer, Winner } from '../types/commands.js'
+import type { AdvanceDrainCommand, AdvanceShiftCommand, Change, ChangeAnswer, WinningChange } from '../types/commands.js'
 import type { DrainItem, Origin, ProfileItem, ShiftItem } from '../types/items.js'
-import { findItem, isPicked, profileOf, setItem } from './config.js'
+import { findItem, isProfileInUse, profileOf, setItem } from './config.js'
 import type { Config } from './config.js'
 
-/** The charts that changes follow. */
+/** State charts of drains and shifts. */
 export interface ChangeCharts {
   readonly drain: Chart
   readonly shift: Chart
@@ -14,7 +14,7 @@
 
 type ChangeOf<Type extends Change['type']> = Extract<Change, { type: Type }>
 
-function refuse (code: 'versionConflict' | 'notFound' | 'badRequest', detail: string, winner?: Winner): ChangeAnswer {
+function reject (code: 'versionConflict' | 'notFound' | 'badRequest', detail: string, winner?: WinningChange): ChangeAnswer {
   return { ok: false, code, detail, winner }
 }
 
@@ -22,13 +22,13 @@
   return { ok: true, version: config.version, itemVersion }
 }
 
-function originOf (change: Change, at: number): Origin {
+function createOrigin (change: Change, at: number): Origin {
   return { changeId: change.changeId, operator: change.operator, at }
 }
 
-/** Applies one operator's change at a version of the log. */
+/** Applies an operator's change as the given version of the configuration. */
 export function applyChange (config: Config, charts: ChangeCharts, change: Change, version: number, at: number): ChangeAnswer {
-  const origin = originOf(change, at)
+  const origin = createOrigin(change, at)
   switch (change.type) {
     case 'publishProfile': return publishProfile(config, change, version, origin)
     case 'retireProfile': return retireProfile(config, change, version, origin)
@@ -40,21 +40,24 @@
   }
 }
 
-function winnerOf (item: ProfileItem): Winner {
+function getWinner (item: ProfileItem): WinningChange {
   return { version: item.itemVersion, changeId: item.origin.changeId, operator: item.origin.operator }
 }
 
-/** Two operators may race with equal versions: the log's order decides, and the loser learns who won. */
+/**
+ * Rejects a change that is based on another version than the current one. If two operators change the same version, the first
+ * change in the log wins, and the other operator learns who made it.
+ */
 function checkVersion (item: ProfileItem | undefined, expected: number): ChangeAnswer | undefined {
-  const held = item?.itemVersion ?? 0
-  if (held === expected) return undefined
-  const detail = `expected version ${expected}, but it is at ${held}`
-  return refuse('versionConflict', detail, item === undefined ? undefined : winnerOf(item))
+  const currentVersion = item?.itemVersion ?? 0
+  if (currentVersion === expected) return undefined
+  const detail = `expected version ${expected}, but it is at ${currentVersion}`
+  return reject('versionConflict', detail, item === undefined ? undefined : getWinner(item))
 }
 
 function publishProfile (config: Config, change: ChangeOf<'publishProfile'>, version: number, origin: Origin): ChangeAnswer {
-  const held = findItem(config, 'profile', change.profile.name)
-  const conflict = checkVersion(held, change.expectedVersion)
+  const current = findItem(config, 'profile', change.profile.name)
+  const conflict = checkVersion(current, change.expectedVersion)
   if (conflict !== undefined) return conflict
   const itemVersion = change.expectedVersion + 1
   setItem(config, version, { kind: 'profile', key: change.profile.name, profile: change.profile, itemVersion, retired: false, origin })
@@ -62,25 +65,25 @@
 }
 
 function retireProfile (config: Config, change: ChangeOf<'retireProfile'>, version: number, origin: Origin): ChangeAnswer {
-  const held = findItem(config, 'profile', change.name)
-  if (held === undefined) return refuse('notFound', `profile '${change.name}'`)
-  const conflict = checkVersion(held, change.expectedVersion)
+  const current = findItem(config, 'profile', change.name)
+  if (current === undefined) return reject('notFound', `profile '${change.name}'`)
+  const conflict = checkVersion(current, change.expectedVersion)
   if (conflict !== undefined) return conflict
-  if (isPicked(config, change.name)) return refuse('badRequest', `profile '${change.name}' is picked by a service`)
-  const itemVersion = held.itemVersion + 1
-  setItem(config, version, { ...held, itemVersion, retired: true, origin })
+  if (isProfileInUse(config, change.name)) return reject('badRequest', `profile '${change.name}' is picked by a service`)
+  const itemVersion = current.itemVersion + 1
+  setItem(config, version, { ...current, itemVersion, retired: true, origin })
   return accept(config, itemVersion)
 }
 
 function pickProfile (config: Config, change: ChangeOf<'pickProfile'>, version: number, origin: Origin): ChangeAnswer {
   const profile = findItem(config, 'profile', change.profile)
-  if (profile === undefined || profile.retired) return refuse('notFound', `profile '${change.profile}'`)
+  if (profile === undefined || profile.retired) return reject('notFound', `profile '${change.profile}'`)
   setItem(config, version, { kind: 'service', key: change.service, profile: change.profile, origin })
   return accept(config, version)
 }
 
 function startDrain (config: Config, charts: ChangeCharts, change: ChangeOf<'startDrain'>, version: number, origin: Origin): ChangeAnswer {
-  if (findItem(config, 'drain', change.drain) !== undefined) return refuse('badRequest', `drain '${change.drain}' exists`)
+  if (findItem(config, 'drain', change.drain) !== undefined) return reject('badRequest', `drain '${change.drain}' exists`)
   const isDue = change.at <= origin.at
   const state = isDue ? nextState(charts.drain, charts.drain.initial, 'due') : charts.drain.initial
   const item: DrainItem = { kind: 'drain', key: change.drain, target: change.target, at: change.at, state, origin }
@@ -89,22 +92,22 @@
 }
 
 function cancelDrain (config: Config, charts: ChangeCharts, change: ChangeOf<'cancelDrain'>, version: number, origin: Origin): ChangeAnswer {
-  const held = findItem(config, 'drain', change.drain)
-  if (held === undefined) return refuse('notFound', `drain '${change.drain}'`)
-  if (!canTake(charts.drain, held.state, 'cancel')) return refuse('badRequest', `drain is ${held.state}`)
-  setItem(config, version, { ...held, state: nextState(charts.drain, held.state, 'cancel'), origin })
+  const current = findItem(config, 'drain', change.drain)
+  if (current === undefined) return reject('notFound', `drain '${change.drain}'`)
+  if (!canTake(charts.drain, current.state, 'cancel')) return reject('badRequest', `drain is ${current.state}`)
+  setItem(config, version, { ...current, state: nextState(charts.drain, current.state, 'cancel'), origin })
   return accept(config, version)
 }
 
 function startShift (config: Config, charts: ChangeCharts, change: ChangeOf<'startShift'>, version: number, origin: Origin): ChangeAnswer {
   const { shift, service, from, to } = change
-  if (findItem(config, 'shift', shift) !== undefined) return refuse('badRequest', `shift '${shift}' exists`)
+  if (findItem(config, 'shift', shift) !== undefined) return reject('badRequest', `shift '${shift}' exists`)
   const profile = profileOf(config, service)
-  if (profile === undefined) return refuse('notFound', `service '${service}' with a profile`)
+  if (profile === undefined) return reject('notFound', `service '${service}' with a profile`)
   for (const region of [from, to]) {
-    if (!profile.places.includes(region)) return refuse('badRequest', `region '${region}' is not among the profile's places`)
+    if (!profile.places.includes(region)) return reject('badRequest', `region '${region}' is not among the profile's places`)
   }
-  if (from === to) return refuse('badRequest', 'from and to are the same region')
+  if (from === to) return reject('badRequest', 'from and to are the same region')
   const item: ShiftItem = {
     kind: 'shift',
     key: shift,
@@ -124,29 +127,29 @@
 }
 
 function steerShift (config: Config, charts: ChangeCharts, change: ChangeOf<'steerShift'>, version: number): ChangeAnswer {
-  const held = findItem(config, 'shift', change.shift)
-  if (held === undefined) return refuse('notFound', `shift '${change.shift}'`)
-  if (!canTake(charts.shift, held.state, change.event)) return refuse('badRequest', `shift is ${held.state}`)
-  const state = nextState(charts.shift, held.state, change.event)
-  const percent = state === 'cancelled' ? 0 : held.percent
-  setItem(config, version, { ...held, state, percent })
+  const current = findItem(config, 'shift', change.shift)
+  if (current === undefined) return reject('notFound', `shift '${change.shift}'`)
+  if (!canTake(charts.shift, current.state, change.event)) return reject('badRequest', `shift is ${current.state}`)
+  const state = nextState(charts.shift, current.state, change.event)
+  const percent = state === 'cancelled' ? 0 : current.percent
+  setItem(config, version, { ...current, state, percent })
   return accept(config, version)
 }
 
-/** Moves a shift on if it still stands where the leader that planned the step saw it. */
+/** Advances a shift, unless its percentage changed after the leader planned the step or its chart forbids the event. */
 export function advanceShift (config: Config, charts: ChangeCharts, command: AdvanceShiftCommand, version: number, at: number): void {
-  const held = findItem(config, 'shift', command.shift)
-  if (held === undefined || held.percent !== command.fromPercent) return
-  if (!canTake(charts.shift, held.state, command.event)) return
-  const percent = Math.min(command.percent, held.targetPercent, held.percent + held.stepPercent)
-  const state = nextState(charts.shift, held.state, command.event)
-  const steppedAt = percent === held.percent ? held.steppedAt : at
-  setItem(config, version, { ...held, percent, state, steppedAt })
+  const current = findItem(config, 'shift', command.shift)
+  if (current === undefined || current.percent !== command.fromPercent) return
+  if (!canTake(charts.shift, current.state, command.event)) return
+  const percent = Math.min(command.percent, current.targetPercent, current.percent + current.stepPercent)
+  const state = nextState(charts.shift, current.state, command.event)
+  const steppedAt = percent === current.percent ? current.steppedAt : at
+  setItem(config, version, { ...current, percent, state, steppedAt })
 }
 
-/** Moves a drain on if its chart allows it. */
+/** Advances a drain if its chart allows the event. */
 export function advanceDrain (config: Config, charts: ChangeCharts, command: AdvanceDrainCommand, version: number): void {
-  const held = findItem(config, 'drain', command.drain)
-  if (held === undefined || !canTake(charts.drain, held.state, command.event)) return
-  setItem(config, version, { ...held, state: nextState(charts.drain, held.state, command.event) })
+  const current = findItem(config, 'drain', command.drain)
+  if (current === undefined || !canTake(charts.drain, current.state, command.event)) return
+  setItem(config, version, { ...current, state: nextState(charts.drain, current.state, command.event) })
 }
--- a/packages/state/src/core/claims.ts
+++ b/packages/state/src/core/claims.ts
@@ -1,25 +1,26 @@
 /**
  * The register of requests that must not run twice.
  *
- * What can go wrong: two VMs get the same request (a caller's resend, a late copy) and both run it;
- * or a record is dropped and a still later copy runs. So the first claim in the log wins and stays
- * spent whatever its end, and an id is refused once it is older than records are kept: both are
- * judged by the log's own time, which all copies share and which never goes back.
+ * Two VMs may receive copies of the same request, because the caller resends it or the network delays a copy,
+ * and only one of them may run it. The first claim in the log wins, and its id can't be claimed again, whatever
+ * the outcome. A copy may also arrive after its record was dropped, so an id is refused once it is older than
+ * the lifetime of the records. Both ages are computed from the log's time, which is the same on all replicas and
+ * never goes back.
  */
 import { issueTimeOf, nextState } from '@lynxcourse/base'
 import type { Chart, HolderId, Millis, RequestId } from '@lynxcourse/base'
 import type { ClaimAnswer, ClaimCommand, ClaimOutcome, KeptAnswer, SettleAnswer, SettleCommand } from '../types/commands.js'
 
-/** How long an id is good for after its issue, and so how long its record is kept. */
+/** How long an id is valid after its issue, and therefore how long its record is kept. */
 export const claimLifetimeMs = 600_000
 
-/** How far ahead of the log's time an id may have been issued. */
-export const claimSkewMs = 30_000
+/** How far the issue time of an id may be ahead of the log's time. */
+export const maxClaimClockSkewMs = 30_000
 
-/** Most records; over it new claims are refused, since dropping one could let a request run twice. */
-export const maxClaims = 200_000
+/** Maximum number of records. Further claims are refused, because dropping a record could let a request run twice. */
+export const maxClaimRecords = 200_000
 
-const bucketMs = 10_000
+const expiryBucketMs = 10_000
 
 export interface ClaimRecord {
   readonly holder: HolderId
@@ -28,67 +29,67 @@
   answer: KeptAnswer | undefined
 }
 
-export interface Claims {
+export interface ClaimRegister {
   readonly chart: Chart
   records: Map<RequestId, ClaimRecord>
-  /** Ids by the time at which they lapse, so that dropping them costs no scan. */
-  buckets: Map<number, RequestId[]>
+  /** Ids by the bucket of their expiry time, so that dropping expired records needs no scan of all records. */
+  idsByExpiryBucket: Map<number, RequestId[]>
 }
 
-export function createClaims (chart: Chart): Claims {
-  return { chart, records: new Map(), buckets: new Map() }
+export function createClaimRegister (chart: Chart): ClaimRegister {
+  return { chart, records: new Map(), idsByExpiryBucket: new Map() }
 }
 
-/** Records a claim, or says who came first. */
-export function claim (claims: Claims, command: ClaimCommand, at: Millis): ClaimAnswer {
-  dropLapsed(claims, at)
+/** Records a claim, or returns the state and the stored answer of the claim that already has its id. */
+export function applyClaim (claims: ClaimRegister, command: ClaimCommand, at: Millis): ClaimAnswer {
+  dropExpiredRecords(claims, at)
   const record = claims.records.get(command.id)
   if (record !== undefined) {
     const isResend = record.holder === command.holder && record.token === command.token && record.state === 'claimed'
     if (isResend) return { result: 'granted' }
     return { result: 'taken', state: record.state, answer: record.answer }
   }
-  const refusal = refusalOf(claims, command.id, at)
+  const refusal = checkNewClaim(claims, command.id, at)
   if (refusal !== undefined) return refusal
   addRecord(claims, command, claims.chart.initial)
   return { result: 'granted' }
 }
 
-/** Ends a claim; only its holder may. The first end stays. */
-export function settle (claims: Claims, command: SettleCommand, at: Millis): SettleAnswer {
-  dropLapsed(claims, at)
+/** Records the outcome of a claim. Only the holder of the claim may do so, and the first outcome is final. */
+export function applySettle (claims: ClaimRegister, command: SettleCommand, at: Millis): SettleAnswer {
+  dropExpiredRecords(claims, at)
   const record = claims.records.get(command.id)
-  if (record === undefined) return settleUnclaimed(claims, command, at)
+  if (record === undefined) return settleUnclaimedId(claims, command, at)
   const isHolder = record.holder === command.holder && record.token === command.token
   if (!isHolder) {
-    // Another copy was refused for good, so this one may be told the same.
-    const agrees = command.outcome === 'notRun' && record.state === 'notRun'
-    return { state: record.state, accepted: agrees }
+    // The request has provably not run, so every copy may report that.
+    const isAlreadyNotRun = command.outcome === 'notRun' && record.state === 'notRun'
+    return { state: record.state, accepted: isAlreadyNotRun }
   }
   if (record.state === claims.chart.initial) {
-    record.state = nextState(claims.chart, record.state, eventOf(command.outcome))
+    record.state = nextState(claims.chart, record.state, getChartEvent(command.outcome))
     record.answer = command.answer
   }
   return { state: record.state, accepted: record.state === command.outcome }
 }
 
 /**
- * Spends an id that was never claimed. A VM that refuses a request before claiming it may say
- * `not-run` only after this, or a late copy at another VM could still run.
+ * Records an id that was never claimed as not run, so that no VM can claim it any more. A VM that refuses a
+ * request before claiming it may answer `not-run` only after this; otherwise a late copy could still run at another VM.
  */
-function settleUnclaimed (claims: Claims, command: SettleCommand, at: Millis): SettleAnswer {
+function settleUnclaimedId (claims: ClaimRegister, command: SettleCommand, at: Millis): SettleAnswer {
   if (command.outcome !== 'notRun') return { state: 'absent', accepted: false }
-  const refusal = refusalOf(claims, command.id, at)
+  const refusal = checkNewClaim(claims, command.id, at)
   if (refusal !== undefined) {
-    // Too old an id can't be claimed by anyone any more, yet a copy may have run before its record
-    // lapsed: nothing proves that it did not.
+    // Nobody can claim an expired id any more, but a copy may have run before its record expired: nothing proves
+    // that the request has not run.
     return { state: 'absent', accepted: false }
   }
   addRecord(claims, command, 'notRun')
   return { state: 'notRun', accepted: true }
 }
 
-function eventOf (outcome: ClaimOutcome): string {
+function getChartEvent (outcome: ClaimOutcome): string {
   switch (outcome) {
     case 'done': return 'answered'
     case 'notRun': return 'proved'
@@ -96,50 +97,50 @@
   }
 }
 
-function refusalOf (claims: Claims, id: RequestId, at: Millis): ClaimAnswer | undefined {
+function checkNewClaim (claims: ClaimRegister, id: RequestId, at: Millis): ClaimAnswer | undefined {
   const age = at - issueTimeOf(id)
   if (age >= claimLifetimeMs) {
-    return { result: 'refused', code: 'badRequestId', detail: `issued ${age} ms ago, good for ${claimLifetimeMs} ms` }
+    return { result: 'refused', code: 'badRequestId', detail: `issued ${age} ms ago, but valid for only ${claimLifetimeMs} ms` }
   }
-  if (age < -claimSkewMs) {
+  if (age < -maxClaimClockSkewMs) {
     return { result: 'refused', code: 'badRequestId', detail: `issued ${-age} ms in the future` }
   }
-  if (claims.records.size >= maxClaims) {
-    return { result: 'refused', code: 'registerFull', detail: `${maxClaims} records` }
+  if (claims.records.size >= maxClaimRecords) {
+    return { result: 'refused', code: 'registerFull', detail: `it holds the maximum of ${maxClaimRecords} records` }
   }
   return undefined
 }
 
-function addRecord (claims: Claims, command: ClaimCommand | SettleCommand, state: string): void {
+function addRecord (claims: ClaimRegister, command: ClaimCommand | SettleCommand, state: string): void {
   claims.records.set(command.id, { holder: command.holder, token: command.token, state, answer: undefined })
-  const bucket = bucketOf(command.id)
-  const ids = claims.buckets.get(bucket)
-  if (ids === undefined) claims.buckets.set(bucket, [command.id])
+  const bucket = getExpiryBucket(command.id)
+  const ids = claims.idsByExpiryBucket.get(bucket)
+  if (ids === undefined) claims.idsByExpiryBucket.set(bucket, [command.id])
   else ids.push(command.id)
 }
 
-function bucketOf (id: RequestId): number {
-  // Rounded up, so that a record outlives the last moment at which its id is still good.
-  return Math.ceil((issueTimeOf(id) + claimLifetimeMs) / bucketMs)
+function getExpiryBucket (id: RequestId): number {
+  // Rounds up, so that a record is kept until its id is no longer valid.
+  return Math.ceil((issueTimeOf(id) + claimLifetimeMs) / expiryBucketMs)
 }
 
-/** Drops records whose ids are refused by now anyway. */
-export function dropLapsed (claims: Claims, at: Millis): void {
-  const current = Math.floor(at / bucketMs)
-  for (const [bucket, ids] of claims.buckets) {
-    if (bucket >= current) continue
+/** Drops the records of ids that have expired and are refused because of their age. */
+export function dropExpiredRecords (claims: ClaimRegister, at: Millis): void {
+  const currentBucket = Math.floor(at / expiryBucketMs)
+  for (const [bucket, ids] of claims.idsByExpiryBucket) {
+    if (bucket >= currentBucket) continue
     for (const id of ids) claims.records.delete(id)
-    claims.buckets.delete(bucket)
+    claims.idsByExpiryBucket.delete(bucket)
   }
 }
 
-/** Rebuilds the register from a snapshot's records. */
-export function restoreClaims (chart: Chart, records: ReadonlyArray<readonly [RequestId, ClaimRecord]>): Claims {
-  const claims = createClaims(chart)
+/** Rebuilds the register from the records of a snapshot. */
+export function restoreClaimRegister (chart: Chart, records: ReadonlyArray<readonly [RequestId, ClaimRecord]>): ClaimRegister {
+  const claims = createClaimRegister(chart)
   for (const [id, record] of records) {
     claims.records.set(id, record)
-    const bucket = bucketOf(id)
-    claims.buckets.set(bucket, [...claims.buckets.get(bucket) ?? [], id])
+    const bucket = getExpiryBucket(id)
+    claims.idsByExpiryBucket.set(bucket, [...claims.idsByExpiryBucket.get(bucket) ?? [], id])
   }
   return claims
 }
--- a/packages/state/src/core/config.ts
+++ b/packages/state/src/core/config.ts
@@ -1,22 +1,25 @@
 /**
- * A copy of the configuration: at the control VMs written by the log, at all others by deltas. A
- * lower version never replaces a higher one, whatever order deltas arrive in.
+ * A copy of the configuration. Control VMs update it from the log, all other VMs from deltas. A lower version
+ * never replaces a higher one, in whatever order deltas arrive.
  */
 import type { ProfileName, ServiceId } from '@lynxcourse/base'
 import type { ConfigDelta, ConfigItem, DrainItem, ProfileItem, ShiftItem, VersionedItem } from '../types/items.js'
 import type { Profile } from '../types/profile.js'
 
-/** Most finished items kept of each kind (drains, shifts, removed routes); older ones go. */
-export const maxFinished = 64
 /**
- * Most ended servers kept. A late announcement of a lifetime that has ended must be known as such, or it comes
- * back to life and ends the lifetime that has its address now; a release replaces some hundred servers in a minute.
+ * Maximum number of finished items kept of each kind, such as ended drains and shifts and removed routes. The oldest are
+ * dropped first.
+ */
+export const maxFinishedItems = 64
+/**
+ * Maximum number of ended backend servers kept. A late announcement of an ended server must be recognised, or it would
+ * revive that server and end the one that now has its address. A release replaces some hundred servers in a minute.
  */
 export const maxEndedServers = 4000
 
 export interface Config {
   version: number
-  /** Versions below this can't be brought up by a delta: items that they may hold are gone. */
+  /** Copies below this version need a full delta, since they may hold items that have been dropped here. */
   prunedBelow: number
   items: Map<string, VersionedItem>
 }
@@ -25,13 +28,13 @@
   return { version: 0, prunedBelow: 0, items: new Map() }
 }
 
-function itemKey (kind: ConfigItem['kind'], key: string): string {
+function createItemKey (kind: ConfigItem['kind'], key: string): string {
   return `${kind} ${key}`
 }
 
-/** Sets an item under a new version. Insertion order is version order. */
+/** Sets an item at a new version. The items stay in the order of their versions. */
 export function setItem (config: Config, version: number, item: ConfigItem): void {
-  const key = itemKey(item.kind, item.key)
+  const key = createItemKey(item.kind, item.key)
   config.items.delete(key)
   config.items.set(key, { version, item })
   config.version = version
@@ -51,55 +54,55 @@
 }
 
 function pruneFinished (config: Config, kind: ConfigItem['kind']): void {
-  const most = kind === 'backend' ? maxEndedServers : maxFinished
-  const finished = [...config.items].filter(([, held]) => held.item.kind === kind && isFinished(held.item))
-  for (const [key, held] of finished.slice(0, -most)) {
+  const maxKept = kind === 'backend' ? maxEndedServers : maxFinishedItems
+  const finished = [...config.items].filter(([, entry]) => entry.item.kind === kind && isFinished(entry.item))
+  for (const [key, entry] of finished.slice(0, -maxKept)) {
     config.items.delete(key)
-    config.prunedBelow = Math.max(config.prunedBelow, held.version)
+    config.prunedBelow = Math.max(config.prunedBelow, entry.version)
   }
 }
 
-/** What a copy at version `from` lacks. */
+/** Returns the delta that brings a copy at version `from` to this version. */
 export function deltaSince (config: Config, from: number): ConfigDelta {
   const full = from < config.prunedBelow || from > config.version
-  const items = [...config.items.values()].filter(held => full || held.version > from)
+  const items = [...config.items.values()].filter(entry => full || entry.version > from)
   return { full, from, version: config.version, items }
 }
 
 /**
- * Takes a delta over.
+ * Applies a delta to a copy.
  *
- * @returns whether the copy is now at the delta's version or above; false asks for a full one
+ * @returns whether the copy is now at the delta's version or above; if false, the copy needs a full delta
  */
 export function takeDelta (config: Config, delta: ConfigDelta): boolean {
   if (delta.version <= config.version) return true
   if (!delta.full && delta.from > config.version) return false
   if (delta.full) config.items = new Map()
-  for (const held of delta.items) {
-    const key = itemKey(held.item.kind, held.item.key)
-    const old = config.items.get(key)
-    if (old !== undefined && old.version >= held.version) continue
+  for (const entry of delta.items) {
+    const key = createItemKey(entry.item.kind, entry.item.key)
+    const current = config.items.get(key)
+    if (current !== undefined && current.version >= entry.version) continue
     config.items.delete(key)
-    config.items.set(key, held)
+    config.items.set(key, entry)
   }
   config.version = delta.version
   return true
 }
 
-/** The item of a kind under a key. */
+/** Returns the item of a kind with the given key, if there is one. */
 export function findItem<Kind extends ConfigItem['kind']> (
   config: Config, kind: Kind, key: string
 ): Extract<ConfigItem, { kind: Kind }> | undefined {
-  const item = config.items.get(itemKey(kind, key))?.item
+  const item = config.items.get(createItemKey(kind, key))?.item
   return item?.kind === kind ? item as Extract<ConfigItem, { kind: Kind }> : undefined
 }
 
-/** Version at which an item last changed; 0 for one that is not there. */
+/** Returns the version at which an item last changed; 0 if there is no such item. */
 export function versionOf (config: Config, kind: ConfigItem['kind'], key: string): number {
-  return config.items.get(itemKey(kind, key))?.version ?? 0
+  return config.items.get(createItemKey(kind, key))?.version ?? 0
 }
 
-/** All items of a kind, oldest change first. */
+/** Returns all items of a kind, the least recently changed first. */
 export function listItems<Kind extends ConfigItem['kind']> (
   config: Config, kind: Kind
 ): Array<Extract<ConfigItem, { kind: Kind }>> {
@@ -110,25 +113,25 @@
   return found
 }
 
-/** The profile that a service runs under; undefined when it picked none or a retired one. */
+/** Returns the profile that a service runs under; undefined if it has none or if the profile is retired. */
 export function profileOf (config: Config, service: ServiceId): Profile | undefined {
-  const pick = findItem(config, 'service', service)
-  if (pick === undefined) return undefined
-  const item: ProfileItem | undefined = findItem(config, 'profile', pick.profile)
+  const serviceItem = findItem(config, 'service', service)
+  if (serviceItem === undefined) return undefined
+  const item: ProfileItem | undefined = findItem(config, 'profile', serviceItem.profile)
   return item === undefined || item.retired ? undefined : item.profile
 }
 
-/** Whether a service runs under this profile. */
-export function isPicked (config: Config, name: ProfileName): boolean {
+/** Whether any service runs under the given profile. */
+export function isProfileInUse (config: Config, name: ProfileName): boolean {
   return listItems(config, 'service').some(item => item.profile === name)
 }
 
-/** Drains that keep new work away now. */
+/** Returns the drains that currently keep new work away from their targets. */
 export function activeDrains (config: Config): DrainItem[] {
   return listItems(config, 'drain').filter(drain => drain.state === 'draining' || drain.state === 'drained')
 }
 
-/** Shifts that move traffic now. */
+/** Returns the shifts that currently move traffic. */
 export function activeShifts (config: Config): ShiftItem[] {
   return listItems(config, 'shift').filter(shift => shift.state !== 'cancelled' && shift.percent > 0)
 }
--- a/packages/state/src/core/knownVersions.ts
+++ b/packages/state/src/core/knownVersions.ts
@@ -1,39 +1,41 @@
 /**
- * Which version of the state a VM knew at a time.
+ * The version of the state that a VM knew at a given time.
  *
- * What can go wrong: a VM was behind and catches up, then reads an order that has lain unread since before. Dated by what the VM
- * knows as it reads, the old order counts as newer than those that it has just heard of. It shows as an evacuation that comes back
- * after its end was confirmed.
+ * A VM that was behind may first apply newer versions and only then read an operator's command that arrived before
+ * them. If the command were based on the version known when it is read, it would count as newer than the changes just
+ * applied. An evacuation could then start again after its end was confirmed.
  */
 import type { Millis } from '@lynxcourse/base'
 
-interface Known {
+interface KnownVersion {
   readonly at: Millis
   readonly version: number
 }
 
-/** The versions that one VM has known, oldest first. */
+/** The versions that a VM has known, oldest first. */
 export interface KnownVersions {
-  known: Known[]
+  entries: KnownVersion[]
 }
 
-/** Versions are remembered for this long; an order that lay unread for longer is dated by the last one before. */
-const keptMs: Millis = 10_000
+/**
+ * How long versions are kept. A command that was unread for longer is based on the last version known before this period.
+ */
+const retentionMs: Millis = 10_000
 
 export function createKnownVersions (): KnownVersions {
-  return { known: [] }
+  return { entries: [] }
 }
 
-/** Notes that a VM knows a version from `now` on. */
+/** Records that a VM knows a version from `now` on. A version that is not above the last one changes nothing. */
 export function noteVersion (versions: KnownVersions, version: number, now: Millis): void {
-  const last = versions.known.at(-1)
+  const last = versions.entries.at(-1)
   if (last !== undefined && version <= last.version) return
-  versions.known.push({ at: now, version })
-  const firstKept = versions.known.findIndex(({ at }) => now - at < keptMs)
-  if (firstKept > 1) versions.known.splice(0, firstKept - 1)
+  versions.entries.push({ at: now, version })
+  const firstKept = versions.entries.findIndex(({ at }) => now - at < retentionMs)
+  if (firstKept > 1) versions.entries.splice(0, firstKept - 1)
 }
 
-/** The version that was known at a time; 0 where that is not remembered. */
-export function versionAt ({ known }: KnownVersions, at: Millis): number {
+/** Returns the version that was known at a given time; 0 if that is no longer recorded. */
+export function versionAt ({ entries: known }: KnownVersions, at: Millis): number {
   return known.findLast(entry => entry.at <= at)?.version ?? 0
 }
--- a/packages/state/src/core/machine.ts
+++ b/packages/state/src/core/machine.ts
@@ -1,28 +1,28 @@
-/** The state machine that the replicated log drives: equal logs give equal states on every copy. */
+/** The state machine that the replicated log drives: equal logs produce equal states on every replica. */
 import type { Entry } from '@lynxcourse/agreement'
 import type { Chart, ChangeId, Millis, RequestId, ResourceId } from '@lynxcourse/base'
 import type { Answer, Change, ChangeAnswer, Command } from '../types/commands.js'
 import type { ProfileItem, VersionedItem } from '../types/items.js'
 import type { OrderId } from '../types/routes.js'
-import { allocate, createAllocations } from './allocations.js'
+import { applyAllocations, createAllocations } from './allocations.js'
 import type { Allocation, Allocations } from './allocations.js'
-import { capOf } from './caps.js'
+import { getCap } from './caps.js'
 import { advanceDrain, advanceShift, applyChange } from './changes.js'
 import type { ChangeCharts } from './changes.js'
-import { claim, createClaims, restoreClaims, settle } from './claims.js'
-import type { ClaimRecord, Claims } from './claims.js'
+import { applyClaim, createClaimRegister, restoreClaimRegister, applySettle } from './claims.js'
+import type { ClaimRecord, ClaimRegister } from './claims.js'
 import { createConfig, findItem } from './config.js'
 import type { Config } from './config.js'
 import { applyRouteCommand, isRouteCommand } from './routeChanges.js'
-import type { AcceptedOrders } from './routeChanges.js'
+import type { AcceptedRouteChanges } from './routeChanges.js'
 
-/** Most answers to changes that are kept for resends; two days at 9,800 changes a day. */
-export const maxKeptAnswers = 20_000
+/** Maximum number of answers to changes that are kept for resends: two days at 9,800 changes a day. */
+export const maxStoredAnswers = 20_000
 
-/** Most former versions kept of one profile. */
-export const maxHistory = 20
+/** Maximum number of versions kept in the history of a profile. */
+export const maxProfileHistory = 20
 
-/** The charts that the machine follows. */
+/** State charts that the state machine follows. */
 export interface MachineCharts extends ChangeCharts {
   readonly claim: Chart
 }
@@ -31,10 +31,10 @@
   readonly charts: MachineCharts
   applied: number
   config: Config
-  claims: Claims
+  claims: ClaimRegister
   allocations: Allocations
   answers: Map<ChangeId, ChangeAnswer>
-  orders: AcceptedOrders
+  orders: AcceptedRouteChanges
   history: Map<string, ProfileItem[]>
 }
 
@@ -43,7 +43,7 @@
     charts,
     applied: 0,
     config: createConfig(),
-    claims: createClaims(charts.claim),
+    claims: createClaimRegister(charts.claim),
     allocations: createAllocations(),
     answers: new Map(),
     orders: new Map(),
@@ -51,7 +51,7 @@
   }
 }
 
-/** Applies one committed entry. */
+/** Applies a committed entry of the log and returns the answer for the VM that proposed it. */
 export function applyEntry (machine: Machine, entry: Entry): Answer {
   machine.applied = entry.index
   if (entry.body.type !== 'command') return { type: 'none' }
@@ -63,10 +63,10 @@
     return { type: 'change', change: applyRouteCommand(machine.config, machine.orders, command, version) }
   }
   switch (command.type) {
-    case 'claim': return { type: 'claim', claim: claim(machine.claims, command, at) }
-    case 'settle': return { type: 'settle', settle: settle(machine.claims, command, at) }
+    case 'claim': return { type: 'claim', claim: applyClaim(machine.claims, command, at) }
+    case 'settle': return { type: 'settle', settle: applySettle(machine.claims, command, at) }
     case 'allocate':
-      allocate(machine.allocations, command, resource => capOf(machine.config, resource))
+      applyAllocations(machine.allocations, command, resource => getCap(machine.config, resource))
       return { type: 'none' }
     case 'advanceShift':
       advanceShift(machine.config, machine.charts, command, version, at)
@@ -78,14 +78,17 @@
   }
 }
 
-/** An operator who lost the answer sends the change again; it must not take effect a second time. */
+/**
+ * Applies a change unless it has already been applied. An operator who did not receive the answer sends the change again;
+ * it must not take effect twice and gets the stored answer.
+ */
 function applyOnce (machine: Machine, change: Change, version: number, at: Millis): ChangeAnswer {
-  const kept = machine.answers.get(change.changeId)
-  if (kept !== undefined) return kept
+  const storedAnswer = machine.answers.get(change.changeId)
+  if (storedAnswer !== undefined) return storedAnswer
   const answer = applyChange(machine.config, machine.charts, change, version, at)
   machine.answers.set(change.changeId, answer)
-  if (machine.answers.size > maxKeptAnswers) dropOldest(machine.answers)
-  if (answer.ok) keepHistory(machine, change)
+  if (machine.answers.size > maxStoredAnswers) dropOldest(machine.answers)
+  if (answer.ok) appendHistory(machine, change)
   return answer
 }
 
@@ -94,16 +97,16 @@
   if (oldest !== undefined) answers.delete(oldest)
 }
 
-function keepHistory (machine: Machine, change: Change): void {
+function appendHistory (machine: Machine, change: Change): void {
   if (change.type !== 'publishProfile' && change.type !== 'retireProfile') return
   const name = change.type === 'publishProfile' ? change.profile.name : change.name
   const item = findItem(machine.config, 'profile', name)
   if (item === undefined) return
   const history = machine.history.get(name) ?? []
-  machine.history.set(name, [...history, item].slice(-maxHistory))
+  machine.history.set(name, [...history, item].slice(-maxProfileHistory))
 }
 
-interface MachineData {
+interface StateMachineData {
   readonly applied: number
   readonly version: number
   readonly prunedBelow: number
@@ -115,10 +118,10 @@
   readonly history: ReadonlyArray<readonly [string, ProfileItem[]]>
 }
 
-/** Writes the state as text, for a snapshot of the log. */
+/** Serializes the state for a snapshot of the log. */
 export function writeMachine (machine: Machine): string {
   const allocations = [...machine.allocations.byResource].map(([id, shares]) => [id, [...shares]] as const)
-  const data: MachineData = {
+  const data: StateMachineData = {
     applied: machine.applied,
     version: machine.config.version,
     prunedBelow: machine.config.prunedBelow,
@@ -132,14 +135,14 @@
   return JSON.stringify(data)
 }
 
-/** Reads the state back; an empty text is the state before the first entry. */
+/** Restores the state from a snapshot. An empty text stands for the state before the first entry. */
 export function readMachine (charts: MachineCharts, text: string): Machine {
   const machine = createMachine(charts)
   if (text === '') return machine
-  const data = JSON.parse(text) as MachineData
+  const data = JSON.parse(text) as StateMachineData
   machine.applied = data.applied
   machine.config = { version: data.version, prunedBelow: data.prunedBelow, items: new Map(data.items) }
-  machine.claims = restoreClaims(charts.claim, data.claims)
+  machine.claims = restoreClaimRegister(charts.claim, data.claims)
   for (const [id, shares] of data.allocations) {
     machine.allocations.byResource.set(id, new Map(shares) as never)
   }
--- a/packages/state/src/core/routeChanges.ts
+++ b/packages/state/src/core/routeChanges.ts
@@ -1,4 +1,4 @@
-/** Applies changes of routes, evacuations and announcements to the configuration. */
+/** Applies changes of routes, evacuations and announcements of backend servers to the configuration. */
 import type { ServerId, ServiceId } from '@lynxcourse/base'
 import type { ChangeAnswer } from '../types/commands.js'
 import { routingKey } from '../types/routes.js'
@@ -9,43 +9,46 @@
 import { findItem, listItems, setItem, versionOf } from './config.js'
 import type { Config } from './config.js'
 
-/** An aim this far above the time-out is taken for a slip of the pen. */
-const maxAimOverTimeoutMs = 60_000
+/** A latency objective that exceeds the timeout by this much or more is rejected as a probable mistake. */
+const maxAimAboveTimeoutMs = 60_000
 
-/** Most accepted orders that are remembered; two days at 9,800 changes a day. */
-export const maxKeptOrders = 20_000
+/** Maximum number of accepted route changes that are kept: two days at 9,800 changes a day. */
+export const maxAcceptedRouteChanges = 20_000
 
-/** Orders that were accepted, so that one sent again after its answer was lost succeeds again. */
-export type AcceptedOrders = Map<OrderId, number>
+/**
+ * Accepted route changes, each with the routes' version that it set. They are kept so that a change that is resent because its
+ * answer was lost succeeds again.
+ */
+export type AcceptedRouteChanges = Map<OrderId, number>
 
-/** Whether a command concerns routes or backend servers. */
+/** Whether a command concerns routes, evacuations or backend servers. */
 export function isRouteCommand (command: { readonly type: string }): command is RouteCommand {
   return routeCommandTypes.has(command.type)
 }
 
 const routeCommandTypes = new Set(['replaceRoutes', 'updateRoutes', 'evacuate', 'announce', 'announceAll', 'dismiss', 'miss'])
 
-/** Applies one command at a version of the log. */
-export function applyRouteCommand (config: Config, orders: AcceptedOrders, command: RouteCommand, version: number): ChangeAnswer {
+/** Applies a command as the given version of the configuration. */
+export function applyRouteCommand (config: Config, acceptedChanges: AcceptedRouteChanges, command: RouteCommand, version: number): ChangeAnswer {
   switch (command.type) {
     case 'replaceRoutes':
-    case 'updateRoutes': return applyOrder(config, orders, command, version)
+    case 'updateRoutes': return applyRouteSetChange(config, acceptedChanges, command, version)
     case 'evacuate': return evacuate(config, command, version)
     case 'announce': return announce(config, command.facts, version)
     case 'announceAll':
       for (const facts of command.servers) announce(config, facts, version)
-      return accepted(config)
-    case 'dismiss': return setStates(config, command, 'gone', version)
-    case 'miss': return setStates(config, command, 'lost', version)
+      return accept(config)
+    case 'dismiss': return setBackendStates(config, command, 'gone', version)
+    case 'miss': return setBackendStates(config, command, 'lost', version)
   }
 }
 
-/** The routes' version, by operators' count; 0 before the first. */
+/** Returns the version number that operators gave the current routes; 0 before the first routes. */
 export function routesVersionOf (config: Config): number {
   return findItem(config, 'routing', routingKey)?.routesVersion ?? 0
 }
 
-/** The routes in force; undefined before the first order. */
+/** Returns the current routes; undefined before the first routes. */
 export function routeSetOf (config: Config): RouteSet | undefined {
   const routing = findItem(config, 'routing', routingKey)
   if (routing === undefined) return undefined
@@ -54,89 +57,89 @@
   return { routes, upstreams, limits: routing.limits }
 }
 
-function accepted (config: Config): ChangeAnswer {
+function accept (config: Config): ChangeAnswer {
   return { ok: true, version: config.version, itemVersion: routesVersionOf(config) }
 }
 
-function refused (code: 'versionConflict' | 'badRequest', detail: string): ChangeAnswer {
+function reject (code: 'versionConflict' | 'badRequest', detail: string): ChangeAnswer {
   return { ok: false, code, detail, winner: undefined }
 }
 
-function applyOrder (config: Config, orders: AcceptedOrders, command: ReplaceRoutesCommand | UpdateRoutesCommand, version: number): ChangeAnswer {
-  if (orders.has(command.order)) return accepted(config)
+function applyRouteSetChange (config: Config, acceptedChanges: AcceptedRouteChanges, command: ReplaceRoutesCommand | UpdateRoutesCommand, version: number): ChangeAnswer {
+  if (acceptedChanges.has(command.order)) return accept(config)
   const current = routesVersionOf(config)
-  if (command.baseVersion !== current) return refused('versionConflict', `builds on version ${command.baseVersion}, but ${current} is current`)
-  if (command.routesVersion <= current) return refused('badRequest', `version: ${command.routesVersion} is not above ${current}`)
+  if (command.baseVersion !== current) return reject('versionConflict', `based on version ${command.baseVersion}, but the current version is ${current}`)
+  if (command.routesVersion <= current) return reject('badRequest', `version: ${command.routesVersion} is not above the current version ${current}`)
   const next = command.type === 'replaceRoutes' ? command.set : mergeRoutes(config, command)
-  if (next === undefined) return refused('versionConflict', 'there are no routes yet to change')
-  const problem = findProblem(next)
-  if (problem !== undefined) return refused('badRequest', problem)
+  if (next === undefined) return reject('versionConflict', 'there are no routes to update yet')
+  const problem = findRouteSetProblem(next)
+  if (problem !== undefined) return reject('badRequest', problem)
   writeRoutes(config, next, version)
   const item: RoutingItem = { kind: 'routing', key: routingKey, routesVersion: command.routesVersion, limits: next.limits }
   setItem(config, version, item)
-  orders.set(command.order, command.routesVersion)
-  if (orders.size > maxKeptOrders) dropOldest(orders)
-  return accepted(config)
+  acceptedChanges.set(command.order, command.routesVersion)
+  if (acceptedChanges.size > maxAcceptedRouteChanges) dropOldest(acceptedChanges)
+  return accept(config)
 }
 
-function dropOldest (orders: AcceptedOrders): void {
-  const [oldest] = orders.keys()
-  if (oldest !== undefined) orders.delete(oldest)
+function dropOldest (acceptedChanges: AcceptedRouteChanges): void {
+  const [oldest] = acceptedChanges.keys()
+  if (oldest !== undefined) acceptedChanges.delete(oldest)
 }
 
 function mergeRoutes (config: Config, command: UpdateRoutesCommand): RouteSet | undefined {
-  const held = routeSetOf(config)
-  if (held === undefined) return undefined
+  const current = routeSetOf(config)
+  if (current === undefined) return undefined
   return {
-    routes: mergeByName(held.routes, command.putRoutes, command.removeRoutes),
-    upstreams: mergeByName<Upstream>(held.upstreams, command.putUpstreams, command.removeUpstreams),
-    limits: command.limits ?? held.limits
+    routes: mergeByName(current.routes, command.putRoutes, command.removeRoutes),
+    upstreams: mergeByName<Upstream>(current.upstreams, command.putUpstreams, command.removeUpstreams),
+    limits: command.limits ?? current.limits
   }
 }
 
-function mergeByName<Item extends { readonly name: string }> (held: readonly Item[], put: readonly Item[], remove: readonly string[]): Item[] {
-  const byName = new Map(held.map(item => [item.name, item]))
-  for (const name of remove) byName.delete(name)
-  for (const item of put) byName.set(item.name, item)
+function mergeByName<Item extends { readonly name: string }> (current: readonly Item[], added: readonly Item[], removed: readonly string[]): Item[] {
+  const byName = new Map(current.map(item => [item.name, item]))
+  for (const name of removed) byName.delete(name)
+  for (const item of added) byName.set(item.name, item)
   return [...byName.values()]
 }
 
-/** What is wrong with a set of routes, naming the item and its field; undefined if nothing is. */
-export function findProblem (set: RouteSet): string | undefined {
+/** Returns a description of the first invalid route, with its name and field; undefined if all routes are valid. */
+export function findRouteSetProblem (set: RouteSet): string | undefined {
   const services = new Set(set.upstreams.map(upstream => upstream.name))
-  const places = new Set<string>()
-  const names = new Set<string>()
+  const usedMatches = new Set<string>()
+  const usedNames = new Set<string>()
   for (const route of set.routes) {
-    const problem = problemOf(route, services)
+    const problem = findRouteProblem(route, services)
     if (problem !== undefined) return `route '${route.name}': ${problem}`
-    const place = `${route.host} ${route.pathPrefix}`
-    if (places.has(place)) return `route '${route.name}': pathPrefix is taken by another route of the host`
-    if (names.has(route.name)) return `route '${route.name}': name is used twice`
-    places.add(place)
-    names.add(route.name)
+    const match = `${route.host} ${route.pathPrefix}`
+    if (usedMatches.has(match)) return `route '${route.name}': pathPrefix is taken by another route of the same host`
+    if (usedNames.has(route.name)) return `route '${route.name}': name is used by another route`
+    usedMatches.add(match)
+    usedNames.add(route.name)
   }
   return undefined
 }
 
-function problemOf (route: Route, services: ReadonlySet<string>): string | undefined {
-  if (!(route.timeoutMs > 0)) return 'timeout is not above 0'
-  if (route.aimMs >= route.timeoutMs + maxAimOverTimeoutMs) return 'latency objective is a minute or more above the timeout'
+function findRouteProblem (route: Route, services: ReadonlySet<string>): string | undefined {
+  if (!(route.timeoutMs > 0)) return 'timeout must be above 0'
+  if (route.aimMs >= route.timeoutMs + maxAimAboveTimeoutMs) return 'latency objective must be less than a minute above the timeout'
   if (!route.pathPrefix.startsWith('/') || !route.pathPrefix.endsWith('/')) return 'pathPrefix must begin and end with a slash'
-  const parts = partsOf(route)
-  if (parts.length === 0) return 'names no service'
-  const unknown = parts.find(part => !services.has(part.service))
-  if (unknown !== undefined) return `service '${unknown.service}' is not known`
-  if (parts.some(part => part.weight < 0)) return 'a weight is below 0'
-  if (parts.reduce((sum, part) => sum + part.weight, 0) <= 0) return 'weights add up to 0'
+  const routeServices = partsOf(route)
+  if (routeServices.length === 0) return 'has no service'
+  const unknownService = routeServices.find(entry => !services.has(entry.service))
+  if (unknownService !== undefined) return `service '${unknownService.service}' is not known`
+  if (routeServices.some(entry => entry.weight < 0)) return 'a weight is negative'
+  if (routeServices.reduce((sum, entry) => sum + entry.weight, 0) <= 0) return 'weights add up to 0'
   return undefined
 }
 
-/** The services of a route with their weights. */
-export function partsOf (route: Route): readonly WeightedPart[] {
+/** Returns the services of a route with their weights. */
+export function partsOf (route: Route): readonly RouteService[] {
   return route.service === undefined ? route.split : [{ service: route.service, weight: 1 }]
 }
 
-type WeightedPart = Route['split'][number]
+type RouteService = Route['split'][number]
 
 function writeRoutes (config: Config, next: RouteSet, version: number): void {
   const routes = new Map(next.routes.map(route => [route.name, route]))
@@ -144,112 +147,117 @@
     if (item.route !== undefined && !routes.has(item.key)) setItem(config, version, { kind: 'route', key: item.key, route: undefined })
   }
   for (const route of next.routes) {
-    if (!isSame(findItem(config, 'route', route.name)?.route, route)) setItem(config, version, { kind: 'route', key: route.name, route })
+    if (!hasEqualFields(findItem(config, 'route', route.name)?.route, route)) setItem(config, version, { kind: 'route', key: route.name, route })
   }
   const upstreams = new Map<string, Upstream>(next.upstreams.map(upstream => [upstream.name, upstream]))
   for (const item of listItems(config, 'upstream')) {
     if (item.upstream !== undefined && !upstreams.has(item.key)) setItem(config, version, { kind: 'upstream', key: item.key, upstream: undefined })
   }
   for (const upstream of next.upstreams) {
-    if (!isSame(findItem(config, 'upstream', upstream.name)?.upstream, upstream)) setItem(config, version, { kind: 'upstream', key: upstream.name, upstream })
+    if (!hasEqualFields(findItem(config, 'upstream', upstream.name)?.upstream, upstream)) setItem(config, version, { kind: 'upstream', key: upstream.name, upstream })
   }
 }
 
-function isSame (held: object | undefined, next: object): boolean {
-  return held !== undefined && JSON.stringify(held) === JSON.stringify(next)
+function hasEqualFields (current: object | undefined, next: object): boolean {
+  return current !== undefined && JSON.stringify(current) === JSON.stringify(next)
 }
 
 function evacuate (config: Config, command: EvacuateCommand, version: number): ChangeAnswer {
   const { failureDomain, isActive, baseVersion } = command
-  const held = findItem(config, 'evacuation', failureDomain)
-  if ((held?.isActive ?? false) === isActive) return accepted(config)
+  const current = findItem(config, 'evacuation', failureDomain)
+  if ((current?.isActive ?? false) === isActive) return accept(config)
   const changedAt = versionOf(config, 'evacuation', failureDomain)
-  // An order that lay at a VM that was frozen or cut off would undo what was confirmed meanwhile.
+  // A command that was delayed at a paused or disconnected VM must not undo a later change that has been confirmed.
   if (baseVersion !== undefined && changedAt > baseVersion) {
-    return refused('versionConflict', `failure domain '${failureDomain}' changed at version ${changedAt}, after ${baseVersion}`)
+    return reject('versionConflict', `failure domain '${failureDomain}' changed at version ${changedAt}, after base version ${baseVersion}`)
   }
   setItem(config, version, { kind: 'evacuation', key: failureDomain, isActive })
-  return accepted(config)
+  return accept(config)
 }
 
 function announce (config: Config, facts: BackendFacts, version: number): ChangeAnswer {
-  const held = findItem(config, 'backend', facts.id)
-  if (!isCredible(config, facts, held)) return accepted(config)
-  for (const other of othersAt(config, facts)) setBackend(config, other, 'gone', version)
-  // Once a server said that it leaves, it leaves; the next start under its id did not say so.
-  const isDraining = facts.isDraining || (held?.state === 'draining' && !isNextStart(facts, held))
+  const current = findItem(config, 'backend', facts.id)
+  if (!isCredible(config, facts, current)) return accept(config)
+  for (const other of listOthersAtAddress(config, facts)) setBackendState(config, other, 'gone', version)
+  // Draining is final for an incarnation, but doesn't apply to the next incarnation under the same id.
+  const isDraining = facts.isDraining || (current?.state === 'draining' && !isLaterIncarnation(facts, current))
   const item: BackendItem = { kind: 'backend', key: facts.id, facts, state: isDraining ? 'draining' : 'serving' }
   setItem(config, version, item)
-  return accepted(config)
+  return accept(config)
 }
 
 /**
- * Whether an announcement tells of the present.
+ * Whether an announcement describes the current incarnation of a backend server and may therefore be applied.
  *
- * What can go wrong: announcements are held up on their way, and others than servers may write them. A late one of a former start
- * would undo what the present one said, revive a server that has ended, or take the address from its successor; one for a service
- * that no route knows would do so too. It shows as a server that is left out though it answers, or used though it has ended.
+ * Announcements may arrive late, and processes other than backend servers may send them. A late announcement of an
+ * earlier incarnation could undo what the current one announced, revive a server that has ended or take the address from
+ * its successor; so could an announcement for a service that is not configured. A server that answers would then get no
+ * requests, or requests would go to a server that has ended.
  */
-export function isCredible (config: Config, facts: BackendFacts, held = findItem(config, 'backend', facts.id)): boolean {
+export function isCredible (config: Config, facts: BackendFacts, current = findItem(config, 'backend', facts.id)): boolean {
   if (!isKnownService(config, facts.service)) return false
-  if (othersAt(config, facts).some(other => other.state !== 'lost' && isFormerStart(facts, other))) return false
-  if (held === undefined || isNextStart(facts, held)) return true
-  if (held.state === 'gone') return false
-  // Clocks may be set back between two starts: once nothing was heard of the one that is known, the other's word counts.
-  if (isFormerStart(facts, held)) return held.state === 'lost'
-  return facts.seq >= held.facts.seq
+  if (listOthersAtAddress(config, facts).some(other => other.state !== 'lost' && isEarlierIncarnation(facts, other))) return false
+  if (current === undefined || isLaterIncarnation(facts, current)) return true
+  if (current.state === 'gone') return false
+  // A server's clock may be set back between two starts. An earlier start time is therefore accepted once the known
+  // incarnation is lost.
+  if (isEarlierIncarnation(facts, current)) return current.state === 'lost'
+  return facts.seq >= current.facts.seq
 }
 
-/** Servers start before the first routes come; from then on a service has to be named by them. */
+/**
+ * Whether a service is configured. Servers may start before the first routes are set; until then, every service counts as
+ * configured.
+ */
 function isKnownService (config: Config, service: ServiceId): boolean {
   return routesVersionOf(config) === 0 || findItem(config, 'upstream', service)?.upstream !== undefined
 }
 
-/** Servers that were at the same address and have not ended. */
-function othersAt (config: Config, facts: BackendFacts): BackendItem[] {
+/** Returns the other servers at the same address that have not ended. */
+function listOthersAtAddress (config: Config, facts: BackendFacts): BackendItem[] {
   return listItems(config, 'backend').filter(other => other.key !== facts.id && other.facts.address === facts.address && other.state !== 'gone')
 }
 
-/** Whether a server started after the start that is known; without a time of start nobody can tell. */
-function isNextStart (facts: BackendFacts, held: BackendItem): boolean {
-  return facts.bornAt > held.facts.bornAt && held.facts.bornAt > 0
+/** Whether an announcement is from a later incarnation than the known one; false if the known start time is missing. */
+function isLaterIncarnation (facts: BackendFacts, current: BackendItem): boolean {
+  return facts.bornAt > current.facts.bornAt && current.facts.bornAt > 0
 }
 
-function isFormerStart (facts: BackendFacts, held: BackendItem): boolean {
-  return facts.bornAt > 0 && facts.bornAt < held.facts.bornAt
+function isEarlierIncarnation (facts: BackendFacts, current: BackendItem): boolean {
+  return facts.bornAt > 0 && facts.bornAt < current.facts.bornAt
 }
 
-function setBackend (config: Config, item: BackendItem, state: BackendState, version: number): void {
+function setBackendState (config: Config, item: BackendItem, state: BackendState, version: number): void {
   setItem(config, version, { ...item, state })
 }
 
-function setStates (config: Config, command: DismissCommand | MissCommand, state: BackendState, version: number): ChangeAnswer {
+function setBackendStates (config: Config, command: DismissCommand | MissCommand, state: BackendState, version: number): ChangeAnswer {
   for (const id of command.ids) {
-    const held = findItem(config, 'backend', id)
-    if (held === undefined || held.state === 'gone' || held.state === state) continue
-    // A former start that ended, or a word of its end that was held up, does not end the present one.
-    if (command.type === 'dismiss' && command.bornAt !== undefined && command.bornAt < held.facts.bornAt) continue
-    if (state === 'lost' && held.state === 'draining') setBackend(config, held, 'gone', version)
-    else setBackend(config, held, state, version)
+    const current = findItem(config, 'backend', id)
+    if (current === undefined || current.state === 'gone' || current.state === state) continue
+    // The end of an earlier incarnation, possibly reported late, doesn't end the current one.
+    if (command.type === 'dismiss' && command.bornAt !== undefined && command.bornAt < current.facts.bornAt) continue
+    if (state === 'lost' && current.state === 'draining') setBackendState(config, current, 'gone', version)
+    else setBackendState(config, current, state, version)
   }
-  return accepted(config)
+  return accept(config)
 }
 
-/** Whether an announcement says anything that the configuration doesn't hold yet. */
+/** Whether an announcement changes the configuration by more than its sequence number and remaining cold time. */
 export function isNews (config: Config, facts: BackendFacts): boolean {
-  const held = findItem(config, 'backend', facts.id)
-  if (!isCredible(config, facts, held)) return false
-  if (held === undefined || held.state === 'lost' || isNextStart(facts, held)) return true
-  if (facts.isDraining !== (held.state === 'draining')) return facts.isDraining
-  const { service, address, failureDomain, slots, software } = held.facts
-  const isMoved = service !== facts.service || address !== facts.address || failureDomain !== facts.failureDomain || software !== facts.software
-  return isMoved || slots !== facts.slots || (facts.coldMs > 0) !== (held.facts.coldMs > 0)
+  const current = findItem(config, 'backend', facts.id)
+  if (!isCredible(config, facts, current)) return false
+  if (current === undefined || current.state === 'lost' || isLaterIncarnation(facts, current)) return true
+  if (facts.isDraining !== (current.state === 'draining')) return facts.isDraining
+  const { service, address, failureDomain, slots, software } = current.facts
+  const isRedefined = service !== facts.service || address !== facts.address || failureDomain !== facts.failureDomain || software !== facts.software
+  return isRedefined || slots !== facts.slots || (facts.coldMs > 0) !== (current.facts.coldMs > 0)
 }
 
-/** Ids of the servers that count as present. */
+/** Returns the ids of the servers that are serving or draining. */
 export function presentBackends (config: Config): ServerId[] {
   return listItems(config, 'backend').filter(item => item.state === 'serving' || item.state === 'draining').map(item => item.key)
 }
 
-/** Limits for callers before the first order. */
+/** Limits for callers that apply before the first routes are set. */
 export const defaultCallerLimits: CallerLimits = { maxHeaderBytes: 16_384, maxBodyBytes: 1_048_576, headerTimeoutMs: 5000, idleTimeoutMs: 15_000 }
--- a/packages/state/src/internal.ts
+++ b/packages/state/src/internal.ts
@@ -1,4 +1,4 @@
-/** Fixes the order in which the modules of this package load. */
+/** Fixes the order in which the modules of this package are loaded. */
 export * from './types/profile.js'
 export * from './types/routes.js'
 export * from './types/commands.js'
--- a/packages/state/src/state.ts
+++ b/packages/state/src/state.ts
@@ -1,6 +1,6 @@
 /**
- * The state that control VMs agree on: configuration (profiles, picks, drains, shifts), the
- * register of claims and the shares of caps; and the copies of the configuration that all other VMs
- * keep by deltas.
+ * The state that control VMs agree on: the configuration (profiles, services, drains, shifts, routes, evacuations and
+ * backend servers), the register of claims and the shares of caps. All other VMs hold copies of the configuration,
+ * which deltas keep up to date.
  */
 export * from './internal.js'
--- a/packages/state/src/types/commands.ts
+++ b/packages/state/src/types/commands.ts
@@ -1,4 +1,4 @@
-/** Commands that the replicated log carries and the answers that applying them gives. */
+/** The commands that the replicated log carries and the answers that applying them returns. */
 import type {
   ChangeId, DrainId, HolderId, ProfileName, RegionId, RequestId, ResourceId, ServiceId, ShiftId
 } from '@lynxcourse/base'
@@ -6,7 +6,7 @@
 import { nameSchema, profileSchema } from './profile.js'
 import type { RouteCommand } from './routes.js'
 
-/** What a drain empties. */
+/** The kinds of targets that a drain can empty. */
 export type DrainKind = 'server' | 'vm' | 'failureDomain' | 'region'
 
 export interface DrainTarget {
@@ -15,68 +15,71 @@
 }
 
 const changeId = z.string().min(8).max(64) as unknown as z.ZodType<ChangeId>
-const id = <Id extends string>() => z.string().min(1).max(64) as unknown as z.ZodType<Id>
+const createIdSchema = <Id extends string>() => z.string().min(1).max(64) as unknown as z.ZodType<Id>
 const operator = z.string().min(1).max(64)
-const common = { changeId, operator }
+const commonFields = { changeId, operator }
 
-/** Schema of a change that an operator may ask for. */
+/** Schema of a change that an operator may request. */
 export const changeSchema = z.discriminatedUnion('type', [
-  z.strictObject({ ...common, type: z.literal('publishProfile'), expectedVersion: z.number().int().min(0), profile: profileSchema }),
-  z.strictObject({ ...common, type: z.literal('retireProfile'), expectedVersion: z.number().int().min(0), name: nameSchema<ProfileName>() }),
-  z.strictObject({ ...common, type: z.literal('pickProfile'), service: nameSchema<ServiceId>(), profile: nameSchema<ProfileName>() }),
+  z.strictObject({ ...commonFields, type: z.literal('publishProfile'), expectedVersion: z.number().int().min(0), profile: profileSchema }),
+  z.strictObject({ ...commonFields, type: z.literal('retireProfile'), expectedVersion: z.number().int().min(0), name: nameSchema<ProfileName>() }),
+  z.strictObject({ ...commonFields, type: z.literal('pickProfile'), service: nameSchema<ServiceId>(), profile: nameSchema<ProfileName>() }),
   z.strictObject({
-    ...common,
+    ...commonFields,
     type: z.literal('startDrain'),
-    drain: id<DrainId>(),
+    drain: createIdSchema<DrainId>(),
     target: z.strictObject({ kind: z.enum(['server', 'vm', 'failureDomain', 'region']), name: z.string().min(1).max(64) }),
     /** Unix milliseconds; 0 means now. */
     at: z.number().int().min(0).default(0)
   }),
-  z.strictObject({ ...common, type: z.literal('cancelDrain'), drain: id<DrainId>() }),
+  z.strictObject({ ...commonFields, type: z.literal('cancelDrain'), drain: createIdSchema<DrainId>() }),
   z.strictObject({
-    ...common,
+    ...commonFields,
     type: z.literal('startShift'),
-    shift: id<ShiftId>(),
+    shift: createIdSchema<ShiftId>(),
     service: nameSchema<ServiceId>(),
     from: nameSchema<RegionId>(),
     to: nameSchema<RegionId>(),
-    /** Share of the traffic to move in the end. */
+    /** Percentage of the traffic that the whole shift moves. */
     percent: z.number().int().min(1).max(100),
-    /** Largest step. */
+    /** Maximum percentage that one step moves. */
     stepPercent: z.number().int().min(1).max(100).default(10),
-    /** Most moved requests in flight; the profile's `shiftCap` when left out. */
+    /** Maximum number of moved requests in flight; defaults to the profile's `shiftCap`. */
     cap: z.number().int().min(0).max(1_000_000).optional()
   }),
-  z.strictObject({ ...common, type: z.literal('steerShift'), shift: id<ShiftId>(), event: z.enum(['stop', 'resume', 'cancel']) })
+  z.strictObject({ ...commonFields, type: z.literal('steerShift'), shift: createIdSchema<ShiftId>(), event: z.enum(['stop', 'resume', 'cancel']) })
 ])
 
-/** A change that an operator asks for. */
+/** A change that an operator requests. */
 export type Change = z.output<typeof changeSchema>
 
-/** A change as it may be written, with defaults left out. */
+/** A change as operators write it: fields with defaults may be missing. */
 export type ChangeInput = z.input<typeof changeSchema>
 
-/** A backend server's answer, kept so that a caller who asks again gets it again. */
+/** A backend server's answer, stored so that a caller who resends the request gets the same answer. */
 export interface KeptAnswer {
   readonly status: number
   readonly contentType: string
-  /** Base64; undefined when the answer was over the size that is kept. */
+  /** Base64; undefined if the answer exceeded the size limit for stored answers. */
   readonly body: string | undefined
 }
 
-/** How a claimed request ended. */
+/** The outcome of a claimed request. */
 export type ClaimOutcome = 'done' | 'notRun' | 'unknown'
 
-/** Takes a request id for one holder, before anything is sent to a backend server. */
+/** Claims a request id for one holder before the request is sent to a backend server. */
 export interface ClaimCommand {
   readonly type: 'claim'
   readonly id: RequestId
   readonly holder: HolderId
-  /** Tells two copies of one request apart at the same VM. */
+  /** Distinguishes copies of the same request at one VM. */
   readonly token: string
 }
 
-/** Ends a claim. With a claim not yet recorded and `notRun`, records the id as spent. */
+/**
+ * Records the outcome of a claim. With the outcome `notRun`, also records an id that was never claimed, so that nobody can
+ * claim it later.
+ */
 export interface SettleCommand {
   readonly type: 'settle'
   readonly id: RequestId
@@ -86,22 +89,22 @@
   readonly answer: KeptAnswer | undefined
 }
 
-/** One holder's share of a cap. */
+/** The new amount of one holder's share of a cap. */
 export interface AllocationChange {
   readonly resource: ResourceId
   readonly holder: HolderId
   readonly amount: number
 }
 
-/** Sets shares of caps; the leader plans them, applying checks them. */
+/** Sets shares of caps. The leader plans them, and the state machine checks them against the caps. */
 export interface AllocateCommand {
   readonly type: 'allocate'
   readonly changes: readonly AllocationChange[]
-  /** Shares whose former, higher amounts have run out at their holders. */
+  /** Shares whose earlier, higher grants have expired at their holders. */
   readonly lapsed: readonly AllocationChange[]
 }
 
-/** Moves a shift on; planned by the leader. */
+/** Advances a shift. The leader plans this command. */
 export interface AdvanceShiftCommand {
   readonly type: 'advanceShift'
   readonly shift: ShiftId
@@ -110,7 +113,7 @@
   readonly percent: number
 }
 
-/** Moves a drain on; planned by the leader. */
+/** Advances a drain. The leader plans this command. */
 export interface AdvanceDrainCommand {
   readonly type: 'advanceDrain'
   readonly drain: DrainId
@@ -126,8 +129,8 @@
   | AdvanceDrainCommand
   | RouteCommand
 
-/** Who made the version that another change ran into. */
-export interface Winner {
+/** The accepted change that caused another change's version conflict. */
+export interface WinningChange {
   readonly version: number
   readonly changeId: ChangeId
   readonly operator: string
@@ -135,7 +138,7 @@
 
 export type ChangeAnswer =
   | { readonly ok: true, readonly version: number, readonly itemVersion: number }
-  | { readonly ok: false, readonly code: 'versionConflict' | 'notFound' | 'badRequest', readonly detail: string, readonly winner: Winner | undefined }
+  | { readonly ok: false, readonly code: 'versionConflict' | 'notFound' | 'badRequest', readonly detail: string, readonly winner: WinningChange | undefined }
 
 /** Answer to a claim. Only `granted` lets the holder send the request. */
 export type ClaimAnswer =
@@ -143,10 +146,10 @@
   | { readonly result: 'taken', readonly state: string, readonly answer: KeptAnswer | undefined }
   | { readonly result: 'refused', readonly code: 'badRequestId' | 'registerFull', readonly detail: string }
 
-/** Answer to a settle: what the register now says of the id. */
+/** Answer to a `settle` command: the state of the id in the register. */
 export interface SettleAnswer {
   readonly state: string
-  /** Whether the register says what was asked for, in this holder's name or, for not-run, in any. */
+  /** Whether the register holds the reported outcome for this holder or, for `notRun`, for any holder. */
   readonly accepted: boolean
 }
 
--- a/packages/state/src/types/items.ts
+++ b/packages/state/src/types/items.ts
@@ -1,10 +1,10 @@
-/** The configuration as items, each with the version at which it last changed. */
+/** The items of the configuration, each with the version at which it last changed. */
 import type { ChangeId, DrainId, Millis, ProfileName, RegionId, ServiceId, ShiftId } from '@lynxcourse/base'
 import type { DrainTarget } from './commands.js'
 import type { Profile } from './profile.js'
 import type { BackendItem, EvacuationItem, RouteItem, RoutingItem, UpstreamItem } from './routes.js'
 
-/** Who changed an item, and when by the log's time. */
+/** The change that set an item, its operator and the log's time at which it was applied. */
 export interface Origin {
   readonly changeId: ChangeId
   readonly operator: string
@@ -15,7 +15,7 @@
   readonly kind: 'profile'
   readonly key: ProfileName
   readonly profile: Profile
-  /** Counts this profile's own changes, from 1. */
+  /** Number of this profile's changes, starting at 1. */
   readonly itemVersion: number
   readonly retired: boolean
   readonly origin: Origin
@@ -46,10 +46,10 @@
   readonly targetPercent: number
   readonly stepPercent: number
   readonly cap: number
-  /** Share moved by now. */
+  /** Percentage of the traffic moved so far. */
   readonly percent: number
   readonly state: string
-  /** Log time of the last step. */
+  /** The log's time of the last step. */
   readonly steppedAt: Millis
   readonly origin: Origin
 }
@@ -64,9 +64,9 @@
   readonly item: ConfigItem
 }
 
-/** What brings a copy of the configuration from one version to a higher one. */
+/** The items that bring a copy of the configuration from one version to a higher one. */
 export interface ConfigDelta {
-  /** Whether `items` is all there is; else only what changed since `from`. */
+  /** Whether `items` holds all items; otherwise only those that changed since `from`. */
   readonly full: boolean
   readonly from: number
   readonly version: number
--- a/packages/state/src/types/profile.ts
+++ b/packages/state/src/types/profile.ts
@@ -1,67 +1,67 @@
-/** A steering profile as operators write it, with its check. */
+/** The schema and types of a steering profile, which operators write. */
 import type { ProfileName, RegionId, ServiceId } from '@lynxcourse/base'
 import * as z from 'zod'
 
 const namePattern = /^[a-z0-9][a-z0-9.-]{0,62}$/
 
-/** Schema of a branded name: lower case letters, digits, dots and dashes. */
+/** Returns the schema of a branded name: lower case letters, digits, dots and dashes. */
 export function nameSchema<Id extends string> (): z.ZodType<Id> {
-  const schema = z.string().regex(namePattern, 'must be lower case letters, digits, dots and dashes, 63 at most')
+  const schema = z.string().regex(namePattern, 'must start with a lower case letter or digit and hold only lower case letters, digits, dots and dashes, 63 at most')
   return schema as unknown as z.ZodType<Id>
 }
 
-const cap = z.number().int().min(0).max(1_000_000)
+const capSchema = z.number().int().min(0).max(1_000_000)
 
 const linkPattern = /^[a-z0-9][a-z0-9.-]*>[a-z0-9][a-z0-9.-]*$/
 
-/** Schema of a profile. All caps count requests in flight; all times are milliseconds. */
+/** Schema of a profile. All caps count requests in flight. Times are in milliseconds unless their name ends in `S`. */
 export const profileSchema = z.strictObject({
   name: nameSchema<ProfileName>(),
-  /** Regions in order of preference; a caller's own region goes first if it is among them. */
+  /** Regions in order of preference; a caller's own region comes first if the list contains it. */
   places: z.array(nameSchema<RegionId>()).min(1).max(64),
-  /** Most requests in flight to one region, from all VMs together. */
-  regionCaps: z.record(z.string().regex(namePattern), cap).default({}),
-  /** Most requests in flight from one region's VMs to another region, by `from>to`. */
-  linkCaps: z.record(z.string().regex(linkPattern, 'must be FROM>TO'), cap).default({}),
-  /** Most requests in flight that a shift may have moved, for shifts that set no cap. */
-  shiftCap: cap.default(50),
-  /** Deadline of a request that brings none. */
+  /** Maximum number of requests in flight to one region, from all VMs together. */
+  regionCaps: z.record(z.string().regex(namePattern), capSchema).default({}),
+  /** Maximum number of requests in flight from one region's VMs to another region, by `from>to`. */
+  linkCaps: z.record(z.string().regex(linkPattern, 'must be FROM>TO'), capSchema).default({}),
+  /** Maximum number of requests in flight that a shift has moved, for shifts that set no cap of their own. */
+  shiftCap: capSchema.default(50),
+  /** Deadline of a request that sets none. */
   deadlineMs: z.number().int().min(1).max(600_000).default(2000),
-  /** Longest deadline that a request may bring. */
+  /** Longest deadline that a request may set. */
   maxDeadlineMs: z.number().int().min(1).max(600_000).default(30_000),
-  /** Most attempts of one idempotent request. */
+  /** Maximum number of attempts of one idempotent request. */
   maxAttempts: z.number().int().min(1).max(5).default(3),
-  /** Retries and hedges together, as a share of requests. */
+  /** Retries and hedged requests together, as a fraction of all requests. */
   retryBudget: z.number().min(0).max(1).default(0.1),
-  /** A second attempt of an idempotent request starts after this; 0 turns hedging off. */
+  /** Delay after which a second attempt of an idempotent request starts in parallel; 0 turns hedging off. */
   hedgeAfterMs: z.number().int().min(0).max(60_000).default(0),
-  /** Most requests waiting for a slot at one VM. */
+  /** Maximum number of requests that wait for a slot at one VM. */
   queueLimit: z.number().int().min(0).max(10_000).default(200),
-  /** What a VM does that can't learn the present state. */
+  /** What a VM does without the current state: refuse requests, or serve lookups and idempotent requests from its local copy. */
   whenIsolated: z.enum(['refuse', 'local']).default('refuse'),
-  /** Lifetime of a look-up's answer in the caller's cache. */
+  /** Lifetime of a lookup's answer in the caller's cache, in seconds. */
   lookupTtlS: z.number().int().min(1).max(3600).default(5)
 }).superRefine((profile, ctx) => {
   const places = new Set<string>(profile.places)
   if (places.size !== profile.places.length) {
-    ctx.addIssue({ code: 'custom', path: ['places'], message: 'names a region twice' })
+    ctx.addIssue({ code: 'custom', path: ['places'], message: 'lists a region more than once' })
   }
   for (const region of Object.keys(profile.regionCaps)) {
-    if (!places.has(region)) ctx.addIssue({ code: 'custom', path: ['regionCaps', region], message: 'is not among places' })
+    if (!places.has(region)) ctx.addIssue({ code: 'custom', path: ['regionCaps', region], message: 'is not listed in places' })
   }
   for (const link of Object.keys(profile.linkCaps)) {
     const to = link.slice(link.indexOf('>') + 1)
-    if (!places.has(to)) ctx.addIssue({ code: 'custom', path: ['linkCaps', link], message: `'${to}' is not among places` })
+    if (!places.has(to)) ctx.addIssue({ code: 'custom', path: ['linkCaps', link], message: `'${to}' is not listed in places` })
   }
   if (profile.deadlineMs > profile.maxDeadlineMs) {
-    ctx.addIssue({ code: 'custom', path: ['deadlineMs'], message: 'is over maxDeadlineMs' })
+    ctx.addIssue({ code: 'custom', path: ['deadlineMs'], message: 'exceeds maxDeadlineMs' })
   }
 })
 
-/** A checked profile. */
+/** A validated profile. */
 export type Profile = z.output<typeof profileSchema>
 
-/** A profile as it may be written, with defaults left out. */
+/** A profile as operators write it: fields with defaults may be missing. */
 export type ProfileInput = z.input<typeof profileSchema>
 
 /** The profile that a service runs under. */
--- a/packages/state/src/types/routes.ts
+++ b/packages/state/src/types/routes.ts
@@ -1,55 +1,55 @@
-/** Routes from callers' requests to services, and the backend servers that announced themselves. */
+/** Routes of callers' requests to services, announced backend servers, and the commands that change them. */
 import type { FailureDomainId, Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 
-/** A service's share of a route's requests. */
+/** A service that receives a share of a route's requests, in proportion to its weight. */
 export interface WeightedService {
   readonly service: ServiceId
   readonly weight: number
 }
 
-/** Settings that this version does not interpret; given back as they came. */
+/** Settings that this version doesn't interpret but stores and returns unchanged. */
 export type Annotations = Readonly<Record<string, unknown>>
 
-/** Which requests a route takes, where they go and what they may cost. */
+/** The requests that a route matches, the services that they go to and the limits on serving them. */
 export interface Route {
   readonly name: string
   readonly host: string
-  /** Begins and ends with a slash; the longest that fits wins. */
+  /** Begins and ends with a slash; the route with the longest matching prefix applies. */
   readonly pathPrefix: string
   /** Whether a request may run more than once. */
   readonly isIdempotent: boolean
-  /** Longest time that a caller is kept waiting. */
+  /** Maximum time that a caller waits for the answer. */
   readonly timeoutMs: Millis
-  /** Latency objective: an answer within it is worth most. */
+  /** Latency objective: an answer within this time has the highest value. */
   readonly aimMs: Millis
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly rank: number
-  /** The one service; undefined where `split` names several. */
+  /** The only service; undefined if `split` lists the services. */
   readonly service: ServiceId | undefined
   readonly split: readonly WeightedService[]
-  /** Most servers to which one request may be sent. */
+  /** Maximum number of backend servers that one request may be sent to. */
   readonly maxAttempts: number
-  /** Whether a server that handled a key lately handles it faster. */
+  /** Whether a server handles a key faster after it has recently handled the same key. */
   readonly isSticky: boolean
-  /** Regions that alone may serve it; empty for all. */
+  /** The only regions that may serve the route; empty for all regions. */
   readonly homes: readonly RegionId[]
   readonly annotations: Annotations
 }
 
-/** What holds for all servers of one service. */
+/** Settings that apply to all backend servers of one service. */
 export interface Upstream {
   readonly name: ServiceId
   readonly healthPath: string
-  /** Connections that one server takes from all VMs together. */
+  /** Maximum number of connections to one server from all VMs together. */
   readonly maxConnections: number
-  /** How long a server stays cold after its start. */
+  /** Time after its start during which a server counts as cold. */
   readonly warmupMs: Millis
-  /** Requests a second that a cold server bears. */
+  /** Requests per second that a cold server can handle. */
   readonly warmupPerSecond: number
   readonly annotations: Annotations
 }
 
-/** Bounds on what a caller may send. */
+/** Limits on the size and timing of callers' requests and connections. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number
   readonly maxBodyBytes: number
@@ -57,14 +57,14 @@
   readonly idleTimeoutMs: Millis
 }
 
-/** All routes, as one operator's change sets them. */
+/** All routes, services and limits as one change by an operator sets them. */
 export interface RouteSet {
   readonly routes: readonly Route[]
   readonly upstreams: readonly Upstream[]
   readonly limits: CallerLimits
 }
 
-/** What an announcement tells of a backend server. */
+/** The data that a backend server announces. */
 export interface BackendFacts {
   readonly id: ServerId
   readonly service: ServiceId
@@ -74,31 +74,31 @@
   /** Version of the server's software. */
   readonly software: string
   readonly isDraining: boolean
-  /** When it started, in Unix milliseconds; a server that starts again under its id tells another time. 0 where it did not say. */
+  /** Start time in Unix milliseconds, which differs for each incarnation of a server; 0 if the announcement has none. */
   readonly bornAt: Millis
-  /** Grows with each announcement of one incarnation, and starts anew with the next. */
+  /** Sequence number that grows with each announcement of one incarnation and restarts with the next one. */
   readonly seq: number
-  /** How much longer it stays cold. */
+  /** Remaining time during which the server counts as cold. */
   readonly coldMs: Millis
 }
 
-/** `lost` servers fell silent and may come back; `gone` ones have ended for good. */
+/** `lost` servers stopped announcing themselves and may come back; `gone` servers have ended for good. */
 export type BackendState = 'serving' | 'draining' | 'lost' | 'gone'
 
 export interface RouteItem { readonly kind: 'route', readonly key: string, readonly route: Route | undefined }
 export interface UpstreamItem { readonly kind: 'upstream', readonly key: string, readonly upstream: Upstream | undefined }
-/** The version of the routes that operators count in; there is one such item. */
+/** The version number that operators gave the routes; the configuration has one such item. */
 export interface RoutingItem { readonly kind: 'routing', readonly key: string, readonly routesVersion: number, readonly limits: CallerLimits }
 export interface EvacuationItem { readonly kind: 'evacuation', readonly key: FailureDomainId, readonly isActive: boolean }
 export interface BackendItem { readonly kind: 'backend', readonly key: ServerId, readonly facts: BackendFacts, readonly state: BackendState }
 
-/** Key of the one routing item. */
+/** Key of the only routing item. */
 export const routingKey = 'routes'
 
-/** Id under which an order is recognised when it is sent again: a digest of all that it says. */
+/** Identifies a change of routes, so that a resent one is recognised. The id is a digest of the whole change. */
 export type OrderId = string & { readonly __brand: 'OrderId' }
 
-/** Replaces all routes. */
+/** Replaces all routes, services and limits. */
 export interface ReplaceRoutesCommand {
   readonly type: 'replaceRoutes'
   readonly order: OrderId
@@ -107,7 +107,7 @@
   readonly set: RouteSet
 }
 
-/** Changes some routes and upstreams, by name. */
+/** Adds, replaces and removes routes and upstreams by name. */
 export interface UpdateRoutesCommand {
   readonly type: 'updateRoutes'
   readonly order: OrderId
@@ -117,26 +117,29 @@
   readonly putUpstreams: readonly Upstream[]
   readonly removeRoutes: readonly string[]
   readonly removeUpstreams: readonly string[]
-  /** Limits to take over; undefined leaves them. */
+  /** The new limits; undefined keeps the current ones. */
   readonly limits: CallerLimits | undefined
 }
 
-/** Keeps work away from a failure domain's servers, or ends that. */
+/** Starts or ends the evacuation of a failure domain, which keeps requests away from its servers. */
 export interface EvacuateCommand {
   readonly type: 'evacuate'
   readonly failureDomain: FailureDomainId
   readonly isActive: boolean
-  /** Version of the state that the VM which took the order knew when the order can have come to it. It is refused if the failure domain changed later; missing, it never is. */
+  /**
+   * The version of the state that the receiving VM knew when the operator's command may have arrived. The command is rejected if
+   * the failure domain changed after this version. Without a base version, the command is never rejected.
+   */
   readonly baseVersion?: number
 }
 
-/** Takes an announcement over. */
+/** Applies the announcement of a server. */
 export interface AnnounceCommand { readonly type: 'announce', readonly facts: BackendFacts }
-/** Takes over the announcements of several servers, in their order. */
+/** Applies the announcements of several servers in order. */
 export interface AnnounceAllCommand { readonly type: 'announceAll', readonly servers: readonly BackendFacts[] }
-/** Notes that servers ended for good; with `bornAt`, only incarnations up to it. */
+/** Records that servers ended for good; with `bornAt`, only incarnations that started at or before it. */
 export interface DismissCommand { readonly type: 'dismiss', readonly ids: readonly ServerId[], readonly bornAt?: Millis }
-/** Notes that servers fell silent; planned by the leader. */
+/** Records that servers stopped announcing themselves. The leader plans this command. */
 export interface MissCommand { readonly type: 'miss', readonly ids: readonly ServerId[] }
 
 export type RouteCommand =
