--- a/packages/state/__tests__/incarnations.test.ts
+++ b/packages/state/__tests__/incarnations.test.ts
@@ -1,4 +1,4 @@
-/** Servers that start again under their id, and announcements that others than servers wrote. */
+/** Backend servers that restart under the same id, and announcements that don't come from the server itself. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -13,18 +13,18 @@
 const charts = { claim: loadChart('claim'), drain: loadChart('drain'), shift: loadChart('shift') }
 const desk = brandId<ServiceId>('desk')
 const id = brandId<ServerId>('s')
-const firstBorn = 1000
-const nextBorn = 9000
+const earlierStart = 1000
+const laterStart = 9000
 
 function apply (machine: Machine, command: RouteCommand): void {
   applyEntry(machine, { index: machine.applied + 1, term: 1, at: 0, body: { type: 'command', command } })
 }
 
-function facts (parts: Partial<BackendFacts> = {}): BackendFacts {
-  return { id, service: desk, address: '10.0.0.1:80', failureDomain: brandId<FailureDomainId>('kochi-a'), slots: 3, software: 'v1', bornAt: firstBorn, isDraining: false, seq: 1, coldMs: 0, ...parts }
+function createFacts (parts: Partial<BackendFacts> = {}): BackendFacts {
+  return { id, service: desk, address: '10.0.0.1:80', failureDomain: brandId<FailureDomainId>('kochi-a'), slots: 3, software: 'v1', bornAt: earlierStart, isDraining: false, seq: 1, coldMs: 0, ...parts }
 }
 
-function withDesk (): Machine {
+function createMachineWithDesk (): Machine {
   const machine = createMachine(charts)
   const upstream = { name: desk, healthPath: '/health', maxConnections: 100, warmupMs: 0, warmupPerSecond: 10, annotations: {} }
   const limits = { maxHeaderBytes: 16_384, maxBodyBytes: 1000, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
@@ -32,62 +32,65 @@
   return machine
 }
 
-const formerWords: RouteCommand[] = [
-  { type: 'announce', facts: facts({ seq: 7, coldMs: 0 }) },
-  { type: 'announce', facts: facts({ seq: 8, isDraining: true }) },
-  { type: 'dismiss', ids: [id], bornAt: firstBorn }
+const earlierCommands: RouteCommand[] = [
+  { type: 'announce', facts: createFacts({ seq: 7, coldMs: 0 }) },
+  { type: 'announce', facts: createFacts({ seq: 8, isDraining: true }) },
+  { type: 'dismiss', ids: [id], bornAt: earlierStart }
 ]
-const presentWords: RouteCommand[] = [
-  { type: 'announce', facts: facts({ bornAt: nextBorn, seq: 1, coldMs: 3000 }) },
-  { type: 'announce', facts: facts({ bornAt: nextBorn, seq: 2, coldMs: 1500 }) }
+const laterCommands: RouteCommand[] = [
+  { type: 'announce', facts: createFacts({ bornAt: laterStart, seq: 1, coldMs: 3000 }) },
+  { type: 'announce', facts: createFacts({ bornAt: laterStart, seq: 2, coldMs: 1500 }) }
 ]
 
-/** Guards against this failure: a server that started again gets no work, or gets it as if it were warm; or its former start's drain takes it out. */
-test('in whatever order the words of two starts arrive, the later start stands as it said last', () => {
-  const words = [...formerWords, ...presentWords]
-  fc.assert(fc.property(fc.shuffledSubarray(words, { minLength: words.length }), fc.array(fc.nat({ max: words.length - 1 })), (order, again) => {
-    const machine = withDesk()
-    apply(machine, formerWords[0] as RouteCommand)
-    for (const word of order) apply(machine, word)
-    for (const place of again) apply(machine, words[place] as RouteCommand)
-    const held = findItem(machine.config, 'backend', id)
-    return held?.state === 'serving' && held.facts.bornAt === nextBorn && held.facts.seq === 2
+/**
+ * Guards against late commands about an earlier incarnation of a restarted server. They could drain the server, or let it get
+ * as many requests as a warm one.
+ */
+test('the later incarnation keeps its last announced state, in whatever order commands about both incarnations arrive', () => {
+  const commands = [...earlierCommands, ...laterCommands]
+  fc.assert(fc.property(fc.shuffledSubarray(commands, { minLength: commands.length }), fc.array(fc.nat({ max: commands.length - 1 })), (order, repeated) => {
+    const machine = createMachineWithDesk()
+    apply(machine, earlierCommands[0] as RouteCommand)
+    for (const command of order) apply(machine, command)
+    for (const index of repeated) apply(machine, commands[index] as RouteCommand)
+    const backend = findItem(machine.config, 'backend', id)
+    return backend?.state === 'serving' && backend.facts.bornAt === laterStart && backend.facts.seq === 2
   }), { seed })
 })
 
-test('the end of a present start ends it, and a next start after it serves again', () => {
-  const machine = withDesk()
-  apply(machine, { type: 'announce', facts: facts() })
-  apply(machine, { type: 'dismiss', ids: [id], bornAt: firstBorn })
+test('a dismissed incarnation stays ended, and the next incarnation under its id serves again', () => {
+  const machine = createMachineWithDesk()
+  apply(machine, { type: 'announce', facts: createFacts() })
+  apply(machine, { type: 'dismiss', ids: [id], bornAt: earlierStart })
   assert.equal(findItem(machine.config, 'backend', id)?.state, 'gone')
-  assert.equal(isNews(machine.config, facts({ seq: 2 })), false)
-  assert.equal(isNews(machine.config, facts({ bornAt: nextBorn })), true)
-  apply(machine, { type: 'announce', facts: facts({ bornAt: nextBorn }) })
+  assert.equal(isNews(machine.config, createFacts({ seq: 2 })), false)
+  assert.equal(isNews(machine.config, createFacts({ bornAt: laterStart })), true)
+  apply(machine, { type: 'announce', facts: createFacts({ bornAt: laterStart }) })
   assert.equal(findItem(machine.config, 'backend', id)?.state, 'serving')
 })
 
-test('a server without a time of start is told by its count alone, as ever', () => {
-  const machine = withDesk()
-  apply(machine, { type: 'announce', facts: facts({ bornAt: 0, seq: 5 }) })
-  assert.equal(isCredible(machine.config, facts({ bornAt: 0, seq: 4 })), false)
-  assert.equal(isCredible(machine.config, facts({ bornAt: 0, seq: 6 })), true)
+test('announcements without a start time are ordered by their sequence number alone', () => {
+  const machine = createMachineWithDesk()
+  apply(machine, { type: 'announce', facts: createFacts({ bornAt: 0, seq: 5 }) })
+  assert.equal(isCredible(machine.config, createFacts({ bornAt: 0, seq: 4 })), false)
+  assert.equal(isCredible(machine.config, createFacts({ bornAt: 0, seq: 6 })), true)
 })
 
-/** Guards against this failure: a server that answers is left out. */
-test('neither a former holder of an address nor a stranger displaces the server that has it', () => {
-  const machine = withDesk()
-  apply(machine, { type: 'announce', facts: facts({ bornAt: nextBorn }) })
-  apply(machine, { type: 'announce', facts: facts({ id: brandId<ServerId>('former'), bornAt: firstBorn }) })
-  apply(machine, { type: 'announce', facts: facts({ id: brandId<ServerId>('stranger'), service: brandId<ServiceId>('unknown'), bornAt: nextBorn + 1 }) })
+/** Guards against a server that answers but gets no requests, because an announcement with its address displaced it. */
+test('neither an earlier server at an address nor a server of an unknown service displaces the current server', () => {
+  const machine = createMachineWithDesk()
+  apply(machine, { type: 'announce', facts: createFacts({ bornAt: laterStart }) })
+  apply(machine, { type: 'announce', facts: createFacts({ id: brandId<ServerId>('earlier'), bornAt: earlierStart }) })
+  apply(machine, { type: 'announce', facts: createFacts({ id: brandId<ServerId>('unknown-service'), service: brandId<ServiceId>('unknown'), bornAt: laterStart + 1 }) })
   assert.equal(findItem(machine.config, 'backend', id)?.state, 'serving')
-  assert.equal(findItem(machine.config, 'backend', brandId<ServerId>('former')), undefined)
-  assert.equal(findItem(machine.config, 'backend', brandId<ServerId>('stranger')), undefined)
+  assert.equal(findItem(machine.config, 'backend', brandId<ServerId>('earlier')), undefined)
+  assert.equal(findItem(machine.config, 'backend', brandId<ServerId>('unknown-service')), undefined)
 })
 
-test('once a server fell silent, one that started by an earlier clock takes its place', () => {
-  const machine = withDesk()
-  apply(machine, { type: 'announce', facts: facts({ bornAt: nextBorn }) })
+test('after a server is lost, an incarnation with an earlier start time replaces it', () => {
+  const machine = createMachineWithDesk()
+  apply(machine, { type: 'announce', facts: createFacts({ bornAt: laterStart }) })
   apply(machine, { type: 'miss', ids: [id] })
-  apply(machine, { type: 'announce', facts: facts({ bornAt: firstBorn, seq: 1 }) })
+  apply(machine, { type: 'announce', facts: createFacts({ bornAt: earlierStart, seq: 1 }) })
   assert.equal(findItem(machine.config, 'backend', id)?.state, 'serving')
 })
--- a/packages/state/__tests__/knownVersions.test.ts
+++ b/packages/state/__tests__/knownVersions.test.ts
@@ -1,9 +1,9 @@
-/** Which version of the state a VM knew at a time. */
+/** The version of the state that a VM knew at a given time. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createKnownVersions, noteVersion, versionAt } from '@lynxcourse/state'
 
-test('an order counts from the version that was known when it can have come', () => {
+test('the version at a given time is the last one recorded by then', () => {
   const versions = createKnownVersions()
   assert.equal(versionAt(versions, 100), 0)
   noteVersion(versions, 3, 100)
@@ -12,15 +12,18 @@
   assert.deepEqual([99, 100, 199, 200, 250, 900].map(at => versionAt(versions, at)), [0, 3, 3, 7, 7, 7])
 })
 
-/** Guards against orders that count as newer than what was confirmed, since a copy was read from disk anew. */
-test('a version below the last one changes nothing', () => {
+/**
+ * Guards against commands that count as newer than confirmed changes. The version can fall when a copy of the state is read from
+ * disk again.
+ */
+test('a version below the last recorded one is ignored', () => {
   const versions = createKnownVersions()
   noteVersion(versions, 7, 200)
   noteVersion(versions, 5, 300)
   assert.deepEqual([250, 300].map(at => versionAt(versions, at)), [7, 7])
 })
 
-test('after a long stop the version from before it is still known, and older ones are forgotten', () => {
+test('after a long pause the last version before it is still available, and older ones are dropped', () => {
   const versions = createKnownVersions()
   for (const at of [0, 1, 2]) noteVersion(versions, at + 1, at)
   noteVersion(versions, 9, 60_000)
--- a/packages/state/__tests__/routes.test.ts
+++ b/packages/state/__tests__/routes.test.ts
@@ -1,4 +1,4 @@
-/** Routes, evacuations and servers' announcements as the log applies them. */
+/** Routes, evacuations and announcements of backend servers, applied through the log. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { brandId, loadChart } from '@lynxcourse/base'
@@ -15,15 +15,15 @@
 const ledger = brandId<ServiceId>('ledger')
 const limits = { maxHeaderBytes: 16_384, maxBodyBytes: 1000, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
 
-function upstream (name: ServiceId): Upstream {
+function createUpstream (name: ServiceId): Upstream {
   return { name, healthPath: '/health', maxConnections: 100, warmupMs: 3000, warmupPerSecond: 10, annotations: {} }
 }
 
-function setOf (...routes: Route[]): RouteSet {
-  return { routes, upstreams: [upstream(desk), upstream(ledger)], limits }
+function createRouteSet (...routes: Route[]): RouteSet {
+  return { routes, upstreams: [createUpstream(desk), createUpstream(ledger)], limits }
 }
 
-function start (): Machine {
+function createTestMachine (): Machine {
   return createMachine(charts)
 }
 
@@ -33,145 +33,145 @@
   return (answer as { change: ChangeAnswer }).change
 }
 
-function replace (order: string, baseVersion: number, routesVersion: number, set: RouteSet): RouteCommand {
+function createReplaceCommand (order: string, baseVersion: number, routesVersion: number, set: RouteSet): RouteCommand {
   return { type: 'replaceRoutes', order: order as OrderId, baseVersion, routesVersion, set }
 }
 
-function facts (id: string, parts: Partial<BackendFacts> = {}): BackendFacts {
+function createFacts (id: string, parts: Partial<BackendFacts> = {}): BackendFacts {
   return { id: brandId<ServerId>(id), service: desk, address: '10.0.0.1:80', failureDomain: brandId<FailureDomainId>('kochi-a'), slots: 3, software: 'v1', isDraining: false, bornAt: 0, seq: 1, coldMs: 0, ...parts }
 }
 
-function codeOf (answer: ChangeAnswer): string {
+function getCode (answer: ChangeAnswer): string {
   return answer.ok ? 'ok' : answer.code
 }
 
-test('an order sent again after its answer was lost succeeds again and changes nothing', () => {
-  const machine = start()
-  const order = replace('one', 0, 5, setOf(route('read')))
-  assert.equal(codeOf(apply(machine, order)), 'ok')
+test('a route change that is resent because its answer was lost succeeds again and changes nothing', () => {
+  const machine = createTestMachine()
+  const command = createReplaceCommand('one', 0, 5, createRouteSet(route('read')))
+  assert.equal(getCode(apply(machine, command)), 'ok')
   const version = machine.config.version
-  assert.equal(codeOf(apply(machine, order)), 'ok')
+  assert.equal(getCode(apply(machine, command)), 'ok')
   assert.equal(machine.config.version, version)
-  assert.equal(codeOf(apply(machine, replace('two', 5, 9, setOf(route('read'), route('write'))))), 'ok')
-  assert.equal(codeOf(apply(machine, order)), 'ok', 'also after a later change')
+  assert.equal(getCode(apply(machine, createReplaceCommand('two', 5, 9, createRouteSet(route('read'), route('write'))))), 'ok')
+  assert.equal(getCode(apply(machine, command)), 'ok', 'also after a later change')
   assert.equal(routesVersionOf(machine.config), 9)
 })
 
-test('of two orders on one version the first wins, also under an equal number', () => {
-  const machine = start()
-  apply(machine, replace('one', 0, 5, setOf(route('read'))))
-  assert.equal(codeOf(apply(machine, replace('left', 5, 8, setOf(route('left'))))), 'ok')
-  assert.equal(codeOf(apply(machine, replace('right', 5, 8, setOf(route('right'))))), 'versionConflict')
-  assert.deepEqual(routeSetOf(machine.config)?.routes.map(held => held.name), ['left'])
+test('of two route changes based on one version the first wins, even if both set the same version', () => {
+  const machine = createTestMachine()
+  apply(machine, createReplaceCommand('one', 0, 5, createRouteSet(route('read'))))
+  assert.equal(getCode(apply(machine, createReplaceCommand('left', 5, 8, createRouteSet(route('left'))))), 'ok')
+  assert.equal(getCode(apply(machine, createReplaceCommand('right', 5, 8, createRouteSet(route('right'))))), 'versionConflict')
+  assert.deepEqual(routeSetOf(machine.config)?.routes.map(item => item.name), ['left'])
 })
 
-test('an order that is not valid names the item and changes nothing', () => {
-  const machine = start()
-  apply(machine, replace('one', 0, 5, setOf(route('read'))))
+test('an invalid route change is rejected with the name of the item and changes nothing', () => {
+  const machine = createTestMachine()
+  apply(machine, createReplaceCommand('one', 0, 5, createRouteSet(route('read'))))
   const cases: Array<[RouteSet, RegExp]> = [
-    [setOf(route('x', { service: brandId<ServiceId>('nobody') })), /route 'x'.*'nobody' is not known/],
-    [setOf(route('x', { timeoutMs: 0 })), /route 'x'.*timeout/],
-    [setOf(route('x', { aimMs: 61_001 })), /route 'x'.*objective/],
-    [setOf(route('x', { service: undefined, split: [{ service: desk, weight: 0 }] })), /weights add up to 0/],
-    [setOf(route('x', { pathPrefix: '/p' })), /pathPrefix/],
-    [setOf(route('x', { pathPrefix: '/p/' }), route('y', { pathPrefix: '/p/' })), /pathPrefix is taken/]
+    [createRouteSet(route('x', { service: brandId<ServiceId>('nobody') })), /route 'x'.*'nobody' is not known/],
+    [createRouteSet(route('x', { timeoutMs: 0 })), /route 'x'.*timeout/],
+    [createRouteSet(route('x', { aimMs: 61_001 })), /route 'x'.*objective/],
+    [createRouteSet(route('x', { service: undefined, split: [{ service: desk, weight: 0 }] })), /weights add up to 0/],
+    [createRouteSet(route('x', { pathPrefix: '/p' })), /pathPrefix/],
+    [createRouteSet(route('x', { pathPrefix: '/p/' }), route('y', { pathPrefix: '/p/' })), /pathPrefix is taken/]
   ]
-  cases.forEach(([set, expected], place) => {
-    const answer = apply(machine, replace(`bad-${place}`, 5, 6, set))
-    assert.equal(codeOf(answer), 'badRequest')
+  cases.forEach(([set, expected], index) => {
+    const answer = apply(machine, createReplaceCommand(`bad-${index}`, 5, 6, set))
+    assert.equal(getCode(answer), 'badRequest')
     assert.match(answer.ok ? '' : answer.detail, expected)
   })
-  assert.equal(codeOf(apply(machine, replace('old', 5, 5, setOf(route('z'))))), 'badRequest')
-  assert.deepEqual(routeSetOf(machine.config)?.routes.map(held => held.name), ['read'])
+  assert.equal(getCode(apply(machine, createReplaceCommand('old', 5, 5, createRouteSet(route('z'))))), 'badRequest')
+  assert.deepEqual(routeSetOf(machine.config)?.routes.map(item => item.name), ['read'])
 })
 
-test('an update puts and removes items by name, as one version', () => {
-  const machine = start()
-  apply(machine, replace('one', 0, 5, setOf(route('read'), route('write'))))
-  const before = machine.config.version
+test('an update adds and removes items by name in one version', () => {
+  const machine = createTestMachine()
+  apply(machine, createReplaceCommand('one', 0, 5, createRouteSet(route('read'), route('write'))))
+  const versionBefore = machine.config.version
   const update: RouteCommand = { type: 'updateRoutes', order: 'two' as OrderId, baseVersion: 5, routesVersion: 7, putRoutes: [route('extra')], putUpstreams: [], removeRoutes: ['write'], removeUpstreams: [], limits: undefined }
-  assert.equal(codeOf(apply(machine, update)), 'ok')
-  const changed = deltaSince(machine.config, before)
-  assert.equal(changed.full, false)
-  assert.ok(changed.items.every(held => held.version === machine.config.version))
+  assert.equal(getCode(apply(machine, update)), 'ok')
+  const delta = deltaSince(machine.config, versionBefore)
+  assert.equal(delta.full, false)
+  assert.ok(delta.items.every(item => item.version === machine.config.version))
   const copy = createConfig()
   takeDelta(copy, deltaSince(machine.config, 0))
-  assert.deepEqual(routeSetOf(copy)?.routes.map(held => held.name).sort(), ['extra', 'read'])
+  assert.deepEqual(routeSetOf(copy)?.routes.map(item => item.name).sort(), ['extra', 'read'])
 })
 
-/** Guards against this failure: a new server at a reused address gets no work. */
-test('a late announcement of a lifetime whose address was taken over changes nothing', () => {
-  const machine = start()
-  apply(machine, { type: 'announce', facts: facts('old', { seq: 4 }) })
-  apply(machine, { type: 'announce', facts: facts('new') })
+/** Guards against a new server at a reused address that gets no requests. */
+test('a late announcement of a server whose address now belongs to another server changes nothing', () => {
+  const machine = createTestMachine()
+  apply(machine, { type: 'announce', facts: createFacts('old', { seq: 4 }) })
+  apply(machine, { type: 'announce', facts: createFacts('new') })
   assert.deepEqual(presentBackends(machine.config), ['new'])
-  apply(machine, { type: 'announce', facts: facts('old', { seq: 5 }) })
+  apply(machine, { type: 'announce', facts: createFacts('old', { seq: 5 }) })
   assert.deepEqual(presentBackends(machine.config), ['new'])
-  assert.equal(isNews(machine.config, facts('old', { seq: 6 })), false)
+  assert.equal(isNews(machine.config, createFacts('old', { seq: 6 })), false)
 })
 
-/** Guards against this failure: a server that leaves gets new work again. */
-test('once a server drains, neither a late nor a later announcement opens it again', () => {
-  const machine = start()
-  apply(machine, { type: 'announce', facts: facts('s', { seq: 3 }) })
-  apply(machine, { type: 'announce', facts: facts('s', { seq: 5, isDraining: true }) })
-  apply(machine, { type: 'announce', facts: facts('s', { seq: 4 }) })
-  apply(machine, { type: 'announce', facts: facts('s', { seq: 6 }) })
+/** Guards against a draining server that gets new requests again. */
+test('a draining server stays draining after delayed and newer announcements', () => {
+  const machine = createTestMachine()
+  apply(machine, { type: 'announce', facts: createFacts('s', { seq: 3 }) })
+  apply(machine, { type: 'announce', facts: createFacts('s', { seq: 5, isDraining: true }) })
+  apply(machine, { type: 'announce', facts: createFacts('s', { seq: 4 }) })
+  apply(machine, { type: 'announce', facts: createFacts('s', { seq: 6 }) })
   assert.equal(findItem(machine.config, 'backend', 's')?.state, 'draining')
   apply(machine, { type: 'dismiss', ids: [brandId<ServerId>('s')] })
-  apply(machine, { type: 'announce', facts: facts('s', { seq: 9 }) })
+  apply(machine, { type: 'announce', facts: createFacts('s', { seq: 9 }) })
   assert.equal(findItem(machine.config, 'backend', 's')?.state, 'gone')
 })
 
-test('a server that fell silent comes back by its next announcement', () => {
-  const machine = start()
-  apply(machine, { type: 'announce', facts: facts('s') })
+test('a lost server is present again after its next announcement', () => {
+  const machine = createTestMachine()
+  apply(machine, { type: 'announce', facts: createFacts('s') })
   apply(machine, { type: 'miss', ids: [brandId<ServerId>('s')] })
   assert.deepEqual(presentBackends(machine.config), [])
-  assert.equal(isNews(machine.config, facts('s', { seq: 2 })), true)
-  apply(machine, { type: 'announce', facts: facts('s', { seq: 2 }) })
+  assert.equal(isNews(machine.config, createFacts('s', { seq: 2 })), true)
+  apply(machine, { type: 'announce', facts: createFacts('s', { seq: 2 }) })
   assert.deepEqual(presentBackends(machine.config), ['s'])
 })
 
-test('routes, evacuations, servers and accepted orders outlive a snapshot', () => {
-  const machine = start()
-  const order = replace('one', 0, 5, setOf(route('read')))
-  apply(machine, order)
-  apply(machine, { type: 'announce', facts: facts('s') })
+test('a snapshot preserves routes, evacuations, servers and accepted route changes', () => {
+  const machine = createTestMachine()
+  const command = createReplaceCommand('one', 0, 5, createRouteSet(route('read')))
+  apply(machine, command)
+  apply(machine, { type: 'announce', facts: createFacts('s') })
   apply(machine, { type: 'evacuate', failureDomain: brandId<FailureDomainId>('kochi-a'), isActive: true })
-  const back = readMachine(charts, writeMachine(machine))
-  assert.deepEqual(routeSetOf(back.config), routeSetOf(machine.config))
-  assert.deepEqual(presentBackends(back.config), ['s'])
-  assert.deepEqual(listItems(back.config, 'evacuation').map(item => [item.key, item.isActive]), [['kochi-a', true]])
-  assert.equal(codeOf(apply(back, order)), 'ok')
+  const restored = readMachine(charts, writeMachine(machine))
+  assert.deepEqual(routeSetOf(restored.config), routeSetOf(machine.config))
+  assert.deepEqual(presentBackends(restored.config), ['s'])
+  assert.deepEqual(listItems(restored.config, 'evacuation').map(item => [item.key, item.isActive]), [['kochi-a', true]])
+  assert.equal(getCode(apply(restored, command)), 'ok')
 })
 
-/** Guards against traffic in an evacuated failure domain after an old order, held up on its way, took the evacuation back. */
-test('an order for a failure domain that newer orders overtook changes nothing; one sent again succeeds', () => {
-  const machine = start()
+/** Guards against requests to an evacuated failure domain after an old, delayed command ended the evacuation. */
+test('an evacuation command older than the last change of its failure domain is rejected unless it asks for the current state', () => {
+  const machine = createTestMachine()
   const failureDomain = brandId<FailureDomainId>('kochi-a')
-  const order = (isActive: boolean, baseVersion: number): string => codeOf(apply(machine, { type: 'evacuate', failureDomain, isActive, baseVersion }))
+  const evacuate = (isActive: boolean, baseVersion: number): string => getCode(apply(machine, { type: 'evacuate', failureDomain, isActive, baseVersion }))
   const isEvacuated = (): boolean => findItem(machine.config, 'evacuation', failureDomain)?.isActive === true
-  assert.equal(order(true, machine.config.version), 'ok')
-  const known = machine.config.version
-  assert.equal(order(false, known), 'ok')
-  assert.equal(order(true, machine.config.version), 'ok')
-  assert.equal(order(false, known), 'versionConflict')
+  assert.equal(evacuate(true, machine.config.version), 'ok')
+  const knownVersion = machine.config.version
+  assert.equal(evacuate(false, knownVersion), 'ok')
+  assert.equal(evacuate(true, machine.config.version), 'ok')
+  assert.equal(evacuate(false, knownVersion), 'versionConflict')
   assert.equal(isEvacuated(), true)
-  assert.equal(order(true, known), 'ok', 'what it asks for holds already')
-  assert.equal(order(false, machine.config.version), 'ok')
-  assert.equal(order(true, known), 'versionConflict')
+  assert.equal(evacuate(true, knownVersion), 'ok', 'the failure domain already has the requested state')
+  assert.equal(evacuate(false, machine.config.version), 'ok')
+  assert.equal(evacuate(true, knownVersion), 'versionConflict')
   assert.equal(isEvacuated(), false)
 })
 
-/** Guards against this failure: a server that runs well gets no more requests for the rest of its life. */
-test('a late announcement of a server that ended long ago revives nothing, whatever ended since', () => {
-  const machine = start()
+/** Guards against a healthy server that gets no more requests, because a late announcement took its address. */
+test('a late announcement of an ended server is ignored, even after many other servers have ended', () => {
+  const machine = createTestMachine()
   for (let number = 0; number < 100; number++) {
-    apply(machine, { type: 'announce', facts: facts(`old-${number}`, { address: `10.0.1.${number}:80` }) })
+    apply(machine, { type: 'announce', facts: createFacts(`old-${number}`, { address: `10.0.1.${number}:80` }) })
     apply(machine, { type: 'dismiss', ids: [brandId<ServerId>(`old-${number}`)] })
   }
-  apply(machine, { type: 'announce', facts: facts('new', { address: '10.0.1.0:80' }) })
-  apply(machine, { type: 'announce', facts: facts('old-0', { address: '10.0.1.0:80', seq: 7 }) })
+  apply(machine, { type: 'announce', facts: createFacts('new', { address: '10.0.1.0:80' }) })
+  apply(machine, { type: 'announce', facts: createFacts('old-0', { address: '10.0.1.0:80', seq: 7 }) })
   assert.deepEqual(presentBackends(machine.config), ['new'])
 })
--- a/packages/state/__tests__/state.test.ts
+++ b/packages/state/__tests__/state.test.ts
@@ -10,16 +10,16 @@
 import type { Answer, ChangeAnswer, ClaimAnswer, Command, Machine, SettleAnswer } from '@lynxcourse/state'
 
 const seed = 13
-const run = { seed, numRuns: 150 }
+const runOptions = { seed, numRuns: 150 }
 console.log(`seed ${seed}`)
 
 const charts = { claim: loadChart('claim'), drain: loadChart('drain'), shift: loadChart('shift') }
-const startAt = 1_800_000_000_000
+const startTime = 1_800_000_000_000
 
 interface Log { machine: Machine, index: number, at: number }
 
-function newLog (): Log {
-  return { machine: createMachine(charts), index: 0, at: startAt }
+function createLog (): Log {
+  return { machine: createMachine(charts), index: 0, at: startTime }
 }
 
 function apply (log: Log, command: Command): Answer {
@@ -27,7 +27,7 @@
   return applyEntry(log.machine, { index: log.index, term: 1, at: log.at, body: { type: 'command', command } })
 }
 
-function change (log: Log, fields: object, changeId: string): ChangeAnswer {
+function submitChange (log: Log, fields: object, changeId: string): ChangeAnswer {
   const answer = apply(log, changeSchema.parse({ changeId, operator: 'op', ...fields }))
   if (answer.type !== 'change') throw new Error('no change')
   return answer.change
@@ -35,96 +35,96 @@
 
 const profile = { name: 'desk', places: ['kochi', 'chennai'], regionCaps: { kochi: 10 } }
 
-function publish (log: Log, expectedVersion: number, changeId: string, fields: object = {}): ChangeAnswer {
-  return change(log, { type: 'publishProfile', expectedVersion, profile: { ...profile, ...fields } }, changeId)
+function publishProfile (log: Log, expectedVersion: number, changeId: string, fields: object = {}): ChangeAnswer {
+  return submitChange(log, { type: 'publishProfile', expectedVersion, profile: { ...profile, ...fields } }, changeId)
 }
 
-test('of two changes with equal versions one wins, and the other learns by whom', () => {
-  // Guards against this failure: an operator's change vanishes.
-  const log = newLog()
-  publish(log, 0, 'change-00')
-  assert.deepEqual(publish(log, 1, 'change-aa'), { ok: true, version: 2, itemVersion: 2 })
-  const lost = publish(log, 1, 'change-bb')
-  assert.ok(!lost.ok)
-  assert.equal(lost.code, 'versionConflict')
-  assert.deepEqual(lost.winner, { version: 2, changeId: 'change-aa', operator: 'op' })
+test('of two changes with equal expected versions the first wins, and the other gets the id and operator of the winner', () => {
+  // Guards against an operator's change that is silently overwritten.
+  const log = createLog()
+  publishProfile(log, 0, 'change-00')
+  assert.deepEqual(publishProfile(log, 1, 'change-aa'), { ok: true, version: 2, itemVersion: 2 })
+  const rejected = publishProfile(log, 1, 'change-bb')
+  assert.ok(!rejected.ok)
+  assert.equal(rejected.code, 'versionConflict')
+  assert.deepEqual(rejected.winner, { version: 2, changeId: 'change-aa', operator: 'op' })
 })
 
-test('a change sent again gets its first answer, also after a snapshot', () => {
-  // Guards against this failure: a resent change takes effect twice or is refused.
-  const log = newLog()
-  const first = publish(log, 0, 'change-aa')
-  publish(log, 1, 'change-bb')
-  assert.deepEqual(publish(log, 0, 'change-aa'), first)
+test('a resent change gets its first answer, even after a snapshot', () => {
+  // Guards against a resent change that takes effect twice or is rejected.
+  const log = createLog()
+  const first = publishProfile(log, 0, 'change-aa')
+  publishProfile(log, 1, 'change-bb')
+  assert.deepEqual(publishProfile(log, 0, 'change-aa'), first)
   log.machine = readMachine(charts, writeMachine(log.machine))
-  assert.deepEqual(publish(log, 0, 'change-aa'), first)
+  assert.deepEqual(publishProfile(log, 0, 'change-aa'), first)
   assert.equal(findItem(log.machine.config, 'profile', 'desk')?.itemVersion, 2)
 })
 
 const holders = ['v1/a', 'v2/a', 'v3/a'].map(text => brandId<HolderId>(text))
 const claimAction = fc.record({
-  what: fc.constantFrom('claim' as const, 'done' as const, 'notRun' as const, 'unknown' as const, 'wait' as const),
+  kind: fc.constantFrom('claim' as const, 'done' as const, 'notRun' as const, 'unknown' as const, 'wait' as const),
   id: fc.nat(3),
   holder: fc.nat(2),
   token: fc.nat(1)
 })
 
-test('an id is granted to one copy only, and never after not-run was recorded', () => {
+test('an id is granted to one copy only, and never after notRun was recorded', () => {
   fc.assert(fc.property(fc.array(claimAction, { maxLength: 60 }), actions => {
-    const log = newLog()
+    const log = createLog()
     const random = makeRandom(1)
-    const ids = Array.from({ length: 4 }, () => makeRequestId(startAt, random))
+    const ids = Array.from({ length: 4 }, () => makeRequestId(startTime, random))
     const granted = new Map<string, string>()
     const notRun = new Set<string>()
-    for (const { what, id: pick, holder: by, token: copy } of actions) {
-      if (what === 'wait') {
+    for (const { kind: action, id: idIndex, holder: holderIndex, token: copy } of actions) {
+      if (action === 'wait') {
         log.at += claimLifetimeMs / 4
         continue
       }
-      const id = ids[pick] ?? brandId('')
-      const holder = holders[by] ?? brandId('')
-      const who = `${holder} ${copy}`
-      if (what === 'claim') {
+      const id = ids[idIndex] ?? brandId('')
+      const holder = holders[holderIndex] ?? brandId('')
+      const claimant = `${holder} ${copy}`
+      if (action === 'claim') {
         const answer = (apply(log, { type: 'claim', id, holder, token: `${copy}` }) as { claim: ClaimAnswer }).claim
         if (answer.result !== 'granted') continue
-        assert.equal(granted.get(id) ?? who, who)
+        assert.equal(granted.get(id) ?? claimant, claimant)
         assert.ok(!notRun.has(id))
-        granted.set(id, who)
+        granted.set(id, claimant)
       } else {
-        const answer = (apply(log, { type: 'settle', id, holder, token: `${copy}`, outcome: what, answer: undefined }) as { settle: SettleAnswer }).settle
-        if (what === 'notRun' && answer.accepted) {
-          // Told in another copy's name only if that copy's refusal is on record.
-          if (granted.get(id) !== undefined && granted.get(id) !== who) assert.ok(notRun.has(id))
+        const answer = (apply(log, { type: 'settle', id, holder, token: `${copy}`, outcome: action, answer: undefined }) as { settle: SettleAnswer }).settle
+        if (action === 'notRun' && answer.accepted) {
+          // A copy that does not hold the claim may report notRun only if notRun was already recorded.
+          if (granted.get(id) !== undefined && granted.get(id) !== claimant) assert.ok(notRun.has(id))
           notRun.add(id)
         }
       }
-      if (pick % 2 === 0) log.machine = readMachine(charts, writeMachine(log.machine))
+      if (idIndex % 2 === 0) log.machine = readMachine(charts, writeMachine(log.machine))
     }
-  }), run)
+  }), runOptions)
 })
 
-test('ids that are too old or from the future are refused, and memory goes with them', () => {
-  // Guards against this failure: a late copy runs again.
-  const log = newLog()
+test('ids that are too old or from the future are refused, and expired records are dropped', () => {
+  // Guards against a late copy of a request that runs again.
+  const log = createLog()
   const random = makeRandom(2)
-  const id = makeRequestId(startAt, random)
-  const claim = (one: typeof id): ClaimAnswer => (apply(log, { type: 'claim', id: one, holder: brandId('v1/a'), token: 't' }) as { claim: ClaimAnswer }).claim
+  const id = makeRequestId(startTime, random)
+  const claim = (requestId: typeof id): ClaimAnswer => (apply(log, { type: 'claim', id: requestId, holder: brandId('v1/a'), token: 't' }) as { claim: ClaimAnswer }).claim
   assert.equal(claim(id).result, 'granted')
-  assert.equal(claim(makeRequestId(startAt + maxClaimClockSkewMs + 1, random)).result, 'refused')
+  assert.equal(claim(makeRequestId(startTime + maxClaimClockSkewMs + 1, random)).result, 'refused')
   log.at += claimLifetimeMs + 20_000
   assert.equal(claim(id).result, 'refused')
   assert.equal(log.machine.claims.records.size, 0)
 })
 
-test('deltas in any order and number never lower a version and end equal', () => {
-  fc.assert(fc.property(fc.array(fc.nat(9), { minLength: 1, maxLength: 40 }), fc.array(fc.tuple(fc.nat(40), fc.nat(40)), { maxLength: 60 }), (names, picks) => {
+test('deltas in any order and number never lower the version, and the copies end equal', () => {
+  fc.assert(fc.property(fc.array(fc.nat(9), { minLength: 1, maxLength: 40 }), fc.array(fc.tuple(fc.nat(40), fc.nat(40)), { maxLength: 60 }), (names, deliveries) => {
     const source = createConfig()
     const states = names.map((name, place) => {
       setItem(source, place + 1, { kind: 'service', key: brandId(`s${name}`), profile: brandId(`p${place}`), origin: { changeId: brandId<ChangeId>('c'), operator: 'o', at: 0 } })
       return deltaSince(source, 0)
     })
     const copy = createConfig()
-    for (const [to, from] of picks) {
+    for (const [to, from] of deliveries) {
       const state = states[to % states.length]
       const before = copy.version
       if (state === undefined) continue
@@ -135,18 +135,18 @@
     }
     takeDelta(copy, deltaSince(source, copy.version))
     assert.equal(copy.version, source.version)
-    const sorted = (config: typeof copy): string => JSON.stringify(listItems(config, 'service').map(item => [item.key, item.profile]).sort())
-    assert.equal(sorted(copy), sorted(source))
-  }), run)
+    const serializeSorted = (config: typeof copy): string => JSON.stringify(listItems(config, 'service').map(item => [item.key, item.profile]).sort())
+    assert.equal(serializeSorted(copy), serializeSorted(source))
+  }), runOptions)
 })
 
-test('the sum of ceilings stays within the cap in force, whatever is planned', () => {
+test('no plan raises the sum of ceilings above the current cap', () => {
   const resource = brandId<ResourceId>('region:desk:kochi')
   const plan = fc.array(fc.record({ holder: fc.nat(2), amount: fc.nat(12), lapse: fc.boolean(), cap: fc.option(fc.integer({ min: 0, max: 12 })) }), { maxLength: 50 })
   fc.assert(fc.property(plan, steps => {
-    const log = newLog()
-    publish(log, 0, 'change-00')
-    change(log, { type: 'pickProfile', service: 's', profile: 'desk' }, 'change-01')
+    const log = createLog()
+    publishProfile(log, 0, 'change-00')
+    submitChange(log, { type: 'pickProfile', service: 's', profile: 'desk' }, 'change-01')
     let version = 1
     let cap = 10
     for (const { holder, amount, lapse, cap: nextCap } of steps) {
@@ -154,38 +154,38 @@
       const before = sumCeilings(log.machine.allocations, resource)
       apply(log, { type: 'allocate', changes: lapse ? [] : [change], lapsed: lapse ? [change] : [] })
       const after = sumCeilings(log.machine.allocations, resource)
-      assert.ok(after <= cap || after <= before, `${after} out of ${cap}`)
+      assert.ok(after <= cap || after <= before, `sum of ceilings ${after}, cap ${cap}`)
       if (nextCap === null) continue
-      publish(log, version++, `change-cap-${version}`, { regionCaps: { kochi: nextCap } })
+      publishProfile(log, version++, `change-cap-${version}`, { regionCaps: { kochi: nextCap } })
       cap = nextCap
     }
-  }), run)
+  }), runOptions)
 })
 
-test('a drain and a shift move by their charts, and impossible orders are refused', () => {
-  const log = newLog()
-  publish(log, 0, 'change-00')
-  change(log, { type: 'pickProfile', service: 'offers', profile: 'desk' }, 'change-01')
-  assert.ok(change(log, { type: 'startDrain', drain: 'd', target: { kind: 'region', name: 'kochi' }, at: startAt + 5000 }, 'change-02').ok)
+test('drains and shifts follow their charts, and impossible changes are rejected', () => {
+  const log = createLog()
+  publishProfile(log, 0, 'change-00')
+  submitChange(log, { type: 'pickProfile', service: 'offers', profile: 'desk' }, 'change-01')
+  assert.ok(submitChange(log, { type: 'startDrain', drain: 'd', target: { kind: 'region', name: 'kochi' }, at: startTime + 5000 }, 'change-02').ok)
   apply(log, { type: 'advanceDrain', drain: brandId('d'), event: 'empty' })
   assert.equal(findItem(log.machine.config, 'drain', 'd')?.state, 'scheduled')
   apply(log, { type: 'advanceDrain', drain: brandId('d'), event: 'due' })
   assert.equal(findItem(log.machine.config, 'drain', 'd')?.state, 'draining')
-  assert.ok(change(log, { type: 'startShift', shift: 'm', service: 'offers', from: 'kochi', to: 'chennai', percent: 30, stepPercent: 20 }, 'change-03').ok)
+  assert.ok(submitChange(log, { type: 'startShift', shift: 'm', service: 'offers', from: 'kochi', to: 'chennai', percent: 30, stepPercent: 20 }, 'change-03').ok)
   apply(log, { type: 'advanceShift', shift: brandId('m'), event: 'stepDone', fromPercent: 0, percent: 100 })
-  assert.equal(findItem(log.machine.config, 'shift', 'm')?.percent, 20, 'no step above its size')
+  assert.equal(findItem(log.machine.config, 'shift', 'm')?.percent, 20, 'a step moves at most stepPercent')
   apply(log, { type: 'advanceShift', shift: brandId('m'), event: 'stepDone', fromPercent: 0, percent: 20 })
-  assert.equal(findItem(log.machine.config, 'shift', 'm')?.state, 'settling', 'a late plan does nothing')
-  assert.ok(!change(log, { type: 'steerShift', shift: 'm', event: 'resume' }, 'change-04').ok)
-  assert.ok(!change(log, { type: 'retireProfile', name: 'desk', expectedVersion: 1 }, 'change-05').ok, 'picked')
+  assert.equal(findItem(log.machine.config, 'shift', 'm')?.state, 'settling', 'a step planned from an earlier percentage is ignored')
+  assert.ok(!submitChange(log, { type: 'steerShift', shift: 'm', event: 'resume' }, 'change-04').ok)
+  assert.ok(!submitChange(log, { type: 'retireProfile', name: 'desk', expectedVersion: 1 }, 'change-05').ok, 'a profile in use can\'t be retired')
 })
 
-test('a bad profile is refused with its field', () => {
-  const fieldOf = (fields: object): string | undefined => profileSchema.safeParse({ ...profile, ...fields }).error?.issues[0]?.path.join('.')
-  assert.equal(fieldOf({ regionCaps: { kochi: -1 } }), 'regionCaps.kochi')
-  assert.equal(fieldOf({ regionCaps: { delhi: 1 } }), 'regionCaps.delhi')
-  assert.equal(fieldOf({ linkCaps: { 'kochi>delhi': 1 } }), 'linkCaps.kochi>delhi')
-  assert.equal(fieldOf({ places: ['kochi', 'kochi'] }), 'places')
-  assert.equal(fieldOf({ deadlineMs: 9000, maxDeadlineMs: 10 }), 'deadlineMs')
+test('an invalid profile is rejected with the path of the field', () => {
+  const findInvalidField = (fields: object): string | undefined => profileSchema.safeParse({ ...profile, ...fields }).error?.issues[0]?.path.join('.')
+  assert.equal(findInvalidField({ regionCaps: { kochi: -1 } }), 'regionCaps.kochi')
+  assert.equal(findInvalidField({ regionCaps: { delhi: 1 } }), 'regionCaps.delhi')
+  assert.equal(findInvalidField({ linkCaps: { 'kochi>delhi': 1 } }), 'linkCaps.kochi>delhi')
+  assert.equal(findInvalidField({ places: ['kochi', 'kochi'] }), 'places')
+  assert.equal(findInvalidField({ deadlineMs: 9000, maxDeadlineMs: 10 }), 'deadlineMs')
   assert.equal(profileSchema.safeParse({ ...profile, color: 1 }).success, false)
 })
--- a/packages/state/__tests__/support/route.ts
+++ b/packages/state/__tests__/support/route.ts
@@ -1,10 +1,10 @@
-/** Routes of a made-up desk, for the tests of this package and, as `@lynxcourse/state/testing`, of others. */
+/** Builds routes for the tests of this package and, exported as `@lynxcourse/state/testing`, of other packages. */
 import { brandId } from '@lynxcourse/base'
 import type { ServiceId } from '@lynxcourse/base'
 import type { Route } from '@lynxcourse/state'
 
-/** A sticky route of the desk whose requests may be repeated. */
-export function route (name: string, parts: Partial<Route> = {}): Route {
+/** Returns a sticky, idempotent route to the service `desk`. */
+export function route (name: string, overrides: Partial<Route> = {}): Route {
   return {
     name,
     host: 'a.example',
@@ -19,6 +19,6 @@
     isSticky: true,
     homes: [],
     annotations: {},
-    ...parts
+    ...overrides
   }
 }
