--- a/packages/state/src/core/machine.ts
+++ b/packages/state/src/core/machine.ts
@@ -106,7 +106,7 @@
   machine.history.set(name, [...history, item].slice(-maxProfileHistory))
 }
 
-interface StateMachineData {
+interface StateMachineSnapshot {
   readonly applied: number
   readonly version: number
   readonly prunedBelow: number
@@ -121,7 +121,7 @@
 /** Serializes the state for a snapshot of the log. */
 export function writeMachine (machine: Machine): string {
   const allocations = [...machine.allocations.byResource].map(([id, shares]) => [id, [...shares]] as const)
-  const data: StateMachineData = {
+  const data: StateMachineSnapshot = {
     applied: machine.applied,
     version: machine.config.version,
     prunedBelow: machine.config.prunedBelow,
@@ -139,7 +139,7 @@
 export function readMachine (charts: MachineCharts, text: string): Machine {
   const machine = createMachine(charts)
   if (text === '') return machine
-  const data = JSON.parse(text) as StateMachineData
+  const data = JSON.parse(text) as StateMachineSnapshot
   machine.applied = data.applied
   machine.config = { version: data.version, prunedBelow: data.prunedBelow, items: new Map(data.items) }
   machine.claims = restoreClaimRegister(charts.claim, data.claims)
--- a/packages/state/src/types/routes.ts
+++ b/packages/state/src/types/routes.ts
@@ -96,7 +96,7 @@
 export const routingKey = 'routes'
 
 /** Identifies a change of routes, so that a resent one is recognised. The id is a digest of the whole change. */
-export type OrderId = string & { readonly __brand: 'OrderId' }
+export type OrderId = string & { readonly __brand: 'RouteChangeId' }
 
 /** Replaces all routes, services and limits. */
 export interface ReplaceRoutesCommand {
