--- a/packages/state/src/core/knownVersions.ts
+++ b/packages/state/src/core/knownVersions.ts
@@ -17,9 +17,7 @@
   entries: KnownVersion[]
 }
 
-/**
- * How long versions are kept. A command that was unread for longer is based on the last version known before this period.
- */
+/** How long versions are kept. The last one before this period is kept too, for commands that were unread for longer. */
 const retentionMs: Millis = 10_000
 
 export function createKnownVersions (): KnownVersions {
@@ -35,7 +33,7 @@
   if (firstKept > 1) versions.entries.splice(0, firstKept - 1)
 }
 
-/** Returns the version that was known at a given time; 0 if that is no longer recorded. */
+/** Returns the last version recorded at or before a given time; 0 if there is none. */
 export function versionAt ({ entries: known }: KnownVersions, at: Millis): number {
   return known.findLast(entry => entry.at <= at)?.version ?? 0
 }
