--- a/packages/state/src/core/knownVersions.ts
+++ b/packages/state/src/core/knownVersions.ts
@@ -34,6 +34,6 @@
 }
 
 /** Returns the last version recorded at or before a given time; 0 if there is none. */
-export function versionAt ({ entries: known }: KnownVersions, at: Millis): number {
-  return known.findLast(entry => entry.at <= at)?.version ?? 0
+export function versionAt ({ entries }: KnownVersions, at: Millis): number {
+  return entries.findLast(entry => entry.at <= at)?.version ?? 0
 }
