--- a/packages/state/__tests__/incarnations.test.ts
+++ b/packages/state/__tests__/incarnations.test.ts
@@ -4,8 +4,8 @@
 import fc from 'fast-check'
 import { brandId, loadChart } from '@lynxcourse/base'
 import type { FailureDomainId, ServerId, ServiceId } from '@lynxcourse/base'
-import { applyEntry, createMachine, findItem, isCredible, isNews } from '@lynxcourse/state'
-import type { BackendFacts, Machine, OrderId, RouteCommand } from '@lynxcourse/state'
+import { applyEntry, createStateMachine, findItem, acceptsAnnouncement, hasBackendChanged } from '@lynxcourse/state'
+import type { BackendAnnouncement, StateMachine, RouteChangeId, RouteCommand } from '@lynxcourse/state'
 
 const seed = 47
 console.log(`seed ${seed}`)
@@ -16,19 +16,19 @@
 const earlierStart = 1000
 const laterStart = 9000
 
-function apply (machine: Machine, command: RouteCommand): void {
+function apply (machine: StateMachine, command: RouteCommand): void {
   applyEntry(machine, { index: machine.applied + 1, term: 1, at: 0, body: { type: 'command', command } })
 }
 
-function createFacts (parts: Partial<BackendFacts> = {}): BackendFacts {
+function createFacts (parts: Partial<BackendAnnouncement> = {}): BackendAnnouncement {
   return { id, service: desk, address: '10.0.0.1:80', failureDomain: brandId<FailureDomainId>('kochi-a'), slots: 3, software: 'v1', bornAt: earlierStart, isDraining: false, seq: 1, coldMs: 0, ...parts }
 }
 
-function createMachineWithDesk (): Machine {
-  const machine = createMachine(charts)
+function createMachineWithDesk (): StateMachine {
+  const machine = createStateMachine(charts)
   const upstream = { name: desk, healthPath: '/health', maxConnections: 100, warmupMs: 0, warmupPerSecond: 10, annotations: {} }
   const limits = { maxHeaderBytes: 16_384, maxBodyBytes: 1000, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
-  apply(machine, { type: 'replaceRoutes', order: 'one' as OrderId, baseVersion: 0, routesVersion: 1, set: { routes: [], upstreams: [upstream], limits } })
+  apply(machine, { type: 'replaceRoutes', order: 'one' as RouteChangeId, baseVersion: 0, routesVersion: 1, set: { routes: [], upstreams: [upstream], limits } })
   return machine
 }
 
@@ -63,8 +63,8 @@
   apply(machine, { type: 'announce', facts: createFacts() })
   apply(machine, { type: 'dismiss', ids: [id], bornAt: earlierStart })
   assert.equal(findItem(machine.config, 'backend', id)?.state, 'gone')
-  assert.equal(isNews(machine.config, createFacts({ seq: 2 })), false)
-  assert.equal(isNews(machine.config, createFacts({ bornAt: laterStart })), true)
+  assert.equal(hasBackendChanged(machine.config, createFacts({ seq: 2 })), false)
+  assert.equal(hasBackendChanged(machine.config, createFacts({ bornAt: laterStart })), true)
   apply(machine, { type: 'announce', facts: createFacts({ bornAt: laterStart }) })
   assert.equal(findItem(machine.config, 'backend', id)?.state, 'serving')
 })
@@ -72,8 +72,8 @@
 test('announcements without a start time are ordered by their sequence number alone', () => {
   const machine = createMachineWithDesk()
   apply(machine, { type: 'announce', facts: createFacts({ bornAt: 0, seq: 5 }) })
-  assert.equal(isCredible(machine.config, createFacts({ bornAt: 0, seq: 4 })), false)
-  assert.equal(isCredible(machine.config, createFacts({ bornAt: 0, seq: 6 })), true)
+  assert.equal(acceptsAnnouncement(machine.config, createFacts({ bornAt: 0, seq: 4 })), false)
+  assert.equal(acceptsAnnouncement(machine.config, createFacts({ bornAt: 0, seq: 6 })), true)
 })
 
 /** Guards against a server that answers but gets no requests, because an announcement with its address displaced it. */
--- a/packages/state/__tests__/routes.test.ts
+++ b/packages/state/__tests__/routes.test.ts
@@ -4,10 +4,10 @@
 import { brandId, loadChart } from '@lynxcourse/base'
 import type { FailureDomainId, ServerId, ServiceId } from '@lynxcourse/base'
 import {
-  applyEntry, createConfig, createMachine, deltaSince, findItem, isNews, listItems, presentBackends, readMachine, routeSetOf, routesVersionOf,
-  takeDelta, writeMachine
+  applyEntry, createConfig, createStateMachine, getDeltaSince, findItem, hasBackendChanged, listItems, listPresentBackends, deserializeStateMachine, findRouteSet, getRoutesVersion,
+  applyDelta, serializeStateMachine
 } from '@lynxcourse/state'
-import type { BackendFacts, ChangeAnswer, Machine, OrderId, Route, RouteCommand, RouteSet, Upstream } from '@lynxcourse/state'
+import type { BackendAnnouncement, ChangeAnswer, StateMachine, RouteChangeId, Route, RouteCommand, RouteSet, Upstream } from '@lynxcourse/state'
 import { route } from './support/route.js'
 
 const charts = { claim: loadChart('claim'), drain: loadChart('drain'), shift: loadChart('shift') }
@@ -23,21 +23,21 @@
   return { routes, upstreams: [createUpstream(desk), createUpstream(ledger)], limits }
 }
 
-function createTestMachine (): Machine {
-  return createMachine(charts)
+function createTestMachine (): StateMachine {
+  return createStateMachine(charts)
 }
 
-function apply (machine: Machine, command: RouteCommand): ChangeAnswer {
+function apply (machine: StateMachine, command: RouteCommand): ChangeAnswer {
   const answer = applyEntry(machine, { index: machine.applied + 1, term: 1, at: 0, body: { type: 'command', command } })
   assert.equal(answer.type, 'change')
   return (answer as { change: ChangeAnswer }).change
 }
 
 function createReplaceCommand (order: string, baseVersion: number, routesVersion: number, set: RouteSet): RouteCommand {
-  return { type: 'replaceRoutes', order: order as OrderId, baseVersion, routesVersion, set }
+  return { type: 'replaceRoutes', order: order as RouteChangeId, baseVersion, routesVersion, set }
 }
 
-function createFacts (id: string, parts: Partial<BackendFacts> = {}): BackendFacts {
+function createFacts (id: string, parts: Partial<BackendAnnouncement> = {}): BackendAnnouncement {
   return { id: brandId<ServerId>(id), service: desk, address: '10.0.0.1:80', failureDomain: brandId<FailureDomainId>('kochi-a'), slots: 3, software: 'v1', isDraining: false, bornAt: 0, seq: 1, coldMs: 0, ...parts }
 }
 
@@ -54,7 +54,7 @@
   assert.equal(machine.config.version, version)
   assert.equal(getCode(apply(machine, createReplaceCommand('two', 5, 9, createRouteSet(route('read'), route('write'))))), 'ok')
   assert.equal(getCode(apply(machine, command)), 'ok', 'also after a later change')
-  assert.equal(routesVersionOf(machine.config), 9)
+  assert.equal(getRoutesVersion(machine.config), 9)
 })
 
 test('of two route changes based on one version the first wins, even if both set the same version', () => {
@@ -62,7 +62,7 @@
   apply(machine, createReplaceCommand('one', 0, 5, createRouteSet(route('read'))))
   assert.equal(getCode(apply(machine, createReplaceCommand('left', 5, 8, createRouteSet(route('left'))))), 'ok')
   assert.equal(getCode(apply(machine, createReplaceCommand('right', 5, 8, createRouteSet(route('right'))))), 'versionConflict')
-  assert.deepEqual(routeSetOf(machine.config)?.routes.map(item => item.name), ['left'])
+  assert.deepEqual(findRouteSet(machine.config)?.routes.map(item => item.name), ['left'])
 })
 
 test('an invalid route change is rejected with the name of the item and changes nothing', () => {
@@ -82,21 +82,21 @@
     assert.match(answer.ok ? '' : answer.detail, expected)
   })
   assert.equal(getCode(apply(machine, createReplaceCommand('old', 5, 5, createRouteSet(route('z'))))), 'badRequest')
-  assert.deepEqual(routeSetOf(machine.config)?.routes.map(item => item.name), ['read'])
+  assert.deepEqual(findRouteSet(machine.config)?.routes.map(item => item.name), ['read'])
 })
 
 test('an update adds and removes items by name in one version', () => {
   const machine = createTestMachine()
   apply(machine, createReplaceCommand('one', 0, 5, createRouteSet(route('read'), route('write'))))
   const versionBefore = machine.config.version
-  const update: RouteCommand = { type: 'updateRoutes', order: 'two' as OrderId, baseVersion: 5, routesVersion: 7, putRoutes: [route('extra')], putUpstreams: [], removeRoutes: ['write'], removeUpstreams: [], limits: undefined }
+  const update: RouteCommand = { type: 'updateRoutes', order: 'two' as RouteChangeId, baseVersion: 5, routesVersion: 7, putRoutes: [route('extra')], putUpstreams: [], removeRoutes: ['write'], removeUpstreams: [], limits: undefined }
   assert.equal(getCode(apply(machine, update)), 'ok')
-  const delta = deltaSince(machine.config, versionBefore)
+  const delta = getDeltaSince(machine.config, versionBefore)
   assert.equal(delta.full, false)
   assert.ok(delta.items.every(item => item.version === machine.config.version))
   const copy = createConfig()
-  takeDelta(copy, deltaSince(machine.config, 0))
-  assert.deepEqual(routeSetOf(copy)?.routes.map(item => item.name).sort(), ['extra', 'read'])
+  applyDelta(copy, getDeltaSince(machine.config, 0))
+  assert.deepEqual(findRouteSet(copy)?.routes.map(item => item.name).sort(), ['extra', 'read'])
 })
 
 /** Guards against a new server at a reused address that gets no requests. */
@@ -104,10 +104,10 @@
   const machine = createTestMachine()
   apply(machine, { type: 'announce', facts: createFacts('old', { seq: 4 }) })
   apply(machine, { type: 'announce', facts: createFacts('new') })
-  assert.deepEqual(presentBackends(machine.config), ['new'])
+  assert.deepEqual(listPresentBackends(machine.config), ['new'])
   apply(machine, { type: 'announce', facts: createFacts('old', { seq: 5 }) })
-  assert.deepEqual(presentBackends(machine.config), ['new'])
-  assert.equal(isNews(machine.config, createFacts('old', { seq: 6 })), false)
+  assert.deepEqual(listPresentBackends(machine.config), ['new'])
+  assert.equal(hasBackendChanged(machine.config, createFacts('old', { seq: 6 })), false)
 })
 
 /** Guards against a draining server that gets new requests again. */
@@ -127,10 +127,10 @@
   const machine = createTestMachine()
   apply(machine, { type: 'announce', facts: createFacts('s') })
   apply(machine, { type: 'miss', ids: [brandId<ServerId>('s')] })
-  assert.deepEqual(presentBackends(machine.config), [])
-  assert.equal(isNews(machine.config, createFacts('s', { seq: 2 })), true)
+  assert.deepEqual(listPresentBackends(machine.config), [])
+  assert.equal(hasBackendChanged(machine.config, createFacts('s', { seq: 2 })), true)
   apply(machine, { type: 'announce', facts: createFacts('s', { seq: 2 }) })
-  assert.deepEqual(presentBackends(machine.config), ['s'])
+  assert.deepEqual(listPresentBackends(machine.config), ['s'])
 })
 
 test('a snapshot preserves routes, evacuations, servers and accepted route changes', () => {
@@ -139,9 +139,9 @@
   apply(machine, command)
   apply(machine, { type: 'announce', facts: createFacts('s') })
   apply(machine, { type: 'evacuate', failureDomain: brandId<FailureDomainId>('kochi-a'), isActive: true })
-  const restored = readMachine(charts, writeMachine(machine))
-  assert.deepEqual(routeSetOf(restored.config), routeSetOf(machine.config))
-  assert.deepEqual(presentBackends(restored.config), ['s'])
+  const restored = deserializeStateMachine(charts, serializeStateMachine(machine))
+  assert.deepEqual(findRouteSet(restored.config), findRouteSet(machine.config))
+  assert.deepEqual(listPresentBackends(restored.config), ['s'])
   assert.deepEqual(listItems(restored.config, 'evacuation').map(item => [item.key, item.isActive]), [['kochi-a', true]])
   assert.equal(getCode(apply(restored, command)), 'ok')
 })
@@ -173,5 +173,5 @@
   }
   apply(machine, { type: 'announce', facts: createFacts('new', { address: '10.0.1.0:80' }) })
   apply(machine, { type: 'announce', facts: createFacts('old-0', { address: '10.0.1.0:80', seq: 7 }) })
-  assert.deepEqual(presentBackends(machine.config), ['new'])
+  assert.deepEqual(listPresentBackends(machine.config), ['new'])
 })
--- a/packages/state/src/core/caps.ts
+++ b/packages/state/src/core/caps.ts
@@ -1,21 +1,21 @@
 /** Names of the capped resources and the caps that the configuration sets for them. */
 import type { RegionId, ResourceId, ShiftId } from '@lynxcourse/base'
-import { activeShifts, listItems } from './config.js'
+import { listActiveShifts, listItems } from './config.js'
 import type { Config } from './config.js'
 import type { Profile } from '../types/profile.js'
 
 /** Returns the id of the cap on requests in flight to a region, under one profile. */
-export function regionResource (profile: Profile, region: RegionId): ResourceId {
+export function createRegionResourceId (profile: Profile, region: RegionId): ResourceId {
   return `region:${profile.name}:${region}` as ResourceId
 }
 
 /** Returns the id of the cap on requests in flight from one region to another, under one profile. */
-export function linkResource (profile: Profile, from: RegionId, to: RegionId): ResourceId {
+export function createLinkResourceId (profile: Profile, from: RegionId, to: RegionId): ResourceId {
   return `link:${profile.name}:${from}>${to}` as ResourceId
 }
 
 /** Returns the id of the cap on requests in flight that a shift has moved. */
-export function shiftResource (shift: ShiftId): ResourceId {
+export function createShiftResourceId (shift: ShiftId): ResourceId {
   return `shift:${shift}` as ResourceId
 }
 
@@ -25,13 +25,13 @@
   for (const { profile, retired } of listItems(config, 'profile')) {
     if (retired) continue
     for (const [region, cap] of Object.entries(profile.regionCaps)) {
-      caps.set(regionResource(profile, region as RegionId), cap)
+      caps.set(createRegionResourceId(profile, region as RegionId), cap)
     }
     for (const [link, cap] of Object.entries(profile.linkCaps)) {
       caps.set(`link:${profile.name}:${link}` as ResourceId, cap)
     }
   }
-  for (const shift of activeShifts(config)) caps.set(shiftResource(shift.key), shift.cap)
+  for (const shift of listActiveShifts(config)) caps.set(createShiftResourceId(shift.key), shift.cap)
   return caps
 }
 
--- a/packages/state/src/core/changes.ts
+++ b/packages/state/src/core/changes.ts
@@ -3,7 +3,7 @@
 import type { Chart } from '@lynxcourse/base'
 import type { AdvanceDrainCommand, AdvanceShiftCommand, Change, ChangeAnswer, WinningChange } from '../types/commands.js'
 import type { DrainItem, Origin, ProfileItem, ShiftItem } from '../types/items.js'
-import { findItem, isProfileInUse, profileOf, setItem } from './config.js'
+import { findItem, isProfileInUse, findServiceProfile, setItem } from './config.js'
 import type { Config } from './config.js'
 
 /** State charts of drains and shifts. */
@@ -102,7 +102,7 @@
 function startShift (config: Config, charts: ChangeCharts, change: ChangeOf<'startShift'>, version: number, origin: Origin): ChangeAnswer {
   const { shift, service, from, to } = change
   if (findItem(config, 'shift', shift) !== undefined) return reject('badRequest', `shift '${shift}' exists`)
-  const profile = profileOf(config, service)
+  const profile = findServiceProfile(config, service)
   if (profile === undefined) return reject('notFound', `service '${service}' with a profile`)
   for (const region of [from, to]) {
     if (!profile.places.includes(region)) return reject('badRequest', `region '${region}' is not among the profile's places`)
--- a/packages/state/src/core/config.ts
+++ b/packages/state/src/core/config.ts
@@ -63,7 +63,7 @@
 }
 
 /** Returns the delta that brings a copy at version `from` to this version. */
-export function deltaSince (config: Config, from: number): ConfigDelta {
+export function getDeltaSince (config: Config, from: number): ConfigDelta {
   const full = from < config.prunedBelow || from > config.version
   const items = [...config.items.values()].filter(entry => full || entry.version > from)
   return { full, from, version: config.version, items }
@@ -74,7 +74,7 @@
  *
  * @returns whether the copy is now at the delta's version or above; if false, the copy needs a full delta
  */
-export function takeDelta (config: Config, delta: ConfigDelta): boolean {
+export function applyDelta (config: Config, delta: ConfigDelta): boolean {
   if (delta.version <= config.version) return true
   if (!delta.full && delta.from > config.version) return false
   if (delta.full) config.items = new Map()
@@ -98,7 +98,7 @@
 }
 
 /** Returns the version at which an item last changed; 0 if there is no such item. */
-export function versionOf (config: Config, kind: ConfigItem['kind'], key: string): number {
+export function getItemVersion (config: Config, kind: ConfigItem['kind'], key: string): number {
   return config.items.get(createItemKey(kind, key))?.version ?? 0
 }
 
@@ -114,7 +114,7 @@
 }
 
 /** Returns the profile that a service runs under; undefined if it has none or if the profile is retired. */
-export function profileOf (config: Config, service: ServiceId): Profile | undefined {
+export function findServiceProfile (config: Config, service: ServiceId): Profile | undefined {
   const serviceItem = findItem(config, 'service', service)
   if (serviceItem === undefined) return undefined
   const item: ProfileItem | undefined = findItem(config, 'profile', serviceItem.profile)
@@ -127,11 +127,11 @@
 }
 
 /** Returns the drains that currently keep new work away from their targets. */
-export function activeDrains (config: Config): DrainItem[] {
+export function listActiveDrains (config: Config): DrainItem[] {
   return listItems(config, 'drain').filter(drain => drain.state === 'draining' || drain.state === 'drained')
 }
 
 /** Returns the shifts that currently move traffic. */
-export function activeShifts (config: Config): ShiftItem[] {
+export function listActiveShifts (config: Config): ShiftItem[] {
   return listItems(config, 'shift').filter(shift => shift.state !== 'cancelled' && shift.percent > 0)
 }
--- a/packages/state/src/core/knownVersions.ts
+++ b/packages/state/src/core/knownVersions.ts
@@ -25,7 +25,7 @@
 }
 
 /** Records that a VM knows a version from `now` on. A version that is not above the last one changes nothing. */
-export function noteVersion (versions: KnownVersions, version: number, now: Millis): void {
+export function recordKnownVersion (versions: KnownVersions, version: number, now: Millis): void {
   const last = versions.entries.at(-1)
   if (last !== undefined && version <= last.version) return
   versions.entries.push({ at: now, version })
@@ -34,6 +34,6 @@
 }
 
 /** Returns the last version recorded at or before a given time; 0 if there is none. */
-export function versionAt ({ entries }: KnownVersions, at: Millis): number {
+export function getKnownVersionAt ({ entries }: KnownVersions, at: Millis): number {
   return entries.findLast(entry => entry.at <= at)?.version ?? 0
 }
--- a/packages/state/src/core/routeChanges.ts
+++ b/packages/state/src/core/routeChanges.ts
@@ -3,10 +3,10 @@
 import type { ChangeAnswer } from '../types/commands.js'
 import { routingKey } from '../types/routes.js'
 import type {
-  BackendFacts, BackendItem, BackendState, CallerLimits, DismissCommand, EvacuateCommand, MissCommand, OrderId,
+  BackendAnnouncement, BackendItem, BackendState, CallerLimits, DismissCommand, EvacuateCommand, MissCommand, RouteChangeId,
   ReplaceRoutesCommand, Route, RouteCommand, RouteSet, RoutingItem, UpdateRoutesCommand, Upstream
 } from '../types/routes.js'
-import { findItem, listItems, setItem, versionOf } from './config.js'
+import { findItem, listItems, setItem, getItemVersion } from './config.js'
 import type { Config } from './config.js'
 
 /** A latency objective that exceeds the timeout by this much or more is rejected as a probable mistake. */
@@ -19,7 +19,7 @@
  * Accepted route changes, each with the routes' version that it set. They are kept so that a change that is resent because its
  * answer was lost succeeds again.
  */
-export type AcceptedRouteChanges = Map<OrderId, number>
+export type AcceptedRouteChanges = Map<RouteChangeId, number>
 
 /** Whether a command concerns routes, evacuations or backend servers. */
 export function isRouteCommand (command: { readonly type: string }): command is RouteCommand {
@@ -44,12 +44,12 @@
 }
 
 /** Returns the version number that operators gave the current routes; 0 before the first routes. */
-export function routesVersionOf (config: Config): number {
+export function getRoutesVersion (config: Config): number {
   return findItem(config, 'routing', routingKey)?.routesVersion ?? 0
 }
 
 /** Returns the current routes; undefined before the first routes. */
-export function routeSetOf (config: Config): RouteSet | undefined {
+export function findRouteSet (config: Config): RouteSet | undefined {
   const routing = findItem(config, 'routing', routingKey)
   if (routing === undefined) return undefined
   const routes = listItems(config, 'route').flatMap(item => item.route ?? [])
@@ -58,7 +58,7 @@
 }
 
 function accept (config: Config): ChangeAnswer {
-  return { ok: true, version: config.version, itemVersion: routesVersionOf(config) }
+  return { ok: true, version: config.version, itemVersion: getRoutesVersion(config) }
 }
 
 function reject (code: 'versionConflict' | 'badRequest', detail: string): ChangeAnswer {
@@ -67,7 +67,7 @@
 
 function applyRouteSetChange (config: Config, acceptedChanges: AcceptedRouteChanges, command: ReplaceRoutesCommand | UpdateRoutesCommand, version: number): ChangeAnswer {
   if (acceptedChanges.has(command.order)) return accept(config)
-  const current = routesVersionOf(config)
+  const current = getRoutesVersion(config)
   if (command.baseVersion !== current) return reject('versionConflict', `based on version ${command.baseVersion}, but the current version is ${current}`)
   if (command.routesVersion <= current) return reject('badRequest', `version: ${command.routesVersion} is not above the current version ${current}`)
   const next = command.type === 'replaceRoutes' ? command.set : mergeRoutes(config, command)
@@ -88,7 +88,7 @@
 }
 
 function mergeRoutes (config: Config, command: UpdateRoutesCommand): RouteSet | undefined {
-  const current = routeSetOf(config)
+  const current = findRouteSet(config)
   if (current === undefined) return undefined
   return {
     routes: mergeByName(current.routes, command.putRoutes, command.removeRoutes),
@@ -125,7 +125,7 @@
   if (!(route.timeoutMs > 0)) return 'timeout must be above 0'
   if (route.aimMs >= route.timeoutMs + maxAimAboveTimeoutMs) return 'latency objective must be less than a minute above the timeout'
   if (!route.pathPrefix.startsWith('/') || !route.pathPrefix.endsWith('/')) return 'pathPrefix must begin and end with a slash'
-  const routeServices = partsOf(route)
+  const routeServices = getRouteServices(route)
   if (routeServices.length === 0) return 'has no service'
   const unknownService = routeServices.find(entry => !services.has(entry.service))
   if (unknownService !== undefined) return `service '${unknownService.service}' is not known`
@@ -135,7 +135,7 @@
 }
 
 /** Returns the services of a route with their weights. */
-export function partsOf (route: Route): readonly RouteService[] {
+export function getRouteServices (route: Route): readonly RouteService[] {
   return route.service === undefined ? route.split : [{ service: route.service, weight: 1 }]
 }
 
@@ -166,7 +166,7 @@
   const { failureDomain, isActive, baseVersion } = command
   const current = findItem(config, 'evacuation', failureDomain)
   if ((current?.isActive ?? false) === isActive) return accept(config)
-  const changedAt = versionOf(config, 'evacuation', failureDomain)
+  const changedAt = getItemVersion(config, 'evacuation', failureDomain)
   // A command that was delayed at a paused or disconnected VM must not undo a later change that has been confirmed.
   if (baseVersion !== undefined && changedAt > baseVersion) {
     return reject('versionConflict', `failure domain '${failureDomain}' changed at version ${changedAt}, after base version ${baseVersion}`)
@@ -175,9 +175,9 @@
   return accept(config)
 }
 
-function announce (config: Config, facts: BackendFacts, version: number): ChangeAnswer {
+function announce (config: Config, facts: BackendAnnouncement, version: number): ChangeAnswer {
   const current = findItem(config, 'backend', facts.id)
-  if (!isCredible(config, facts, current)) return accept(config)
+  if (!acceptsAnnouncement(config, facts, current)) return accept(config)
   for (const other of listOthersAtAddress(config, facts)) setBackendState(config, other, 'gone', version)
   // Draining is final for an incarnation, but doesn't apply to the next incarnation under the same id.
   const isDraining = facts.isDraining || (current?.state === 'draining' && !isLaterIncarnation(facts, current))
@@ -194,7 +194,7 @@
  * its successor; so could an announcement for a service that is not configured. A server that answers would then get no
  * requests, or requests would go to a server that has ended.
  */
-export function isCredible (config: Config, facts: BackendFacts, current = findItem(config, 'backend', facts.id)): boolean {
+export function acceptsAnnouncement (config: Config, facts: BackendAnnouncement, current = findItem(config, 'backend', facts.id)): boolean {
   if (!isKnownService(config, facts.service)) return false
   if (listOthersAtAddress(config, facts).some(other => other.state !== 'lost' && isEarlierIncarnation(facts, other))) return false
   if (current === undefined || isLaterIncarnation(facts, current)) return true
@@ -210,20 +210,20 @@
  * configured.
  */
 function isKnownService (config: Config, service: ServiceId): boolean {
-  return routesVersionOf(config) === 0 || findItem(config, 'upstream', service)?.upstream !== undefined
+  return getRoutesVersion(config) === 0 || findItem(config, 'upstream', service)?.upstream !== undefined
 }
 
 /** Returns the other servers at the same address that have not ended. */
-function listOthersAtAddress (config: Config, facts: BackendFacts): BackendItem[] {
+function listOthersAtAddress (config: Config, facts: BackendAnnouncement): BackendItem[] {
   return listItems(config, 'backend').filter(other => other.key !== facts.id && other.facts.address === facts.address && other.state !== 'gone')
 }
 
 /** Whether an announcement is from a later incarnation than the known one; false if the known start time is missing. */
-function isLaterIncarnation (facts: BackendFacts, current: BackendItem): boolean {
+function isLaterIncarnation (facts: BackendAnnouncement, current: BackendItem): boolean {
   return facts.bornAt > current.facts.bornAt && current.facts.bornAt > 0
 }
 
-function isEarlierIncarnation (facts: BackendFacts, current: BackendItem): boolean {
+function isEarlierIncarnation (facts: BackendAnnouncement, current: BackendItem): boolean {
   return facts.bornAt > 0 && facts.bornAt < current.facts.bornAt
 }
 
@@ -244,9 +244,9 @@
 }
 
 /** Whether an announcement changes the configuration by more than its sequence number and remaining cold time. */
-export function isNews (config: Config, facts: BackendFacts): boolean {
+export function hasBackendChanged (config: Config, facts: BackendAnnouncement): boolean {
   const current = findItem(config, 'backend', facts.id)
-  if (!isCredible(config, facts, current)) return false
+  if (!acceptsAnnouncement(config, facts, current)) return false
   if (current === undefined || current.state === 'lost' || isLaterIncarnation(facts, current)) return true
   if (facts.isDraining !== (current.state === 'draining')) return facts.isDraining
   const { service, address, failureDomain, slots, software } = current.facts
@@ -255,7 +255,7 @@
 }
 
 /** Returns the ids of the servers that are serving or draining. */
-export function presentBackends (config: Config): ServerId[] {
+export function listPresentBackends (config: Config): ServerId[] {
   return listItems(config, 'backend').filter(item => item.state === 'serving' || item.state === 'draining').map(item => item.key)
 }
 
--- a/packages/state/src/types/profile.ts
+++ b/packages/state/src/types/profile.ts
@@ -5,7 +5,7 @@
 const namePattern = /^[a-z0-9][a-z0-9.-]{0,62}$/
 
 /** Returns the schema of a branded name: lower case letters, digits, dots and dashes. */
-export function nameSchema<Id extends string> (): z.ZodType<Id> {
+export function createNameSchema<Id extends string> (): z.ZodType<Id> {
   const schema = z.string().regex(namePattern, 'must start with a lower case letter or digit and hold only lower case letters, digits, dots and dashes, 63 at most')
   return schema as unknown as z.ZodType<Id>
 }
@@ -16,9 +16,9 @@
 
 /** Schema of a profile. All caps count requests in flight. Times are in milliseconds unless their name ends in `S`. */
 export const profileSchema = z.strictObject({
-  name: nameSchema<ProfileName>(),
+  name: createNameSchema<ProfileName>(),
   /** Regions in order of preference; a caller's own region comes first if the list contains it. */
-  places: z.array(nameSchema<RegionId>()).min(1).max(64),
+  places: z.array(createNameSchema<RegionId>()).min(1).max(64),
   /** Maximum number of requests in flight to one region, from all VMs together. */
   regionCaps: z.record(z.string().regex(namePattern), capSchema).default({}),
   /** Maximum number of requests in flight from one region's VMs to another region, by `from>to`. */
--- a/packages/state/src/types/routes.ts
+++ b/packages/state/src/types/routes.ts
@@ -65,7 +65,7 @@
 }
 
 /** The data that a backend server announces. */
-export interface BackendFacts {
+export interface BackendAnnouncement {
   readonly id: ServerId
   readonly service: ServiceId
   readonly address: string
@@ -90,18 +90,18 @@
 /** The version number that operators gave the routes; the configuration has one such item. */
 export interface RoutingItem { readonly kind: 'routing', readonly key: string, readonly routesVersion: number, readonly limits: CallerLimits }
 export interface EvacuationItem { readonly kind: 'evacuation', readonly key: FailureDomainId, readonly isActive: boolean }
-export interface BackendItem { readonly kind: 'backend', readonly key: ServerId, readonly facts: BackendFacts, readonly state: BackendState }
+export interface BackendItem { readonly kind: 'backend', readonly key: ServerId, readonly facts: BackendAnnouncement, readonly state: BackendState }
 
 /** Key of the only routing item. */
 export const routingKey = 'routes'
 
 /** Identifies a change of routes, so that a resent one is recognised. The id is a digest of the whole change. */
-export type OrderId = string & { readonly __brand: 'RouteChangeId' }
+export type RouteChangeId = string & { readonly __brand: 'RouteChangeId' }
 
 /** Replaces all routes, services and limits. */
 export interface ReplaceRoutesCommand {
   readonly type: 'replaceRoutes'
-  readonly order: OrderId
+  readonly order: RouteChangeId
   readonly baseVersion: number
   readonly routesVersion: number
   readonly set: RouteSet
@@ -110,7 +110,7 @@
 /** Adds, replaces and removes routes and upstreams by name. */
 export interface UpdateRoutesCommand {
   readonly type: 'updateRoutes'
-  readonly order: OrderId
+  readonly order: RouteChangeId
   readonly baseVersion: number
   readonly routesVersion: number
   readonly putRoutes: readonly Route[]
@@ -134,9 +134,9 @@
 }
 
 /** Applies the announcement of a server. */
-export interface AnnounceCommand { readonly type: 'announce', readonly facts: BackendFacts }
+export interface AnnounceCommand { readonly type: 'announce', readonly facts: BackendAnnouncement }
 /** Applies the announcements of several servers in order. */
-export interface AnnounceAllCommand { readonly type: 'announceAll', readonly servers: readonly BackendFacts[] }
+export interface AnnounceAllCommand { readonly type: 'announceAll', readonly servers: readonly BackendAnnouncement[] }
 /** Records that servers ended for good; with `bornAt`, only incarnations that started at or before it. */
 export interface DismissCommand { readonly type: 'dismiss', readonly ids: readonly ServerId[], readonly bornAt?: Millis }
 /** Records that servers stopped announcing themselves. The leader plans this command. */
