--- a/packages/limits/src/core/grantor.ts
+++ b/packages/limits/src/core/grantor.ts
@@ -1,15 +1,16 @@
 /**
- * The grantor's side of limits: what the leader remembers of its holders and how it plans shares.
- * Shares live in the log; the leader only keeps who reported what, and when, and may forget it.
+ * The grantor's side of limits: the leader tracks the holders' usage reports and plans each holder's share of a cap.
+ * Shares are stored in the replicated log. The leader keeps only the reports and their times, which a new leader can
+ * do without.
  */
 import type { HolderId, Millis, ResourceId } from '@lynxcourse/base'
 import type { Grant, Usage } from './holder.js'
-import { fairShares } from './fairShares.js'
+import { computeFairShares } from './fairShares.js'
 
-/** A share as the log holds it. */
+/** A holder's share of a cap, as stored in the log. */
 export interface Share {
   readonly amount: number
-  /** The most that an unexpired grant may still carry. */
+  /** Highest amount that an unexpired grant may still carry. */
   readonly ceiling: number
 }
 
@@ -24,6 +25,7 @@
 
 export interface SharePlan {
   readonly changes: readonly ShareChange[]
+  /** Shares whose ceiling can be lowered to their amount, because no higher grant is in use any more. */
   readonly lapsed: readonly ShareChange[]
 }
 
@@ -33,35 +35,37 @@
   readonly usages: ReadonlyMap<ResourceId, Usage>
 }
 
-interface Lowered {
+/** A share whose amount is below its ceiling. */
+interface PendingReduction {
   readonly amount: number
+  /** When this leader first saw the reduction. */
   readonly since: Millis
-  /** Log index by which the lowering is applied. */
+  /** Log index at which the reduction is known to be applied. */
   readonly serial: number
 }
 
 export interface Grantor {
   readonly ttlMs: Millis
-  /** Longest that a request may run after its grant: the longest deadline. */
+  /** Longest time that a request may run after it started under a grant: the longest deadline. */
   readonly holdMs: Millis
   reports: Map<HolderId, HolderReport>
-  lowered: Map<string, Lowered>
+  pendingReductions: Map<string, PendingReduction>
 }
 
-/** A share is moved only if it is off by more than this part, so that the log isn't filled by noise. */
-const deadband = 0.2
+/** Smallest relative change of a share that is worth a log entry; ignores fluctuations of demand. */
+const minRelativeChange = 0.2
 
-export function createGrantor (ttlMs: Millis, holdMs: Millis): Grantor {
-  return { ttlMs, holdMs, reports: new Map(), lowered: new Map() }
+export function createGrantor (ttlMs: Millis, maxRequestMs: Millis): Grantor {
+  return { ttlMs, holdMs: maxRequestMs, reports: new Map(), pendingReductions: new Map() }
 }
 
-/** Notes a holder's report. */
+/** Records a holder's usage report. */
 export function noteReport (grantor: Grantor, holder: HolderId, serial: number, usages: readonly Usage[], now: Millis): void {
   const byResource = new Map(usages.map(usage => [usage.resource, usage]))
   grantor.reports.set(holder, { at: now, serial, usages: byResource })
 }
 
-/** The grants that a holder gets with the answer to its report. */
+/** Returns the grants that answer a holder's report. */
 export function grantsFor (grantor: Grantor, shares: SharesByResource, holder: HolderId): Grant[] {
   const grants: Grant[] = []
   for (const [resource, holders] of shares) {
@@ -74,14 +78,14 @@
 /**
  * Plans the next change of shares.
  *
- * @param serial index of the log that `shares` stand at
- * @returns undefined when nothing is to be changed
+ * @param serial log index up to which `shares` is applied
+ * @returns undefined when no share needs to change
  */
 export function planShares (
   grantor: Grantor, caps: ReadonlyMap<ResourceId, number>, shares: SharesByResource, serial: number, now: Millis
 ): SharePlan | undefined {
-  dropSilent(grantor, now)
-  const lapsed = findLapsed(grantor, shares, serial, now)
+  dropExpiredReports(grantor, now)
+  const lapsed = findUnusedCeilings(grantor, shares, serial, now)
   const changes: ShareChange[] = []
   const resources = new Set([...caps.keys(), ...shares.keys()])
   for (const resource of resources) {
@@ -90,44 +94,44 @@
   return changes.length === 0 && lapsed.length === 0 ? undefined : { changes, lapsed }
 }
 
-function dropSilent (grantor: Grantor, now: Millis): void {
+function dropExpiredReports (grantor: Grantor, now: Millis): void {
   for (const [holder, report] of grantor.reports) {
     if (now - report.at > grantor.ttlMs) grantor.reports.delete(holder)
   }
 }
 
 /**
- * Shares whose former, higher amount is no longer out: the holder itself says so, or so much time
- * has passed that its grant and the requests under it have ended. The wait starts when this leader
- * first sees the lowering, since it can't know when its predecessor last granted.
+ * Finds reduced shares whose former, higher amount is no longer in use: either the holder's report acknowledges the
+ * reduction, or enough time has passed for the former grant and all requests under it to end. The time counts from
+ * when this leader first saw the reduction, because it cannot know when its predecessor last sent a grant.
  */
-function findLapsed (grantor: Grantor, shares: SharesByResource, serial: number, now: Millis): ShareChange[] {
+function findUnusedCeilings (grantor: Grantor, shares: SharesByResource, serial: number, now: Millis): ShareChange[] {
   const lapsed: ShareChange[] = []
-  const seen = new Set<string>()
+  const reducedKeys = new Set<string>()
   for (const [resource, holders] of shares) {
     for (const [holder, share] of holders) {
       if (share.amount >= share.ceiling) continue
       const key = `${resource} ${holder}`
-      seen.add(key)
-      const lowered = noteLowered(grantor, key, share.amount, serial, now)
-      const waited = now - lowered.since > grantor.ttlMs + grantor.holdMs
-      if (waited || isAcknowledged(grantor, holder, resource, share.amount, lowered.serial)) {
+      reducedKeys.add(key)
+      const reduction = trackReduction(grantor, key, share.amount, serial, now)
+      const isTimeOver = now - reduction.since > grantor.ttlMs + grantor.holdMs
+      if (isTimeOver || isAcknowledged(grantor, holder, resource, share.amount, reduction.serial)) {
         lapsed.push({ resource, holder, amount: share.amount })
       }
     }
   }
-  for (const key of grantor.lowered.keys()) {
-    if (!seen.has(key)) grantor.lowered.delete(key)
+  for (const key of grantor.pendingReductions.keys()) {
+    if (!reducedKeys.has(key)) grantor.pendingReductions.delete(key)
   }
   return lapsed
 }
 
-function noteLowered (grantor: Grantor, key: string, amount: number, serial: number, now: Millis): Lowered {
-  const known = grantor.lowered.get(key)
+function trackReduction (grantor: Grantor, key: string, amount: number, serial: number, now: Millis): PendingReduction {
+  const known = grantor.pendingReductions.get(key)
   if (known !== undefined && known.amount === amount) return known
-  const lowered = { amount, since: now, serial }
-  grantor.lowered.set(key, lowered)
-  return lowered
+  const reduction = { amount, since: now, serial }
+  grantor.pendingReductions.set(key, reduction)
+  return reduction
 }
 
 function isAcknowledged (grantor: Grantor, holder: HolderId, resource: ResourceId, amount: number, serial: number): boolean {
@@ -139,53 +143,53 @@
 function planResource (
   grantor: Grantor, resource: ResourceId, cap: number, holders: ReadonlyMap<HolderId, Share>, lapsed: readonly ShareChange[]
 ): ShareChange[] {
-  const live = [...grantor.reports.keys()].sort()
-  const wants = live.map(holder => grantor.reports.get(holder)?.usages.get(resource)?.wanted ?? 0)
-  const fair = fairShares(wants, cap)
-  const targets = new Map(live.map((holder, place) => [holder, fair[place] ?? 0]))
-  const lowerings: ShareChange[] = []
+  const reporting = [...grantor.reports.keys()].sort()
+  const demands = reporting.map(holder => grantor.reports.get(holder)?.usages.get(resource)?.wanted ?? 0)
+  const fairShares = computeFairShares(demands, cap)
+  const targets = new Map(reporting.map((holder, index) => [holder, fairShares[index] ?? 0]))
+  const reductions: ShareChange[] = []
   const raises: ShareChange[] = []
   const sum = [...holders.values()].reduce((total, share) => total + share.amount, 0)
-  for (const holder of new Set([...live, ...holders.keys()])) {
+  for (const holder of new Set([...reporting, ...holders.keys()])) {
     const target = targets.get(holder) ?? 0
     const amount = holders.get(holder)?.amount ?? 0
-    const want = wants[live.indexOf(holder)] ?? 0
-    if (!isWorthIt(amount, target, want, sum > cap)) continue
+    const demand = demands[reporting.indexOf(holder)] ?? 0
+    if (!shouldChange(amount, target, demand, sum > cap)) continue
     const change = { resource, holder, amount: target }
-    if (target < amount) lowerings.push(change)
+    if (target < amount) reductions.push(change)
     else raises.push(change)
   }
-  return [...lowerings, ...fitRaises(raises, holders, cap, lapsed)]
+  return [...reductions, ...limitRaises(raises, holders, cap, lapsed)]
 }
 
-function isWorthIt (amount: number, target: number, want: number, isOver: boolean): boolean {
+function shouldChange (amount: number, target: number, demand: number, isOverCap: boolean): boolean {
   if (amount === target) return false
-  if (isOver && target < amount) return true
+  if (isOverCap && target < amount) return true
   if (target === 0 || amount === 0) return true
-  if (want > amount && target > amount) return true
-  return Math.abs(target - amount) > Math.max(1, amount * deadband)
+  if (demand > amount && target > amount) return true
+  return Math.abs(target - amount) > Math.max(1, amount * minRelativeChange)
 }
 
-/** Raises only what the cap has room for while lowered shares are still out. */
-function fitRaises (
+/** Limits raises to the capacity that remains under the cap while reduced shares may still be in use. */
+function limitRaises (
   raises: readonly ShareChange[], holders: ReadonlyMap<HolderId, Share>, cap: number, lapsed: readonly ShareChange[]
 ): ShareChange[] {
-  const ceilings = ceilingsAfter(holders, raises[0]?.resource, lapsed)
-  let room = cap - [...ceilings.values()].reduce((sum, ceiling) => sum + ceiling, 0)
-  const fitted: ShareChange[] = []
+  const ceilings = computeCeilings(holders, raises[0]?.resource, lapsed)
+  let remaining = cap - [...ceilings.values()].reduce((sum, ceiling) => sum + ceiling, 0)
+  const limited: ShareChange[] = []
   for (const raise of raises) {
     const ceiling = ceilings.get(raise.holder) ?? 0
-    // Up to the ceiling a raise costs no room: it is still counted as out.
-    const amount = Math.min(raise.amount, ceiling + Math.max(0, room))
+    // A raise up to the ceiling takes no further capacity, because the ceiling already counts against the cap.
+    const amount = Math.min(raise.amount, ceiling + Math.max(0, remaining))
     if (amount <= (holders.get(raise.holder)?.amount ?? 0)) continue
-    room -= Math.max(0, amount - ceiling)
-    fitted.push({ ...raise, amount })
+    remaining -= Math.max(0, amount - ceiling)
+    limited.push({ ...raise, amount })
   }
-  return fitted
+  return limited
 }
 
-/** Ceilings once the lapsed ones of this plan have fallen; they fall before any raise is applied. */
-function ceilingsAfter (holders: ReadonlyMap<HolderId, Share>, resource: ResourceId | undefined, lapsed: readonly ShareChange[]): Map<HolderId, number> {
+/** Computes the ceilings as of this plan's `lapsed` entries, which are applied before any raise. */
+function computeCeilings (holders: ReadonlyMap<HolderId, Share>, resource: ResourceId | undefined, lapsed: readonly ShareChange[]): Map<HolderId, number> {
   const ceilings = new Map([...holders].map(([holder, share]) => [holder, share.ceiling]))
   for (const change of lapsed) {
     if (change.resource === resource) ceilings.set(change.holder, change.amount)
--- a/packages/limits/src/core/holder.ts
+++ b/packages/limits/src/core/holder.ts
@@ -1,36 +1,36 @@
 /**
- * The holder's side of limits: counts requests in flight per resource and admits new ones only
- * within unexpired grants. It counts a grant's life from when it asked, the grantor from when it
- * gave, so the holder always stops first.
+ * The holder's side of limits: counts requests in flight per resource and admits new ones only within unexpired
+ * grants. The holder counts a grant's lifetime from when it sent its report, the grantor from when it sent the grant,
+ * so a grant always expires at the holder first.
  */
 import type { Millis, ResourceId } from '@lynxcourse/base'
 
-/** A grant as it travels. */
+/** A grant as sent by the grantor. */
 export interface Grant {
   readonly resource: ResourceId
-  /** Most requests in flight. */
+  /** Maximum number of requests in flight. */
   readonly amount: number
   readonly ttlMs: Millis
 }
 
-interface HeldGrant {
+interface ActiveGrant {
   readonly amount: number
   readonly expiresAt: Millis
 }
 
-/** What a holder uses and wants of one resource. */
+/** A holder's usage of and demand for one resource. */
 export interface Usage {
   readonly resource: ResourceId
   readonly inFlight: number
-  /** Highest number in flight plus turned away since the last report. */
+  /** Highest sum of requests in flight and requests without capacity since the last report. */
   readonly wanted: number
 }
 
 export interface HolderLimits {
-  grants: Map<ResourceId, HeldGrant>
+  grants: Map<ResourceId, ActiveGrant>
   inFlight: Map<ResourceId, number>
   wanted: Map<ResourceId, number>
-  /** Highest grantor's number taken; answers with a lower one come late and are void. */
+  /** Highest log index of the grantor seen so far; grants with a lower one are out of date and ignored. */
   serial: number
 }
 
@@ -39,10 +39,10 @@
 }
 
 /**
- * Takes grants over.
+ * Replaces all grants by those that the grantor sent.
  *
- * @param serial the grantor's log index; grants of an older one could raise what was lowered since
- * @param askedAt when this holder sent the request that was answered
+ * @param serial the grantor's log index; grants of an older index could undo a reduction and are ignored
+ * @param askedAt when this holder sent the report that the grants answer
  */
 export function takeGrants (limits: HolderLimits, serial: number, grants: readonly Grant[], askedAt: Millis): void {
   if (serial < limits.serial) return
@@ -53,25 +53,29 @@
   }
 }
 
-/** How many more requests may start against a resource. */
-export function roomOf (limits: HolderLimits, resource: ResourceId, now: Millis): number {
+/** Returns how many more requests may start against a resource. */
+export function getRemainingCapacity (limits: HolderLimits, resource: ResourceId, now: Millis): number {
   const grant = limits.grants.get(resource)
   if (grant === undefined || now >= grant.expiresAt) return 0
   return Math.max(0, grant.amount - (limits.inFlight.get(resource) ?? 0))
 }
 
-/** Notes that a request would have used a resource; the next report asks for as much. */
+/**
+ * Records demand for a resource beyond the requests in flight; the next report includes it.
+ *
+ * @param extra number of requests that would use the resource if they had capacity
+ */
 export function noteWanted (limits: HolderLimits, resource: ResourceId, extra: number): void {
   const wanted = (limits.inFlight.get(resource) ?? 0) + extra
   limits.wanted.set(resource, Math.max(limits.wanted.get(resource) ?? 0, wanted))
 }
 
-/** Whether a request may start against all of these resources. */
+/** Returns whether a request may start against all of these resources. */
 export function mayEnter (limits: HolderLimits, resources: readonly ResourceId[], now: Millis): boolean {
-  return resources.every(resource => roomOf(limits, resource, now) > 0)
+  return resources.every(resource => getRemainingCapacity(limits, resource, now) > 0)
 }
 
-/** Counts a request in; pair it with `leaveLimits`. */
+/** Counts a request as in flight. Each call needs a matching call of `leaveLimits` when the request ends. */
 export function enterLimits (limits: HolderLimits, resources: readonly ResourceId[]): void {
   for (const resource of resources) {
     limits.inFlight.set(resource, (limits.inFlight.get(resource) ?? 0) + 1)
@@ -79,19 +83,19 @@
   }
 }
 
-/** Counts a request out. */
+/** Removes an ended request from the counts of requests in flight. */
 export function leaveLimits (limits: HolderLimits, resources: readonly ResourceId[]): void {
   for (const resource of resources) {
-    const left = (limits.inFlight.get(resource) ?? 0) - 1
-    if (left > 0) limits.inFlight.set(resource, left)
+    const remaining = (limits.inFlight.get(resource) ?? 0) - 1
+    if (remaining > 0) limits.inFlight.set(resource, remaining)
     else limits.inFlight.delete(resource)
   }
 }
 
-/** What to report of the capped resources; starts a new count of what is wanted. */
-export function reportUsage (limits: HolderLimits, capped: Iterable<ResourceId>): Usage[] {
+/** Returns the usage of the capped resources for a report, and resets the recorded demand. */
+export function reportUsage (limits: HolderLimits, cappedResources: Iterable<ResourceId>): Usage[] {
   const usages: Usage[] = []
-  for (const resource of capped) {
+  for (const resource of cappedResources) {
     const inFlight = limits.inFlight.get(resource) ?? 0
     usages.push({ resource, inFlight, wanted: Math.max(inFlight, limits.wanted.get(resource) ?? 0) })
   }
--- a/packages/limits/src/limits.ts
+++ b/packages/limits/src/limits.ts
@@ -1,2 +1,2 @@
-/** Caps on requests in flight, shared out as grants that expire. */
+/** Caps on requests in flight, divided among holders as grants that expire. */
 export * from './internal.js'
