--- a/packages/steering/src/core/drainPlan.ts
+++ b/packages/steering/src/core/drainPlan.ts
@@ -1,10 +1,10 @@
-/** Judges how far a drain has come. */
+/** Determines the progress of a drain. */
 import type { DrainId, Millis, VmId } from '@lynxcourse/base'
 
-/** What one VM last reported, by the leader's clock. */
+/** The last report of one VM, timed by the leader's clock. */
 export interface VmProgress {
   readonly vm: VmId
-  /** When the leader heard it. */
+  /** When the leader received the report. */
   readonly at: Millis
   /** Configuration version that the VM had in force. */
   readonly version: number
@@ -12,57 +12,58 @@
   readonly remaining: ReadonlyMap<DrainId, number>
 }
 
-/** A drain as the plan needs it. */
+/** The properties of a drain that determine its progress. */
 export interface DrainView {
   readonly id: DrainId
   readonly state: string
-  /** Unix milliseconds at which it is due. */
+  /** Start time, in Unix milliseconds. */
   readonly at: Millis
-  /** Configuration version at which it began. */
+  /** Configuration version at which the drain started. */
   readonly version: number
-  /** When this leader first saw it draining. */
+  /** When this leader first saw the drain in the state `draining`. */
   readonly seenAt: Millis
 }
 
 export interface DrainJudgement {
+  /** The event that the drain is ready for, if any. */
   readonly event: 'due' | 'empty' | undefined
-  /** Requests known to be in flight. */
+  /** Requests in flight according to the reports. */
   readonly remaining: number
-  /** VMs that have not yet shown that they hold the drain. */
+  /** VMs whose reports do not yet show the drain's configuration version. */
   readonly waitingFor: readonly VmId[]
 }
 
 /**
- * Judges a drain.
+ * Determines whether a drain is due, in progress or empty.
  *
- * What can go wrong: a VM that has not heard of the drain, or that is cut off, still sends work while
- * all others report none. So a drain is empty only when each VM heard of late holds its version, and
- * when so much time has passed that any VM not heard has lost its lease and ended what it had.
+ * A VM that has not received the drain, or that is partitioned from the leader, may still send requests while all
+ * other VMs report none in flight. A drain is therefore empty only when every VM with a recent report has the drain's
+ * version in force, and when enough time has passed that any other VM has lost its lease and finished its requests.
  *
- * @param leaseMs how long a VM may act on what it last heard
- * @param holdMs longest that a request may run
+ * @param leaseMs how long a VM may act on the last configuration that it received
+ * @param maxRequestMs longest time that a request may run
  */
 export function judgeDrain (
-  drain: DrainView, reports: Iterable<VmProgress>, leaseMs: Millis, holdMs: Millis, now: Millis
+  drain: DrainView, reports: Iterable<VmProgress>, leaseMs: Millis, maxRequestMs: Millis, now: Millis
 ): DrainJudgement {
   if (drain.state === 'scheduled') {
     return { event: drain.at <= now ? 'due' : undefined, remaining: 0, waitingFor: [] }
   }
   let remaining = 0
   const waitingFor: VmId[] = []
-  let anySilent = false
+  let hasStaleReport = false
   for (const report of reports) {
     const isFresh = now - report.at < leaseMs
     if (!isFresh) {
-      anySilent = true
+      hasStaleReport = true
       continue
     }
     if (report.version < drain.version) waitingFor.push(report.vm)
     remaining += report.remaining.get(drain.id) ?? 0
   }
   const elapsedMs = now - drain.seenAt
-  const silentAreDone = !anySilent || elapsedMs > leaseMs + holdMs
-  const leasesAreOver = elapsedMs > leaseMs
-  const isEmpty = drain.state === 'draining' && remaining === 0 && waitingFor.length === 0 && silentAreDone && leasesAreOver
+  const haveSilentVmsFinished = !hasStaleReport || elapsedMs > leaseMs + maxRequestMs
+  const haveLeasesExpired = elapsedMs > leaseMs
+  const isEmpty = drain.state === 'draining' && remaining === 0 && waitingFor.length === 0 && haveSilentVmsFinished && haveLeasesExpired
   return { event: isEmpty ? 'empty' : undefined, remaining, waitingFor }
 }
--- a/packages/steering/src/core/readings.ts
+++ b/packages/steering/src/core/readings.ts
@@ -1,39 +1,39 @@
 /**
- * Readings of a shift's two ends over a while.
+ * Load readings of a shift's origin and destination over a sliding window.
  *
- * What can go wrong: a single reading of a few dozen slots swings by a third of itself; a step planned
- * on a low one overloads the destination. So the destination counts with a high reading of the last
- * while, and the origin with the mean.
+ * A single reading over a few dozen slots fluctuates by about a third, and a step planned on a low reading overloads
+ * the destination. The destination therefore counts with a high quantile of the window, and the origin with the mean.
  */
 import type { Millis } from '@lynxcourse/base'
 
-/** One reading. */
+/** The load of both regions at one time. */
 export interface Reading {
   readonly at: Millis
   /** Requests in flight at the destination. */
   readonly busy: number
+  /** Requests in flight at the origin. */
   readonly originBusy: number
 }
 
-/** Readings older than this count no more. */
+/** Length of the window; older readings are dropped. */
 export const readingWindowMs = 3000
 
-/** Share of readings that lie below the one that counts for the destination. */
-const highShare = 0.9
+/** Quantile of the readings that is taken as the destination's load. */
+const destinationQuantile = 0.9
 
-/** Fewer readings than this tell too little to plan a step on. */
-export const leastReadings = 5
+/** Minimum number of readings needed to plan a step. */
+export const minReadings = 5
 
-/** Adds a reading and drops the old ones. */
+/** Returns the readings with a new one added and those outside the window removed. */
 export function addReading (readings: readonly Reading[], reading: Reading): Reading[] {
   return [...readings.filter(other => reading.at - other.at < readingWindowMs), reading]
 }
 
-/** What the readings come to; undefined while they are too few. */
+/** Returns the load of both regions over the window, or undefined when there are fewer than `minReadings` readings. */
 export function summarizeReadings (readings: readonly Reading[]): { readonly busy: number, readonly originBusy: number } | undefined {
-  if (readings.length < leastReadings) return undefined
+  if (readings.length < minReadings) return undefined
   const sorted = readings.map(reading => reading.busy).sort((a, b) => a - b)
-  const busy = sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * highShare))] ?? 0
+  const busy = sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * destinationQuantile))] ?? 0
   const originBusy = readings.reduce((sum, reading) => sum + reading.originBusy, 0) / readings.length
   return { busy, originBusy }
 }
--- a/packages/steering/src/core/shiftPlan.ts
+++ b/packages/steering/src/core/shiftPlan.ts
@@ -1,9 +1,9 @@
 /** Plans the steps of a shift of traffic between two regions. */
 import type { Millis } from '@lynxcourse/base'
 
-/** What is measured at the destination. */
+/** Load of a shift's destination and origin, as reported by the entry VMs. */
 export interface Headroom {
-  /** When the oldest of the reports behind it was made; undefined without any. */
+  /** Time of the oldest report included; undefined when there is none. */
   readonly measuredAt: Millis | undefined
   /** Requests in flight at the destination's servers. */
   readonly busy: number
@@ -13,23 +13,23 @@
   readonly originBusy: number
 }
 
-/** A shift as the plan needs it. */
+/** The properties of a shift that determine its next step. */
 export interface ShiftView {
   readonly state: string
   readonly percent: number
   readonly targetPercent: number
   readonly stepPercent: number
   readonly steppedAt: Millis
-  /** Most moved requests in flight. */
+  /** Maximum number of shifted requests in flight. */
   readonly cap: number
 }
 
 export interface ShiftTimes {
-  /** Cached look-ups live this long. */
+  /** Lifetime of cached look-ups. */
   readonly lookupTtlMs: Millis
-  /** Reports lag this much. */
+  /** Longest delay before a change of load shows in the reports. */
   readonly reportLagMs: Millis
-  /** Reports older than this are none. */
+  /** Reports older than this are ignored. */
   readonly staleMs: Millis
 }
 
@@ -39,54 +39,54 @@
   | { readonly type: 'step', readonly percent: number }
   | { readonly type: 'finish' }
 
-/** Most of the destination's slots that a shift may fill. */
-export const shiftFillLimit = 0.8
+/** Highest utilization of the destination's slots that a shift may cause. */
+export const maxShiftUtilization = 0.8
 
 /** A rule for the size of steps. */
 export abstract class StepRule {
   /** Name in the settings. */
   abstract readonly name: string
 
-  /** Largest sound step from here, in percent; 0 says to wait. */
+  /** Returns the size of the next step in percent of the service's callers at the origin, or 0 to wait. */
   abstract sizeOf (shift: ShiftView, headroom: Headroom): number
 }
 
-/** Every step has the shift's own size, if it fits at all. */
+/** Every step has the shift's configured size; the shift waits while the headroom is smaller. */
 export class FixedStepRule extends StepRule {
   readonly name = 'fixed'
 
   override sizeOf (shift: ShiftView, headroom: Headroom): number {
-    return fittingPercent(shift, headroom) >= shift.stepPercent ? shift.stepPercent : 0
+    return computeFittingPercent(shift, headroom) >= shift.stepPercent ? shift.stepPercent : 0
   }
 }
 
-/** A step is as large as half of the headroom at the destination allows. */
+/** A step uses up to half of the destination's headroom, and at most the shift's configured step size. */
 export class HeadroomStepRule extends StepRule {
   readonly name = 'headroom'
 
   override sizeOf (shift: ShiftView, headroom: Headroom): number {
-    const cautious = Math.floor(fittingPercent(shift, headroom) / 2)
-    return Math.min(shift.stepPercent, cautious)
+    const halfOfHeadroom = Math.floor(computeFittingPercent(shift, headroom) / 2)
+    return Math.min(shift.stepPercent, halfOfHeadroom)
   }
 }
 
-/** How many percent of the origin's whole load fit into the destination. */
-function fittingPercent (shift: ShiftView, headroom: Headroom): number {
-  const room = headroom.slots * shiftFillLimit - headroom.busy
-  if (room <= 0) return 0
-  const whole = headroom.originBusy / Math.max(0.01, 1 - shift.percent / 100)
-  const perPercent = whole / 100
-  if (perPercent === 0) return 100
-  return Math.floor(room / perPercent)
+/** Returns how many percent of the origin's load before the shift fit into the destination. */
+function computeFittingPercent (shift: ShiftView, headroom: Headroom): number {
+  const freeSlots = headroom.slots * maxShiftUtilization - headroom.busy
+  if (freeSlots <= 0) return 0
+  const originalLoad = headroom.originBusy / Math.max(0.01, 1 - shift.percent / 100)
+  const loadPerPercent = originalLoad / 100
+  if (loadPerPercent === 0) return 100
+  return Math.floor(freeSlots / loadPerPercent)
 }
 
-/** Decides what a shift does next. */
+/** Returns the next step of a shift, or the reason to wait. */
 export function planShift (shift: ShiftView, headroom: Headroom, rule: StepRule, times: ShiftTimes, now: Millis): ShiftStep {
   if (shift.state === 'settling') return planSettling(shift, times, now)
   if (shift.state !== 'moving') return { type: 'wait', reason: 'stopped' }
   if (shift.percent >= shift.targetPercent) return { type: 'step', percent: shift.percent }
   if (headroom.measuredAt === undefined || now - headroom.measuredAt > times.staleMs) {
-    // Without measurements nobody knows what the last step did; the next one could overload.
+    // Without recent reports the effect of the last step is unknown, and another step could overload the destination.
     return { type: 'wait', reason: 'noMeasurement' }
   }
   const size = rule.sizeOf(shift, headroom)
@@ -94,7 +94,7 @@
   return { type: 'step', percent: Math.min(shift.targetPercent, shift.percent + size) }
 }
 
-/** Callers go on by cached look-ups until those run out; only then do reports show the whole step. */
+/** Waits until callers' cached look-ups have expired and the reports include the whole effect of the last step. */
 function planSettling (shift: ShiftView, times: ShiftTimes, now: Millis): ShiftStep {
   const settledAt = shift.steppedAt + times.lookupTtlMs + times.reportLagMs
   if (now < settledAt) return { type: 'wait', reason: 'caches' }
--- a/packages/steering/src/internal.ts
+++ b/packages/steering/src/internal.ts
@@ -1,4 +1,4 @@
-/** Fixes the order in which the modules of this package load. */
+/** Defines the load order of this package's modules. */
 export * from './core/drainPlan.js'
 export * from './core/readings.js'
 export * from './core/shiftPlan.js'
--- a/packages/steering/src/steering.ts
+++ b/packages/steering/src/steering.ts
@@ -1,2 +1,2 @@
-/** Drains and shifts: how far they are and what their next step is. */
+/** Progress and next steps of drains and of traffic shifts between regions. */
 export * from './internal.js'
