--- a/packages/routing/__tests__/connections.test.ts
+++ b/packages/routing/__tests__/connections.test.ts
@@ -1,27 +1,27 @@
-/** When a kept connection may carry a request. */
+/** When a pooled connection may carry a request. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { loadChart } from '@lynxcourse/base'
-import { createConnectionState, defaultConnections, isSilent, mayCarry, noteProgress, takeConnectionEvent } from '@lynxcourse/routing'
+import { createConnectionState, defaultConnectionCfg, isSilent, mayCarry, noteProgress, takeConnectionEvent } from '@lynxcourse/routing'
 import { createRestMemory, longestRest, noteRestedReset, noteSilence } from '@lynxcourse/placement'
 
-test('an idle connection that was quiet is not used, sooner for what must not repeat', () => {
-  // Guards against this failure: a request hangs until its deadline.
+test('a connection without recent progress is not reused, with a shorter limit for requests that must not repeat', () => {
+  // Guards against this failure: a request on a connection that a middlebox has dropped hangs until its deadline.
   const connections = loadChart('connection')
   const connection = createConnectionState(connections, 0)
-  const { staleMs, silentMs } = defaultConnections
-  assert.equal(mayCarry(defaultConnections, connection, true, staleMs / 2 - 1), true)
-  assert.equal(mayCarry(defaultConnections, connection, true, staleMs / 2), false)
-  assert.equal(mayCarry(defaultConnections, connection, false, staleMs / 2), true)
-  assert.equal(mayCarry(defaultConnections, connection, false, staleMs), false)
+  const { staleMs, silentMs } = defaultConnectionCfg
+  assert.equal(mayCarry(defaultConnectionCfg, connection, true, staleMs / 2 - 1), true)
+  assert.equal(mayCarry(defaultConnectionCfg, connection, true, staleMs / 2), false)
+  assert.equal(mayCarry(defaultConnectionCfg, connection, false, staleMs / 2), true)
+  assert.equal(mayCarry(defaultConnectionCfg, connection, false, staleMs), false)
   takeConnectionEvent(connections, connection, 'take')
-  assert.equal(isSilent(defaultConnections, connection, silentMs + 1), true)
+  assert.equal(isSilent(defaultConnectionCfg, connection, silentMs + 1), true)
   noteProgress(connections, connection, silentMs)
-  assert.equal(isSilent(defaultConnections, connection, silentMs + 1), false)
+  assert.equal(isSilent(defaultConnectionCfg, connection, silentMs + 1), false)
 })
 
-/** Guards against this failure: firm offers fail with a reset connection, some dozens within seconds. */
-test('resets of rested connections at two servers bound the rest before a request that must not repeat', () => {
+/** Guards against this failure: dozens of requests that must not repeat fail within seconds with a connection reset. */
+test('resets of idle connections at two servers limit the idle time before a request that must not repeat', () => {
   const memory = createRestMemory()
   noteRestedReset(memory, 'a:80', 400, 1000)
   noteRestedReset(memory, 'a:80', 350, 1100)
@@ -31,19 +31,19 @@
   assert.equal(longestRest(memory, 1300 + 8000), Infinity)
 })
 
-test('a reset of a connection in steady use tells of a crash and bounds nothing', () => {
+test('a reset of a connection in steady use indicates a crash and does not limit the idle time', () => {
   const memory = createRestMemory()
   for (const address of ['a:80', 'b:80', 'c:80']) noteRestedReset(memory, address, 20, 1000)
   assert.equal(longestRest(memory, 1001), Infinity)
 })
 
-/** Guards against this failure: requests that must not repeat hang to their time limits for seconds. */
-test('connections silent at two servers leave only those that showed life after them', () => {
+/** Guards against this failure: for seconds, requests that must not repeat hang until their deadlines. */
+test('after silent connections at two servers, only connections with later progress are used', () => {
   const memory = createRestMemory()
   noteSilence(memory, 'a:80', 700, 1000, 1500)
   assert.equal(longestRest(memory, 1500), Infinity)
   noteSilence(memory, 'b:80', 500, 1100, 1600)
-  // The second one showed life at 600 for the last time.
+  // The second connection made its last progress at 600 ms.
   assert.equal(longestRest(memory, 1700), 1100)
   assert.equal(longestRest(memory, 1600 + 8000), Infinity)
 })
--- a/packages/routing/__tests__/routeTable.test.ts
+++ b/packages/routing/__tests__/routeTable.test.ts
@@ -1,4 +1,4 @@
-/** Matching of routes, and splits. */
+/** Route matching and weighted splits. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -10,7 +10,7 @@
 const seed = 23
 console.log(`seed ${seed}`)
 
-test('the longest prefix of the host wins, and the port does not count', () => {
+test('the longest path prefix of the host matches, whatever the port', () => {
   const table = buildRouteTable([route('a', { pathPrefix: '/a/' }), route('ab', { pathPrefix: '/a/b/' }), route('other', { host: 'b.example', pathPrefix: '/' })])
   assert.equal(matchRoute(table, 'A.example:80', '/a/b/c')?.name, 'ab')
   assert.equal(matchRoute(table, 'a.example', '/a/bc')?.name, 'a')
@@ -18,10 +18,10 @@
   assert.equal(matchRoute(table, 'c.example', '/a/'), undefined)
 })
 
-test('a split keeps to its weights within one request over any stretch', () => {
+test('a split deviates from its weights by at most one request per part, after any number of requests', () => {
   const weights = fc.array(fc.integer({ min: 0, max: 100 }), { minLength: 2, maxLength: 5 }).filter(list => list.some(weight => weight > 0))
   fc.assert(fc.property(weights, fc.integer({ min: 1, max: 400 }), (list, count) => {
-    const split = list.map((weight, place) => ({ service: brandId<ServiceId>(`s${place}`), weight }))
+    const split = list.map((weight, index) => ({ service: brandId<ServiceId>(`s${index}`), weight }))
     const picker = new Map()
     const picked = new Map<string, number>()
     for (let sent = 0; sent < count; sent++) {
--- a/packages/routing/__tests__/routing.test.ts
+++ b/packages/routing/__tests__/routing.test.ts
@@ -1,4 +1,4 @@
-/** Blocks, look-ups, server policies, admission and the once-only flow of the service-addressed path. */
+/** Address blocks, look-ups, server policies, admission and the flow of once-only requests. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -7,7 +7,7 @@
 import {
   afterAttempt, afterClaim, afterRecord, afterSlot, buildBlockTable, buildLookupIndex, canFinish, createBackends, createBudget,
   createOnceFlow, createPace, createQueue, createRouter, defaultObservation, dequeue, earnRetry, enqueue, enterAttempt, findHopeless,
-  isUsable, lastSendAfterShed, leaveAttempt, lookupVms, makePolicy, maxBudget, noteEnded, notePace, noteReportedLoad, noteSent, openSlots,
+  isUsable, lastSendAfterShed, leaveAttempt, lookupVms, makePolicy, maxRetryTokens, noteEnded, notePace, noteReportedLoad, noteSent, openSlots,
   orderPlaces, parseIpv4, pausePace, refreshBackend, regionOfAddress, removeItem, retryAfter, routeRequest, setBackends, spendRetry,
   startOnce
 } from '@lynxcourse/routing'
@@ -19,52 +19,52 @@
 
 const [kochi, chennai, mumbai] = ['kochi', 'chennai', 'mumbai'].map(name => brandId<RegionId>(name)) as [RegionId, RegionId, RegionId]
 
-test('the table finds the narrowest block, as a plain search does', () => {
+test('the table finds the narrowest block, as a linear search does', () => {
   const block = fc.record({ base: fc.nat({ max: 2 ** 32 - 1 }), bits: fc.integer({ min: 1, max: 32 }), region: fc.nat(3) })
   fc.assert(fc.property(fc.array(block, { maxLength: 30 }), fc.array(fc.nat({ max: 2 ** 32 - 1 }), { maxLength: 30 }), (list, addresses) => {
-    const text = (address: number): string => [24, 16, 8, 0].map(shift => (address >>> shift) & 255).join('.')
+    const formatAddress = (address: number): string => [24, 16, 8, 0].map(shift => (address >>> shift) & 255).join('.')
     const seen = new Set<string>()
-    const plain = list.map(({ base, bits, region }) => ({ start: Math.floor(base / 2 ** (32 - bits)) * 2 ** (32 - bits), bits, region }))
+    const uniqueBlocks = list.map(({ base, bits, region }) => ({ start: Math.floor(base / 2 ** (32 - bits)) * 2 ** (32 - bits), bits, region }))
       .filter(({ start, bits }) => !seen.has(`${start}/${bits}`) && seen.add(`${start}/${bits}`))
-    const blocks: CallerBlock[] = plain.map(({ start, bits, region }) => ({ cidr: `${text(start)}/${bits}`, region: brandId(`r${region}`) }))
+    const blocks: CallerBlock[] = uniqueBlocks.map(({ start, bits, region }) => ({ cidr: `${formatAddress(start)}/${bits}`, region: brandId(`r${region}`) }))
     const table = buildBlockTable(blocks)
-    for (const address of [...addresses, ...plain.map(one => one.start), ...plain.map(one => Math.max(0, one.start - 1))]) {
-      const holders = plain.filter(({ start, bits }) => address >= start && address < start + 2 ** (32 - bits)).sort((a, b) => b.bits - a.bits)
-      const expected = holders[0] === undefined ? undefined : `r${holders[0].region}`
+    for (const address of [...addresses, ...uniqueBlocks.map(unique => unique.start), ...uniqueBlocks.map(unique => Math.max(0, unique.start - 1))]) {
+      const matches = uniqueBlocks.filter(({ start, bits }) => address >= start && address < start + 2 ** (32 - bits)).sort((a, b) => b.bits - a.bits)
+      const expected = matches[0] === undefined ? undefined : `r${matches[0].region}`
       assert.equal(regionOfAddress(table, address), expected)
     }
   }), run)
 })
 
-test('a block that is none is refused with its place', () => {
+test('an invalid block is rejected with its index', () => {
   assert.throws(() => buildBlockTable([{ cidr: '10.0.0.0/33', region: kochi }]), err => isLynxError(err, 'badSettings') && err.field === 'callerBlocks.0.cidr')
   assert.equal(parseIpv4('::ffff:10.0.0.1'), 10 * 2 ** 24 + 1)
   assert.equal(parseIpv4('::1'), undefined)
 })
 
-const placeInput = { service: brandId<never>('s'), places: [kochi, chennai, mumbai], callerRegion: mumbai, drained: new Set<RegionId>(), shifts: [], callerHash: 5, latencies: new Map([['mumbai>chennai', 10]]) }
+const orderInput = { service: brandId<never>('s'), places: [kochi, chennai, mumbai], callerRegion: mumbai, drained: new Set<RegionId>(), shifts: [], callerHash: 5, latencies: new Map([['mumbai>chennai', 10]]) }
 
-test('a caller\'s own region goes first, then by latency; drained regions not at all', () => {
-  const names = (input: object): string[] => orderPlaces({ ...placeInput, ...input }).map(place => place.region)
-  assert.deepEqual(names({}), ['mumbai', 'chennai', 'kochi'])
-  assert.deepEqual(names({ drained: new Set([mumbai]) }), ['chennai', 'kochi'])
+test('a caller\'s own region is first, the others follow by latency, and drained regions are left out', () => {
+  const getOrder = (input: object): string[] => orderPlaces({ ...orderInput, ...input }).map(candidate => candidate.region)
+  assert.deepEqual(getOrder({}), ['mumbai', 'chennai', 'kochi'])
+  assert.deepEqual(getOrder({ drained: new Set([mumbai]) }), ['chennai', 'kochi'])
 })
 
-test('a shift takes its share of callers, and keeps those it has as it grows', () => {
-  const shiftAt = (percent: number) => ({ id: brandId<ShiftId>('m'), service: placeInput.service, from: mumbai, to: kochi, percent })
-  const taken = (percent: number): Set<number> => new Set(Array.from({ length: 512 }, (_, hash) => hash).filter(hash =>
-    orderPlaces({ ...placeInput, callerHash: hash, shifts: [shiftAt(percent)] })[0]?.region === kochi))
-  assert.equal(taken(0).size, 0)
-  assert.equal(taken(50).size, 256)
-  assert.equal(taken(100).size, 512)
-  for (const hash of taken(30)) assert.ok(taken(40).has(hash))
+test('a shift moves its percentage of callers, and keeps callers that it moved as the percentage grows', () => {
+  const createShift = (percent: number) => ({ id: brandId<ShiftId>('m'), service: orderInput.service, from: mumbai, to: kochi, percent })
+  const getShiftedHashes = (percent: number): Set<number> => new Set(Array.from({ length: 512 }, (_, hash) => hash).filter(hash =>
+    orderPlaces({ ...orderInput, callerHash: hash, shifts: [createShift(percent)] })[0]?.region === kochi))
+  assert.equal(getShiftedHashes(0).size, 0)
+  assert.equal(getShiftedHashes(50).size, 256)
+  assert.equal(getShiftedHashes(100).size, 512)
+  for (const hash of getShiftedHashes(30)) assert.ok(getShiftedHashes(40).has(hash))
 })
 
-test('look-ups name the first region\'s VMs first and suspected ones last', () => {
+test('look-ups list the first region\'s VMs first and suspected VMs last', () => {
   const entryVm = (name: string, region: RegionId, suspected = false): EntryVm => ({ vm: brandId(name), region, failureDomain: brandId('d'), http: '127.0.0.1:1', suspected })
   const index = buildLookupIndex([entryVm('k1', kochi), entryVm('m1', mumbai, true), entryVm('m2', mumbai), entryVm('c1', chennai)])
-  const places = orderPlaces(placeInput)
-  assert.deepEqual(lookupVms(index, places, 7).map(vm => vm.vm), ['m2', 'c1', 'k1', 'm1'])
+  const candidates = orderPlaces(orderInput)
+  assert.deepEqual(lookupVms(index, candidates, 7).map(vm => vm.vm), ['m2', 'c1', 'k1', 'm1'])
 })
 
 function backend (name: string, fields: Partial<Backend> = {}): Backend {
@@ -73,9 +73,9 @@
 
 const chart = loadChart('server')
 
-test('slot leases: the VMs of a region share out each slot once', () => {
+test('slot leases: each slot belongs to exactly one VM of the region', () => {
   fc.assert(fc.property(fc.integer({ min: 1, max: 12 }), fc.integer({ min: 1, max: 6 }), fc.string({ minLength: 1 }), (vms, slots, name) => {
-    const peers = Array.from({ length: vms }, (_, place) => brandId<VmId>(`vm${place}`))
+    const peers = Array.from({ length: vms }, (_, index) => brandId<VmId>(`vm${index}`))
     const backends = createBackends(defaultObservation, chart)
     setBackends(backends, [backend(name, { slots })], 0)
     const observed = backends.byId.get(brandId<ServerId>(name))
@@ -90,8 +90,8 @@
   }), run)
 })
 
-test('a VM of another region finds slots under every policy', () => {
-  // Guards against this failure: a region is drained and its callers are refused although other regions are idle.
+test('a VM of another region may use slots under every policy', () => {
+  // Guards against this failure: callers of a drained region are rejected although other regions have free slots.
   const backends = createBackends(defaultObservation, chart)
   setBackends(backends, [backend('a')], 0)
   const observed = backends.byId.get(brandId<ServerId>('a'))
@@ -100,7 +100,7 @@
   for (const policy of ['alone', 'slots', 'owner'] as const) assert.ok(makePolicy(policy).slotsFor(observed, ctx) > 0, policy)
 })
 
-test('a server that fails is set aside, for longer each time, and let back slowly', () => {
+test('a failing server is ejected, for longer each time, and returns with a slow start', () => {
   const backends = createBackends(defaultObservation, chart)
   setBackends(backends, [backend('a')], 0)
   const observed = backends.byId.get(brandId<ServerId>('a'))
@@ -118,10 +118,10 @@
   assert.equal(openSlots(defaultObservation, observed, 12_000), 1, 'slow start')
   fail(12_000)
   refreshBackend(backends, observed, 12_000 + defaultObservation.ejectMs)
-  assert.equal(isUsable(observed, 14_000), false, 'the second time lasts twice as long')
+  assert.equal(isUsable(observed, 14_000), false, 'the second ejection lasts twice as long')
 })
 
-test('a server that shed is left alone for a while, and reports that make no sense are dropped', () => {
+test('a server that shed is paused for a short time, and invalid load reports are ignored', () => {
   const backends = createBackends(defaultObservation, chart)
   setBackends(backends, [backend('a')], 0)
   const observed = backends.byId.get(brandId<ServerId>('a'))
@@ -134,109 +134,109 @@
   assert.equal(observed.reportedLoad, 0)
 })
 
-test('no more in flight at a server than its slots, nothing to one that leaves, and none past a limit', () => {
+test('a server gets no more requests than it has slots, none after it is leaving, and none beyond a limit', () => {
   const choices = fc.array(fc.record({ send: fc.boolean(), leave: fc.nat(3), pick: fc.nat(20), open: fc.boolean() }), { maxLength: 80 })
   fc.assert(fc.property(choices, list => {
     const router = createRouter({ self: brandId('v'), region: kochi, policy: makePolicy('alone'), observation: defaultObservation, chart, random: makeRandom(3), latencies: new Map() })
     router.peers = new Map([[kochi, [brandId<VmId>('v')]]])
-    const left = new Set<string>()
-    const open: Array<Parameters<typeof leaveAttempt>[1]> = []
+    const leavingIds = new Set<string>()
+    const inFlight: Array<Parameters<typeof leaveAttempt>[1]> = []
     let now = 100_000
     for (const { send, leave, pick, open: isOpen } of list) {
       now += 10
-      if (leave === 0) left.add(`s${pick % 4}`)
-      setBackends(router.backends, [0, 1, 2, 3].map(n => backend(`s${n}`, { leaving: left.has(`s${n}`) })), now - 60_000)
+      if (leave === 0) leavingIds.add(`s${pick % 4}`)
+      setBackends(router.backends, [0, 1, 2, 3].map(n => backend(`s${n}`, { leaving: leavingIds.has(`s${n}`) })), now - 60_000)
       if (send) {
         const gate = { mayEnter: () => isOpen, resourcesOf: () => [] }
         const decision = routeRequest(router, { service: brandId('s'), places: [{ region: kochi, shift: undefined }], tried: new Set() }, gate, now)
         if (decision.type === 'wait') continue
         assert.ok(isOpen)
-        assert.ok(!left.has(decision.observed.backend.id))
+        assert.ok(!leavingIds.has(decision.observed.backend.id))
         assert.ok(decision.observed.inFlight < 3)
         enterAttempt(decision.observed)
-        open.push(decision.observed)
+        inFlight.push(decision.observed)
       } else {
-        const [observed] = open.splice(pick % Math.max(1, open.length), 1)
+        const [observed] = inFlight.splice(pick % Math.max(1, inFlight.length), 1)
         if (observed !== undefined) leaveAttempt(router, observed, 'answered', 5, now)
       }
     }
   }), run)
 })
 
-test('the queue gives out by deadline, stays within its bound, and lets anyone leave', () => {
-  fc.assert(fc.property(fc.array(fc.nat(100), { maxLength: 40 }), fc.nat(20), (deadlines, leaver) => {
+test('the queue returns items by deadline, keeps its limit, and allows any item to be removed', () => {
+  fc.assert(fc.property(fc.array(fc.nat(100), { maxLength: 40 }), fc.nat(20), (deadlines, removedIndex) => {
     const queue = createQueue<{ deadline: number, order: number }>(25)
     const items = deadlines.map((deadline, order) => ({ deadline, order })).filter(item => enqueue(queue, item))
     assert.ok(items.length <= 25)
-    const gone = items[leaver]
-    if (gone !== undefined) assert.ok(removeItem(queue, gone))
-    const expected = items.filter(item => item !== gone).sort((a, b) => a.deadline - b.deadline || a.order - b.order)
+    const removed = items[removedIndex]
+    if (removed !== undefined) assert.ok(removeItem(queue, removed))
+    const expected = items.filter(item => item !== removed).sort((a, b) => a.deadline - b.deadline || a.order - b.order)
     assert.deepEqual(expected.map(() => dequeue(queue)), expected)
     assert.equal(dequeue(queue), undefined)
   }), run)
 })
 
-test('retries stay within their share of requests', () => {
+test('retries stay within their fraction of requests', () => {
   const budget = createBudget()
   let spent = 0
   for (let n = 0; n < 1000; n++) {
     earnRetry(budget, 0.1)
     while (spendRetry(budget)) spent += 1
   }
-  assert.ok(spent <= 100 + maxBudget, `${spent}`)
+  assert.ok(spent <= 100 + maxRetryTokens, `${spent}`)
 })
 
-test('what can\'t end in time is refused, with when to come back', () => {
+test('a request that cannot complete before its deadline is rejected with a retry delay', () => {
   const input = { deadline: 1000, slots: 3, waiting: 0, serviceMs: 100, overheadMs: 50, intervalMs: 0 }
   assert.equal(canFinish(input, 800), true)
   assert.equal(canFinish(input, 900), false)
   assert.equal(canFinish({ ...input, waiting: 30 }, 0), false)
   assert.equal(canFinish({ ...input, slots: 0 }, 0), false)
   assert.equal(retryAfter({ ...input, waiting: 30 }), 1000)
-  assert.equal(canFinish({ ...input, slots: 60, waiting: 30, intervalMs: 40 }, 0), false, 'slots that others fill')
+  assert.equal(canFinish({ ...input, slots: 60, waiting: 30, intervalMs: 40 }, 0), false, 'slots that other VMs use')
 })
 
-test('a request that was shed is not sent again so late that its deadline would cut the send', () => {
-  // Guards against this failure: a caller hears that the outcome of an offer is unknown, though every server said that it did not start it.
+test('a request that was shed is not sent again so late that its deadline would abort it in transit', () => {
+  // Guards against this failure: a caller receives an unknown outcome although every server stated that it did not start the request.
   assert.equal(lastSendAfterShed(1000, 1300), 1225)
-  assert.equal(lastSendAfterShed(1000, 1040), 1030, 'a short deadline leaves time for a send')
-  assert.equal(lastSendAfterShed(1000, 6000), 5900, 'a long one loses no more than an answer takes')
+  assert.equal(lastSendAfterShed(1000, 1040), 1030, 'a short deadline still allows another send')
+  assert.equal(lastSendAfterShed(1000, 6000), 5900, 'a long deadline is reduced by at most the time of a response')
 })
 
-test('those who can not be served in time at the present pace are found, and nobody else', () => {
-  // Guards against this failure: callers hear near their deadlines that they are not served.
+test('exactly the waiting requests that cannot complete in time at the present rate are found', () => {
+  // Guards against this failure: callers are rejected only shortly before their deadlines.
   const pace = createPace()
   for (let now = 0; now <= 1000; now += 10) notePace(pace, now)
   assert.equal(pace.intervalMs, 10)
   const items = Array.from({ length: 50 }, (_, order) => ({ deadline: 1400, order }))
-  const hopeless = findHopeless(items, pace, 100, 1000)
-  assert.deepEqual(hopeless.map(item => item.order), Array.from({ length: 19 }, (_, n) => n + 31))
+  const unservable = findHopeless(items, pace, 100, 1000)
+  assert.deepEqual(unservable.map(item => item.order), Array.from({ length: 19 }, (_, n) => n + 31))
   pausePace(pace)
   notePace(pace, 9000)
-  assert.equal(pace.intervalMs, 10, 'idle time is no pace')
+  assert.equal(pace.intervalMs, 10, 'idle time is not an interval between completions')
 })
 
-test('the once-only flow: every path ends, nothing is sent without a claim, not-run only with proof', () => {
+test('once-only flow: every path ends, nothing is sent without a claim, and not-run is answered only with proof', () => {
   const attempt = loadChart('attempt')
   fc.assert(fc.property(fc.infiniteStream(fc.nat(7)), choices => {
     const next = (): number => choices.next().value as number
     const flow = createOnceFlow(attempt)
     let effect: OnceEffect = startOnce(flow, next() > 1)
-    let claimed = false
+    let isClaimed = false
     let ran: 'no' | 'maybe' | 'yes' = 'no'
-    let recorded = false
+    let isRecorded = false
     for (let count = 0; effect.type !== 'answer'; count++) {
-      assert.ok(count < 60, 'ends')
+      assert.ok(count < 60, 'the flow ends')
       switch (effect.type) {
         case 'claim': {
           const event = (['granted', 'granted', 'taken', 'refused', 'noAnswer'] as const)[next() % 5] ?? 'granted'
-          claimed = event === 'granted'
+          isClaimed = event === 'granted'
           effect = afterClaim(flow, event)
           break
         }
         case 'getSlot': effect = afterSlot(flow, next() === 0 ? 'none' : undefined); break
         case 'send': {
-          assert.ok(claimed)
+          assert.ok(isClaimed)
           assert.equal(ran, 'no')
           const event = (['answered', 'lost', 'shed', 'notSent'] as const)[next() % 4] ?? 'lost'
           if (event === 'answered') ran = 'yes'
@@ -245,12 +245,12 @@
           break
         }
         case 'recordNotRun':
-          recorded = next() > 2
-          effect = afterRecord(recorded, effect.reason)
+          isRecorded = next() > 2
+          effect = afterRecord(isRecorded, effect.reason)
           break
       }
     }
-    if (effect.told === 'notRun') assert.ok(ran === 'no' && recorded)
+    if (effect.told === 'notRun') assert.ok(ran === 'no' && isRecorded)
     if (ran === 'yes') assert.equal(effect.told, 'done')
     if (ran === 'maybe') assert.deepEqual([effect.told, effect.record], ['unknown', 'unknown'])
   }), run)
--- a/packages/routing/src/core/admission.ts
+++ b/packages/routing/src/core/admission.ts
@@ -1,119 +1,125 @@
-/** Admission: whether a request can still be served in time, judged before anything is spent on it. */
+/** Admission control: estimates whether a request can complete before its deadline, before any work is spent on it. */
 import type { Millis } from '@lynxcourse/base'
 import type { Waiting } from './deadlineQueue.js'
 
-/** What admission knows when a request arrives. */
+/** What is known when a request arrives. */
 export interface AdmissionInput {
   readonly deadline: Millis
-  /** Slots that this VM may fill for the service, in all places open to the request. */
+  /** Slots that this VM may use for the service, in all regions available to the request. */
   readonly slots: number
+  /** Number of requests that already wait for the service. */
   readonly waiting: number
   /** Smoothed service time. */
   readonly serviceMs: Millis
-  /** Smoothed time between two requests that ended while others waited; 0 while nobody had to wait. */
+  /** Smoothed interval between completions while other requests wait; 0 as long as no request had to wait. */
   readonly intervalMs: Millis
-  /** Two-way latency to the nearest place, with that of a claim if one is needed. */
+  /** Round-trip time to the first region, plus that of a claim if the request needs one. */
   readonly overheadMs: Millis
 }
 
-/** Shortest and longest times that a caller is told to stay away, in milliseconds. */
+/** Bounds of the retry delay sent to rejected callers, in milliseconds. */
 const minRetryAfterMs = 200
 const maxRetryAfterMs = 30_000
 
 /**
- * Waits are taken for this much longer than the present pace says. The pace of a VM that shares servers
- * with others wanders; without a margin many are let in that are turned away after a long wait.
+ * Factor applied to estimated waiting times. The completion rate of a VM that shares servers with other VMs
+ * fluctuates; without a margin, many requests are admitted that are rejected later, after a long wait.
  */
 const waitMargin = 1.5
 
-/** The time at which a request that arrives now would end, with some caution. */
-export function expectedEnd (input: AdmissionInput, now: Millis): Millis {
-  return now + input.overheadMs + expectedWait(input) * waitMargin + input.serviceMs
+/** Estimates when a request that arrives now would complete, with a margin for the waiting time. */
+export function estimateCompletion (input: AdmissionInput, now: Millis): Millis {
+  return now + input.overheadMs + estimateWaitMs(input) * waitMargin + input.serviceMs
 }
 
 /**
- * How long a request that arrives now would wait. Slots tell too little where several VMs fill the same
- * ones, so the pace at which requests really end is asked as well; the longer answer counts.
+ * Estimates how long a request that arrives now would wait. The number of slots alone is not enough where several VMs
+ * use the same slots, so the completion rate is considered as well; the longer of both estimates counts.
  */
-export function expectedWait (input: AdmissionInput): Millis {
+export function estimateWaitMs (input: AdmissionInput): Millis {
   const bySlots = Math.floor(input.waiting / Math.max(1, input.slots)) * input.serviceMs
-  const byPace = input.waiting * input.intervalMs
-  return Math.max(bySlots, byPace)
+  const byCompletions = input.waiting * input.intervalMs
+  return Math.max(bySlots, byCompletions)
 }
 
-/** Whether a request would end before its deadline. */
+/** Returns whether a request is expected to complete before its deadline. */
 export function canFinish (input: AdmissionInput, now: Millis): boolean {
-  return input.slots > 0 && expectedEnd(input, now) <= input.deadline
+  return input.slots > 0 && estimateCompletion(input, now) <= input.deadline
 }
 
-/** Most sheds of one request while others wait for the same service: then there is no room, and it hears so. */
-const maxShedsInQueue = 8
+/** Sheds after which a request is rejected if others wait for the same service, since the service has no free capacity. */
+const maxShedsWithQueue = 8
 
-/** Most sheds of one request at all; each costs a message. */
+/** Sheds after which a request is rejected in any case, since each shed costs a message. */
 const maxSheds = 60
 
-/** Whether a request that was shed so often may go on looking for a slot. */
+/**
+ * Returns whether a request may try another slot after servers shed it.
+ *
+ * @param sheds how often the request was shed
+ * @param waiting number of requests that wait for the same service
+ */
 export function mayTryAfterSheds (sheds: number, waiting: number): boolean {
-  return sheds < (waiting > 0 ? maxShedsInQueue : maxSheds)
+  return sheds < (waiting > 0 ? maxShedsWithQueue : maxSheds)
 }
 
-/** Part of a request's time, and most of it in milliseconds, that is kept for the answer to its last send. */
-const answerPart = 0.25
-const maxAnswerMs = 100
+/** Time reserved for the response to the last send: a fraction of the request's total time, up to a maximum. */
+const responseFraction = 0.25
+const maxResponseMs = 100
 
 /**
- * The time after which a request that was shed is not sent again. A send shortly before the deadline is cut
- * while it is under way: the caller of a request that no server started then hears that its outcome is
- * unknown (three of seven requests that all servers shed, with 300 ms to go, on loopback), and may not repeat it.
+ * Returns the time after which a request that was shed is not sent again. A request sent shortly before its deadline
+ * is aborted in transit, and its caller receives an unknown outcome and must not repeat it although no server started
+ * it. With 300 ms to the deadline this happened to three of seven requests that all servers shed, even over loopback.
  */
 export function lastSendAfterShed (arrivedAt: Millis, deadline: Millis): Millis {
-  return deadline - Math.min(maxAnswerMs, (deadline - arrivedAt) * answerPart)
+  return deadline - Math.min(maxResponseMs, (deadline - arrivedAt) * responseFraction)
 }
 
-/** When a refused caller should come back: when the present queue will have been served. */
+/** Returns the delay after which a rejected caller should retry: the estimated time to serve the present queue. */
 export function retryAfter (input: AdmissionInput): Millis {
-  return Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, Math.ceil(expectedWait(input))))
+  return Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, Math.ceil(estimateWaitMs(input))))
 }
 
-/** The pace at which requests end while others wait. */
+/** Tracks the rate at which requests complete while others wait. */
 export interface Pace {
-  /** Smoothed time between two ends; 0 while unknown. */
+  /** Smoothed interval between two completions; 0 while unknown. */
   intervalMs: Millis
-  /** When the last request ended, if somebody has waited ever since. */
+  /** Time of the last completion; undefined if the queue has been empty since. */
   lastAt: Millis | undefined
 }
 
-const paceSmoothing = 0.1
+const intervalSmoothing = 0.1
 
 export function createPace (): Pace {
   return { intervalMs: 0, lastAt: undefined }
 }
 
-/** Notes that a request ended while others waited. */
+/** Records that a request completed while others waited. */
 export function notePace (pace: Pace, now: Millis): void {
   if (pace.lastAt !== undefined) {
-    const gap = now - pace.lastAt
-    pace.intervalMs = pace.intervalMs === 0 ? gap : pace.intervalMs + (gap - pace.intervalMs) * paceSmoothing
+    const interval = now - pace.lastAt
+    pace.intervalMs = pace.intervalMs === 0 ? interval : pace.intervalMs + (interval - pace.intervalMs) * intervalSmoothing
   }
   pace.lastAt = now
 }
 
-/** Notes that nobody waits: the next gap would count idle time. */
+/** Records that the queue is empty, so that the next interval does not include idle time. */
 export function pausePace (pace: Pace): void {
   pace.lastAt = undefined
 }
 
 /**
- * Those who wait and can't be served in time at the present pace. They are told at once: held until
- * their deadlines they would learn the same, later.
+ * Finds the waiting requests that cannot complete before their deadlines at the present completion rate. Rejecting them
+ * immediately lets their callers know before the deadline.
  */
 export function findHopeless<Item extends Waiting> (items: readonly Item[], pace: Pace, serviceMs: Millis, now: Millis): Item[] {
   const inOrder = [...items].sort((a, b) => a.deadline - b.deadline || a.order - b.order)
-  const hopeless: Item[] = []
-  let place = 0
+  const unservable: Item[] = []
+  let position = 0
   for (const item of inOrder) {
-    if (now + place * pace.intervalMs + serviceMs > item.deadline) hopeless.push(item)
-    else place += 1
+    if (now + position * pace.intervalMs + serviceMs > item.deadline) unservable.push(item)
+    else position += 1
   }
-  return hopeless
+  return unservable
 }
--- a/packages/routing/src/core/backends.ts
+++ b/packages/routing/src/core/backends.ts
@@ -1,6 +1,6 @@
 /**
- * What one entry VM knows of backend servers by its own observation: work in flight, latency,
- * failures, sheds. Announced and reported figures lag and mislead, so they come second.
+ * The state of backend servers as observed by one entry VM: requests in flight, latency, failures and sheds. Loads that
+ * servers announce or report are delayed and can be wrong, so the VM's own observations take precedence.
  */
 import { canTake, nextState } from '@lynxcourse/base'
 import type { Chart, Millis, ServerId, ServiceId } from '@lynxcourse/base'
@@ -8,16 +8,16 @@
 
 /** Time constants and thresholds of observation. */
 export interface ObservationCfg {
-  /** A fresh server's share of its slots grows to all of them over this. */
+  /** Duration of the slow start, in which the open slots of a fresh server grow to all of its slots. */
   readonly slowStartMs: Millis
-  /** So many failures in a row set a server aside. */
+  /** Number of consecutive failures that ejects a server. */
   readonly ejectAfter: number
-  /** First time aside; doubles with each repetition up to `maxEjectMs`. */
+  /** Duration of the first ejection; doubles with each further one, up to `maxEjectMs`. */
   readonly ejectMs: Millis
   readonly maxEjectMs: Millis
-  /** A server that shed gets nothing from this VM for this long, if it named no time itself. */
+  /** Pause after a shed in which this VM sends the server no requests. */
   readonly shedPauseMs: Millis
-  /** A server's own report of load halves in weight with each of these. */
+  /** Half-life of the weight of a server's load report. */
   readonly reportHalfLifeMs: Millis
 }
 
@@ -30,21 +30,24 @@
   reportHalfLifeMs: 500
 }
 
-/** A server as this VM uses it. */
+/** A server as observed by this VM. */
 export interface Observed {
   backend: Backend
-  /** By the `server` chart. */
+  /** State of the `server` chart. */
   state: string
   inFlight: number
   /** Smoothed service time. */
   latencyMs: number
   failuresInRow: number
+  /** Number of ejections since the server last answered in the state `serving`. */
   ejections: number
-  /** When the present state ends, for states that end by time. */
-  until: Millis
+  /** End of the present ejection. */
+  ejectedUntil: Millis
+  /** End of the pause after a shed. */
   pausedUntil: Millis
+  /** Start of the last slow start. */
   freshSince: Millis
-  /** In-flight work that the server last reported, from everyone. */
+  /** Requests in flight from all VMs, as last reported by the server. */
   reportedLoad: number
   reportedAt: Millis
 }
@@ -56,19 +59,19 @@
   byService: Map<ServiceId, Observed[]>
 }
 
-const smoothing = 0.1
-const startLatencyMs = 10
+const latencySmoothing = 0.1
+const initialLatencyMs = 10
 
 export function createBackends (cfg: ObservationCfg, chart: Chart): Backends {
   return { cfg, chart, byId: new Map(), byService: new Map() }
 }
 
-/** Brings the set of servers up to the directory's. Observations of those that stay are kept. */
+/** Replaces the set of servers by that of the directory. Servers that are still listed keep their observations. */
 export function setBackends (backends: Backends, list: readonly Backend[], now: Millis): void {
-  const named = new Set(list.map(backend => backend.id))
+  const listed = new Set(list.map(backend => backend.id))
   for (const [id, observed] of backends.byId) {
-    if (named.has(id)) continue
-    takeServerEvent(backends, observed, 'expired')
+    if (listed.has(id)) continue
+    applyServerEvent(backends, observed, 'expired')
     if (observed.inFlight === 0) backends.byId.delete(id)
   }
   for (const backend of list) updateBackend(backends, backend, now)
@@ -78,27 +81,27 @@
 function updateBackend (backends: Backends, backend: Backend, now: Millis): void {
   let observed = backends.byId.get(backend.id)
   if (observed === undefined) {
-    observed = freshObserved(backends.chart.initial, backend, now)
+    observed = createObserved(backends.chart.initial, backend, now)
     backends.byId.set(backend.id, observed)
   }
   observed.backend = backend
   if (backend.leaving) {
-    takeServerEvent(backends, observed, 'leaving')
+    applyServerEvent(backends, observed, 'leaving')
   } else if (canTake(backends.chart, observed.state, 'returned')) {
-    takeServerEvent(backends, observed, 'returned')
+    applyServerEvent(backends, observed, 'returned')
     observed.freshSince = now
   }
 }
 
-function freshObserved (state: string, backend: Backend, now: Millis): Observed {
+function createObserved (state: string, backend: Backend, now: Millis): Observed {
   return {
     backend,
     state,
     inFlight: 0,
-    latencyMs: startLatencyMs,
+    latencyMs: initialLatencyMs,
     failuresInRow: 0,
     ejections: 0,
-    until: 0,
+    ejectedUntil: 0,
     pausedUntil: 0,
     freshSince: now,
     reportedLoad: 0,
@@ -117,67 +120,67 @@
   return groups
 }
 
-function takeServerEvent (backends: Backends, observed: Observed, event: string): void {
+function applyServerEvent (backends: Backends, observed: Observed, event: string): void {
   if (canTake(backends.chart, observed.state, event)) observed.state = nextState(backends.chart, observed.state, event)
 }
 
-/** Moves servers whose time in a state is over. */
+/** Ends a server's ejection or slow start when its time is over. */
 export function refreshBackend (backends: Backends, observed: Observed, now: Millis): void {
-  if (observed.state === 'ejected' && now >= observed.until) {
-    takeServerEvent(backends, observed, 'letBack')
+  if (observed.state === 'ejected' && now >= observed.ejectedUntil) {
+    applyServerEvent(backends, observed, 'letBack')
     observed.freshSince = now
     observed.failuresInRow = 0
   }
   if (observed.state === 'fresh' && now - observed.freshSince >= backends.cfg.slowStartMs) {
-    takeServerEvent(backends, observed, 'warmed')
+    applyServerEvent(backends, observed, 'warmed')
   }
 }
 
-/** Whether a server takes part; it may be left alone for a moment all the same. */
+/** Returns whether a server takes part in routing; it may still be paused for a moment after a shed. */
 export function isServing (observed: Observed): boolean {
   return (observed.state === 'fresh' || observed.state === 'serving') && !observed.backend.starting
 }
 
-/** Whether a server may get new work now. */
+/** Returns whether a server may receive a new request now. */
 export function isUsable (observed: Observed, now: Millis): boolean {
   return isServing(observed) && now >= observed.pausedUntil
 }
 
-/** Slots that may be used now: all, or a growing share of at least one while fresh. */
+/** Returns the number of slots open now: all slots or, during the slow start, a growing number of at least one. */
 export function openSlots (cfg: ObservationCfg, observed: Observed, now: Millis): number {
   const { slots } = observed.backend
   if (observed.state !== 'fresh') return slots
-  const warmth = Math.min(1, (now - observed.freshSince) / cfg.slowStartMs)
-  return Math.max(1, Math.ceil(slots * warmth))
+  const rampFraction = Math.min(1, (now - observed.freshSince) / cfg.slowStartMs)
+  return Math.max(1, Math.ceil(slots * rampFraction))
 }
 
-/** Load that others put on a server, by its own report, discounted by the report's age. */
-export function reportedWeight (cfg: ObservationCfg, observed: Observed, now: Millis): number {
-  const age = now - observed.reportedAt
-  return observed.reportedLoad * 2 ** (-age / cfg.reportHalfLifeMs)
+/** Estimates a server's present load from its last report, discounted by the age of the report. */
+export function estimateReportedLoad (cfg: ObservationCfg, observed: Observed, now: Millis): number {
+  const ageMs = now - observed.reportedAt
+  return observed.reportedLoad * 2 ** (-ageMs / cfg.reportHalfLifeMs)
 }
 
-/** Notes a server's report of its load. Values that make no sense are dropped. */
+/** Records the load that a server reported. Invalid values are ignored. */
 export function noteReportedLoad (observed: Observed, load: number, now: Millis): void {
   if (!Number.isFinite(load) || load < 0 || load > observed.backend.slots * 1000) return
   observed.reportedLoad = load
   observed.reportedAt = now
 }
 
-/** Notes that an attempt began. */
+/** Records the start of an attempt. */
 export function noteSent (observed: Observed): void {
   observed.inFlight += 1
 }
 
-/** How an attempt ended, as far as it tells of the server. */
+/** Outcome of an attempt, in so far as it concerns the server's health. */
 export type AttemptEnd = 'answered' | 'shed' | 'failed' | 'cancelled'
 
-/** Notes that an attempt ended. */
+/** Records the end of an attempt. */
 export function noteEnded (backends: Backends, observed: Observed, end: AttemptEnd, tookMs: Millis, now: Millis): void {
   observed.inFlight = Math.max(0, observed.inFlight - 1)
   switch (end) {
     case 'answered':
-      observed.latencyMs += (tookMs - observed.latencyMs) * smoothing
+      observed.latencyMs += (tookMs - observed.latencyMs) * latencySmoothing
       observed.failuresInRow = 0
       observed.ejections = observed.state === 'serving' ? 0 : observed.ejections
       break
@@ -185,18 +188,21 @@
       observed.pausedUntil = Math.max(observed.pausedUntil, now + backends.cfg.shedPauseMs)
       break
     case 'failed':
-      noteFailure(backends, observed, now)
+      recordFailure(backends, observed, now)
       break
     case 'cancelled': break
   }
 }
 
-/** A server that keeps failing is set aside for a time that doubles, and let back as a fresh one. */
-function noteFailure (backends: Backends, observed: Observed, now: Millis): void {
+/**
+ * Records a failure and, after `ejectAfter` consecutive ones, ejects the server. Each further ejection lasts twice as
+ * long. The server returns as a fresh one, with a slow start.
+ */
+function recordFailure (backends: Backends, observed: Observed, now: Millis): void {
   const { cfg } = backends
   observed.failuresInRow += 1
   if (observed.failuresInRow < cfg.ejectAfter || !canTake(backends.chart, observed.state, 'ejected')) return
-  takeServerEvent(backends, observed, 'ejected')
-  observed.until = now + Math.min(cfg.maxEjectMs, cfg.ejectMs * 2 ** observed.ejections)
+  applyServerEvent(backends, observed, 'ejected')
+  observed.ejectedUntil = now + Math.min(cfg.maxEjectMs, cfg.ejectMs * 2 ** observed.ejections)
   observed.ejections += 1
 }
--- a/packages/routing/src/core/blockTable.ts
+++ b/packages/routing/src/core/blockTable.ts
@@ -1,26 +1,27 @@
 /**
- * Table from callers' address blocks to regions: sorted typed arrays and a first-level index by the
- * top 16 bits, 6 bytes a block. Look-ups neither allocate nor hash.
+ * Maps callers' address blocks to regions. The table consists of sorted typed arrays, with 6 bytes for each interval,
+ * and an index by the top 16 bits of the address. Look-ups neither allocate nor hash.
  */
 import ipaddr from 'ipaddr.js'
 import { LynxError } from '@lynxcourse/base'
 import type { RegionId } from '@lynxcourse/base'
 
-/** One block as it is written: IPv4 in CIDR notation. */
+/** An IPv4 block in CIDR notation, and the region of its callers. */
 export interface CallerBlock {
   readonly cidr: string
   readonly region: RegionId
 }
 
-/** The number in `regionOf` that means no region is known. */
+/** Region index of addresses that no block contains. */
 export const noRegion = 0xffff
 
 export interface BlockTable {
   readonly regions: readonly RegionId[]
-  /** First address of each interval; intervals are disjoint, sorted and cover all addresses. */
+  /** First address of each interval. Intervals are sorted and disjoint, and cover the whole address space. */
   readonly starts: Uint32Array
+  /** Region index of each interval, or `noRegion`. */
   readonly regionOf: Uint16Array
-  /** For each 16-bit prefix, the interval that holds its first address. */
+  /** For each 16-bit prefix, the index of the interval that contains its first address. */
   readonly prefixes: Uint32Array
 }
 
@@ -34,67 +35,67 @@
 const addressEnd = 2 ** 32
 const mappedPrefix = '::ffff:'
 const zeroCode = 48
-/** A dot, seen as a digit. */
+/** Code of a dot, less the code of the digit 0. */
 const dotDigit = 46 - zeroCode
 const maxOctet = 255
 
 /**
- * Builds a table. Where blocks nest, the narrowest counts.
+ * Builds a table. An address in nested blocks gets the region of the narrowest one.
  *
- * @throws LynxError `badSettings` naming the block that is no IPv4 CIDR
+ * @throws LynxError `badSettings` with the index of the first block that is not an IPv4 CIDR block
  */
 export function buildBlockTable (blocks: readonly CallerBlock[]): BlockTable {
   const regions = [...new Set(blocks.map(block => block.region))]
-  const numbers = new Map(regions.map((region, number) => [region, number]))
-  const intervals = blocks.map((block, place) => intervalOf(block, numbers.get(block.region) ?? noRegion, place))
+  const regionIndexes = new Map(regions.map((region, index) => [region, index]))
+  const intervals = blocks.map((block, blockIndex) => toInterval(block, regionIndexes.get(block.region) ?? noRegion, blockIndex))
   intervals.sort((a, b) => a.start - b.start || b.end - a.end)
-  return tableOf(regions, flatten(intervals))
+  return createTable(regions, flatten(intervals))
 }
 
-function intervalOf (block: CallerBlock, region: number, place: number): Interval {
-  const [address, bits] = parseCidr(block.cidr, place)
+function toInterval (block: CallerBlock, region: number, blockIndex: number): Interval {
+  const [address, bits] = parseCidr(block.cidr, blockIndex)
   const size = 2 ** (32 - bits)
   const start = Math.floor(address / size) * size
   return { start, end: start + size, region }
 }
 
-function parseCidr (cidr: string, place: number): [number, number] {
+function parseCidr (cidr: string, blockIndex: number): [number, number] {
   try {
     const [address, bits] = ipaddr.IPv4.parseCIDR(cidr)
-    return [numberOf(address.octets), bits]
+    return [octetsToNumber(address.octets), bits]
   } catch (err) {
-    throw new LynxError('badSettings', `callerBlocks.${place}.cidr: '${cidr}' is no IPv4 block`, { step: 'build', field: `callerBlocks.${place}.cidr`, cause: err })
+    throw new LynxError('badSettings', `callerBlocks.${blockIndex}.cidr: '${cidr}' is not an IPv4 CIDR block`, { step: 'build', field: `callerBlocks.${blockIndex}.cidr`, cause: err })
   }
 }
 
-function numberOf (octets: readonly number[]): number {
+function octetsToNumber (octets: readonly number[]): number {
   return octets.reduce((sum, octet) => sum * 256 + octet, 0)
 }
 
-/** Turns nested blocks into disjoint intervals, with a stack of the blocks that are open. */
+/** Splits sorted, nested blocks into disjoint intervals. A stack holds the blocks that contain the current address. */
 function flatten (intervals: readonly Interval[]): Array<[number, number]> {
   const points: Array<[number, number]> = [[0, noRegion]]
-  const open: Interval[] = []
-  const put = (start: number, region: number): void => {
+  const enclosing: Interval[] = []
+  const addPoint = (start: number, region: number): void => {
     if (points.at(-1)?.[0] === start) points.pop()
     if (points.at(-1)?.[1] !== region) points.push([start, region])
   }
   const closeUpTo = (address: number): void => {
-    for (let top = open.at(-1); top !== undefined && top.end <= address; top = open.at(-1)) {
-      open.pop()
-      if (top.end < addressEnd) put(top.end, open.at(-1)?.region ?? noRegion)
+    for (let top = enclosing.at(-1); top !== undefined && top.end <= address; top = enclosing.at(-1)) {
+      enclosing.pop()
+      if (top.end < addressEnd) addPoint(top.end, enclosing.at(-1)?.region ?? noRegion)
     }
   }
   for (const interval of intervals) {
     closeUpTo(interval.start)
-    put(interval.start, interval.region)
-    open.push(interval)
+    addPoint(interval.start, interval.region)
+    enclosing.push(interval)
   }
   closeUpTo(addressEnd)
   return points
 }
 
-function tableOf (regions: readonly RegionId[], points: ReadonlyArray<[number, number]>): BlockTable {
+function createTable (regions: readonly RegionId[], points: ReadonlyArray<[number, number]>): BlockTable {
   const starts = Uint32Array.from(points, point => point[0])
   const regionOf = Uint16Array.from(points, point => point[1])
   const prefixes = new Uint32Array(prefixCount + 1)
@@ -109,7 +110,7 @@
 }
 
 /**
- * Number of the region of an address.
+ * Finds the region index of an address.
  *
  * @param address IPv4 as an unsigned 32-bit number
  * @returns index into `regions`, or `noRegion`
@@ -127,14 +128,14 @@
   return table.regionOf[low] as number
 }
 
-/** Region of an address; undefined when no block holds it. */
+/** Returns the region of an address, or undefined when no block contains the address. */
 export function regionOfAddress (table: BlockTable, address: number): RegionId | undefined {
-  const number = regionNumber(table, address)
-  return number === noRegion ? undefined : table.regions[number]
+  const index = regionNumber(table, address)
+  return index === noRegion ? undefined : table.regions[index]
 }
 
 /**
- * Reads an IPv4 address, also one mapped into IPv6, as a socket gives it.
+ * Parses an IPv4 address as reported by a socket, including one mapped into IPv6.
  *
  * @returns an unsigned 32-bit number, or undefined for anything else
  */
@@ -143,9 +144,9 @@
   let address = 0
   let octet = -1
   let octets = 0
-  // By hand, not by the library: this runs for each look-up, and the library's patterns take microseconds.
-  for (let at = start; at <= text.length; at++) {
-    const digit = at < text.length ? text.charCodeAt(at) - zeroCode : dotDigit
+  // Parsed by hand, because this runs for each look-up and the regular expressions of ipaddr.js take microseconds.
+  for (let position = start; position <= text.length; position++) {
+    const digit = position < text.length ? text.charCodeAt(position) - zeroCode : dotDigit
     if (digit === dotDigit) {
       if (octet < 0 || octet > maxOctet) return undefined
       address = address * 256 + octet
@@ -159,12 +160,12 @@
   return octets === 4 ? address : undefined
 }
 
-/** Bytes that a table takes. */
+/** Returns the size of a table's arrays in bytes. */
 export function tableBytes (table: BlockTable): number {
   return table.starts.byteLength + table.regionOf.byteLength + table.prefixes.byteLength
 }
 
-/** The /24 of an address, spread over 32 bits: callers of one block stay together. */
+/** Hashes the /24 block of an address to 32 bits, so that all callers of a /24 block share one hash. */
 export function blockHash (address: number): number {
   let hash = (address >>> 8) + 0x9e3779b9
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b)
--- a/packages/routing/src/core/budget.ts
+++ b/packages/routing/src/core/budget.ts
@@ -1,26 +1,26 @@
 /**
- * Retry budget: retries and hedges together stay within a share of requests, so that a service that
- * fails is not buried under its own retries.
+ * Retry budget: limits retries and hedged requests together to a fraction of all requests, so that retries do not
+ * overload a service that is already failing.
  */
 
 export interface RetryBudget {
-  /** Retries that may be spent now. */
+  /** Number of retries available now; may be fractional. */
   tokens: number
 }
 
-/** Most unused retries carried over. */
-export const maxBudget = 20
+/** Maximum number of unused retries that a budget accumulates. */
+export const maxRetryTokens = 20
 
 export function createBudget (): RetryBudget {
-  return { tokens: maxBudget / 2 }
+  return { tokens: maxRetryTokens / 2 }
 }
 
-/** Each request earns its share of a retry. */
-export function earnRetry (budget: RetryBudget, share: number): void {
-  budget.tokens = Math.min(maxBudget, budget.tokens + share)
+/** Adds the fraction of a retry that each request earns. */
+export function earnRetry (budget: RetryBudget, fraction: number): void {
+  budget.tokens = Math.min(maxRetryTokens, budget.tokens + fraction)
 }
 
-/** Spends one retry if there is one. */
+/** Spends one retry and returns true, or returns false when the budget has less than one. */
 export function spendRetry (budget: RetryBudget): boolean {
   if (budget.tokens < 1) return false
   budget.tokens -= 1
--- a/packages/routing/src/core/connections.ts
+++ b/packages/routing/src/core/connections.ts
@@ -1,26 +1,26 @@
 /**
- * Judges pooled connections by progress.
+ * Tracks the liveness of pooled connections by their progress.
  *
- * What can go wrong: something between the ends loses track of an open connection; it goes silent for
- * good while new ones work, and whatever is sent on it hangs until its deadline. An idle connection
- * that was quiet too long is closed, since a new one costs a millisecond; one that makes no progress
- * under a request is given up; and a request that must not repeat goes only over a connection that
- * showed life just now, or a new one.
+ * A middlebox can lose track of an open connection: new connections work, but every request on the old one hangs until
+ * its deadline. Therefore a connection that is idle for too long is closed, since opening a new one takes about a
+ * millisecond; a connection that makes no progress during a request is abandoned; and a request that must not repeat
+ * uses only a connection with very recent progress, or a new one.
  */
 import { nextState } from '@lynxcourse/base'
 import type { Chart, Millis } from '@lynxcourse/base'
 
 export interface ConnectionCfg {
-  /** Quiet for longer than this, a connection is stale. */
+  /** Time without progress after which an idle connection is stale. */
   readonly staleMs: Millis
-  /** A request without any progress for longer than this marks its connection silent. */
+  /** Time without progress during a request after which the connection counts as silent. */
   readonly silentMs: Millis
 }
 
-export const defaultConnections: ConnectionCfg = { staleMs: 1000, silentMs: 1500 }
+export const defaultConnectionCfg: ConnectionCfg = { staleMs: 1000, silentMs: 1500 }
 
-/** One pooled connection. */
+/** State of one pooled connection. */
 export interface ConnectionState {
+  /** State of the `connection` chart. */
   state: string
   progressAt: Millis
 }
@@ -29,25 +29,29 @@
   return { state: chart.initial, progressAt: now }
 }
 
-/** Whether a request may go over a connection. One that must not repeat needs proof of life. */
+/**
+ * Returns whether a connection may carry a new request.
+ *
+ * @param mustNotRepeat whether the request must not run twice; the allowed idle time is then half as long
+ */
 export function mayCarry (cfg: ConnectionCfg, connection: ConnectionState, mustNotRepeat: boolean, now: Millis): boolean {
   if (connection.state !== 'idle') return false
-  const quietMs = now - connection.progressAt
-  return mustNotRepeat ? quietMs < cfg.staleMs / 2 : quietMs < cfg.staleMs
+  const idleMs = now - connection.progressAt
+  return mustNotRepeat ? idleMs < cfg.staleMs / 2 : idleMs < cfg.staleMs
 }
 
-/** Whether a connection in use has gone silent. */
+/** Returns whether a connection made no progress during a request for longer than `silentMs`. */
 export function isSilent (cfg: ConnectionCfg, connection: ConnectionState, now: Millis): boolean {
   return connection.state === 'busy' && now - connection.progressAt > cfg.silentMs
 }
 
-/** Notes that bytes came over a connection. */
+/** Records that bytes arrived on a connection. */
 export function noteProgress (chart: Chart, connection: ConnectionState, now: Millis): void {
   connection.state = nextState(chart, connection.state, 'progress')
   connection.progressAt = now
 }
 
-/** Moves a connection by its chart. */
+/** Applies an event of the `connection` chart. */
 export function takeConnectionEvent (chart: Chart, connection: ConnectionState, event: string): void {
   connection.state = nextState(chart, connection.state, event)
 }
--- a/packages/routing/src/core/deadlineQueue.ts
+++ b/packages/routing/src/core/deadlineQueue.ts
@@ -1,14 +1,15 @@
-/** Requests that wait for a slot, ordered by deadline. Bounded; the caller says what happens at the bound. */
+/** Bounded queue of requests that wait for a slot, ordered by deadline. */
 import type { Millis } from '@lynxcourse/base'
 
 export interface Waiting {
   readonly deadline: Millis
+  /** Breaks ties between equal deadlines; lower comes first. */
   readonly order: number
 }
 
 /** Waiting requests as a binary heap. */
 export interface DeadlineQueue<Item extends Waiting> {
-  /** Most that may wait; those who wait already stay when it is lowered. */
+  /** Maximum length. Lowering it removes no request that already waits. */
   limit: number
   heap: Item[]
 }
@@ -21,7 +22,7 @@
   return a.deadline < b.deadline || (a.deadline === b.deadline && a.order < b.order)
 }
 
-/** Adds a request; false when the queue is full. */
+/** Adds a request; returns false when the queue is full. */
 export function enqueue<Item extends Waiting> (queue: DeadlineQueue<Item>, item: Item): boolean {
   if (queue.heap.length >= queue.limit) return false
   queue.heap.push(item)
@@ -29,55 +30,55 @@
   return true
 }
 
-/** Takes out the request with the earliest deadline. */
+/** Removes and returns the request with the earliest deadline. */
 export function dequeue<Item extends Waiting> (queue: DeadlineQueue<Item>): Item | undefined {
   return removeAt(queue.heap, 0)
 }
 
-/** Takes one request out, wherever it stands. */
+/** Removes a request from any position; returns false when it is not in the queue. */
 export function removeItem<Item extends Waiting> (queue: DeadlineQueue<Item>, item: Item): boolean {
-  const place = queue.heap.indexOf(item)
-  if (place < 0) return false
-  removeAt(queue.heap, place)
+  const index = queue.heap.indexOf(item)
+  if (index < 0) return false
+  removeAt(queue.heap, index)
   return true
 }
 
-function removeAt<Item extends Waiting> (heap: Item[], place: number): Item | undefined {
-  const removed = heap[place]
+function removeAt<Item extends Waiting> (heap: Item[], index: number): Item | undefined {
+  const removed = heap[index]
   const last = heap.pop()
-  if (removed === undefined || last === undefined || place >= heap.length) return removed
-  heap[place] = last
-  siftDown(heap, place)
-  siftUp(heap, place)
+  if (removed === undefined || last === undefined || index >= heap.length) return removed
+  heap[index] = last
+  siftDown(heap, index)
+  siftUp(heap, index)
   return removed
 }
 
 function siftUp<Item extends Waiting> (heap: Item[], from: number): void {
-  let place = from
-  while (place > 0) {
-    const parent = (place - 1) >> 1
-    if (!isBefore(heap[place] as Item, heap[parent] as Item)) return
-    swap(heap, place, parent)
-    place = parent
+  let index = from
+  while (index > 0) {
+    const parent = (index - 1) >> 1
+    if (!isBefore(heap[index] as Item, heap[parent] as Item)) return
+    swap(heap, index, parent)
+    index = parent
   }
 }
 
 function siftDown<Item extends Waiting> (heap: Item[], from: number): void {
-  let place = from
+  let index = from
   for (;;) {
-    const left = place * 2 + 1
+    const left = index * 2 + 1
     const right = left + 1
-    let first = place
+    let first = index
     if (left < heap.length && isBefore(heap[left] as Item, heap[first] as Item)) first = left
     if (right < heap.length && isBefore(heap[right] as Item, heap[first] as Item)) first = right
-    if (first === place) return
-    swap(heap, place, first)
-    place = first
+    if (first === index) return
+    swap(heap, index, first)
+    index = first
   }
 }
 
 function swap<Item> (heap: Item[], a: number, b: number): void {
-  const held = heap[a] as Item
+  const item = heap[a] as Item
   heap[a] = heap[b] as Item
-  heap[b] = held
+  heap[b] = item
 }
--- a/packages/routing/src/core/lookup.ts
+++ b/packages/routing/src/core/lookup.ts
@@ -5,16 +5,16 @@
 import { callerBuckets } from './places.js'
 import type { Place } from './places.js'
 
-/** Most entry VMs in one answer. */
+/** Maximum number of entry VMs in one answer. */
 export const maxLookupVms = 6
 
-/** Entry VMs by region, with the orders worked out so far. */
+/** Entry VMs by region, with a cache of computed orders. */
 export interface LookupIndex {
   readonly byRegion: ReadonlyMap<RegionId, readonly EntryVm[]>
   readonly orders: Map<string, readonly EntryVm[]>
 }
 
-/** Makes an index; a new one is made whenever the set of entry VMs changes. */
+/** Builds an index. Needs to be called again whenever the set of entry VMs changes, since an index caches its answers. */
 export function buildLookupIndex (vms: readonly EntryVm[]): LookupIndex {
   const byRegion = new Map<RegionId, EntryVm[]>()
   for (const vm of vms) {
@@ -25,34 +25,34 @@
 }
 
 /**
- * Entry VMs for a caller: those of its first region, then of the others; suspected ones last.
+ * Returns the entry VMs for a caller: those of the first region, then those of the other regions; suspected ones last.
  *
- * @param callerHash `blockHash` of the caller's address: callers of one block get one order, so that
- * caches stay warm, and the loss of a VM moves only the callers that it had
+ * @param callerHash `blockHash` of the caller's address. All callers of a block get the same order, which keeps caches
+ * warm, and the loss of a VM moves only the callers that used it.
  */
-export function lookupVms (index: LookupIndex, places: readonly Place[], callerHash: number): readonly EntryVm[] {
+export function lookupVms (index: LookupIndex, candidates: readonly Place[], callerHash: number): readonly EntryVm[] {
   const bucket = callerHash % callerBuckets
-  const key = `${bucket} ${places.map(place => place.region).join(' ')}`
-  const known = index.orders.get(key)
-  if (known !== undefined) return known
-  const order = orderVms(index, places, bucket)
+  const key = `${bucket} ${candidates.map(candidate => candidate.region).join(' ')}`
+  const cached = index.orders.get(key)
+  if (cached !== undefined) return cached
+  const order = orderVms(index, candidates, bucket)
   index.orders.set(key, order)
   return order
 }
 
-function orderVms (index: LookupIndex, places: readonly Place[], bucket: number): readonly EntryVm[] {
-  const named = new Set(places.map(place => place.region))
-  const others = [...index.byRegion.keys()].filter(region => !named.has(region))
+function orderVms (index: LookupIndex, candidates: readonly Place[], bucket: number): readonly EntryVm[] {
+  const listedRegions = new Set(candidates.map(candidate => candidate.region))
+  const otherRegions = [...index.byRegion.keys()].filter(region => !listedRegions.has(region))
   const ordered: EntryVm[] = []
-  for (const region of [...places.map(place => place.region), ...others]) {
-    ordered.push(...orderWithin(index.byRegion.get(region) ?? [], bucket))
+  for (const region of [...candidates.map(candidate => candidate.region), ...otherRegions]) {
+    ordered.push(...rankVms(index.byRegion.get(region) ?? [], bucket))
   }
-  const heard = ordered.filter(vm => !vm.suspected)
+  const healthy = ordered.filter(vm => !vm.suspected)
   const suspected = ordered.filter(vm => vm.suspected)
-  return [...heard, ...suspected].slice(0, maxLookupVms)
+  return [...healthy, ...suspected].slice(0, maxLookupVms)
 }
 
-function orderWithin (vms: readonly EntryVm[], bucket: number): EntryVm[] {
+function rankVms (vms: readonly EntryVm[], bucket: number): EntryVm[] {
   const byId = new Map<VmId, EntryVm>(vms.map(vm => [vm.vm, vm]))
   return rankByHash(`caller ${bucket}`, [...byId.keys()]).map(id => byId.get(id) as EntryVm)
 }
--- a/packages/routing/src/core/onceFlow.ts
+++ b/packages/routing/src/core/onceFlow.ts
@@ -1,37 +1,37 @@
 /**
- * The order of steps for a request that must not run twice, without input or output: an event in, the
- * next effect out. The daemon and the fault matrix drive the same flow.
+ * The sequence of steps for a request that must not run twice, as a state machine without input or output: each event
+ * returns the next effect. The daemon and the fault matrix run the same flow.
  *
- * The id is claimed by a quorum before anything is sent. After that only proof makes an attempt
- * repeatable or lets the caller hear `not-run`: no byte went out, or the server says that it did not
- * start. Whatever else happens, the claim stays spent and the caller hears `unknown`.
+ * A quorum grants the claim of the request id before anything is sent. After that, an attempt may be repeated, or the
+ * caller may receive `not-run`, only on proof that the request did not run: no byte was sent, or the server states that
+ * it did not start the request. In all other cases the id remains claimed and the caller receives `unknown`.
  */
 import { nextState } from '@lynxcourse/base'
 import type { Chart } from '@lynxcourse/base'
 
-/** How a once-only request is recorded to have ended. */
-export type OnceEnd = 'done' | 'notRun' | 'unknown'
+/** Outcome of a once-only request as recorded in the register of claims. */
+export type OnceOutcome = 'done' | 'notRun' | 'unknown'
 
-/** What the flow asks for next. */
+/** The next action that the flow requests. */
 export type OnceEffect =
-  /** Claim the id for this copy. */
+  /** Claim the request id for this copy of the request. */
   | { readonly type: 'claim' }
-  /** Get a slot at a server not tried before. */
+  /** Acquire a slot at a server that has not been tried. */
   | { readonly type: 'getSlot' }
-  /** Send the request in the slot. */
+  /** Send the request to the slot's server. */
   | { readonly type: 'send' }
-  /** Record the id as not run; the caller waits for that. */
+  /** Record the request as not run, before the caller receives an answer. */
   | { readonly type: 'recordNotRun', readonly reason: string }
-  /** Tell the caller; `record` is recorded without the caller waiting. */
-  | { readonly type: 'answer', readonly told: OnceTold, readonly reason: string, readonly record: OnceEnd | undefined }
+  /** Answer the caller, and record the outcome `record`, if any, without delaying the answer. */
+  | { readonly type: 'answer', readonly told: CallerOutcome, readonly reason: string, readonly record: OnceOutcome | undefined }
 
-/** What the caller is told. `taken` and `refused` pass on what the register said. */
-export type OnceTold = 'done' | 'notRun' | 'unknown' | 'taken' | 'refused'
+/** Outcome sent to the caller. `taken` and `refused` forward the answer of the register of claims. */
+export type CallerOutcome = 'done' | 'notRun' | 'unknown' | 'taken' | 'refused'
 
-/** How the register answered a claim; `noAnswer` when none came in time. */
+/** Answer of the register to a claim; `noAnswer` when none arrived in time. */
 export type ClaimEvent = 'granted' | 'taken' | 'refused' | 'noAnswer'
 
-/** How an attempt ended; only `shed` and `notSent` prove that it did not run. */
+/** Outcome of an attempt. Only `shed` and `notSent` prove that the request did not run. */
 export type AttemptEvent = 'answered' | 'shed' | 'notSent' | 'lost'
 
 export interface OnceFlow {
@@ -43,64 +43,68 @@
   return { chart, state: chart.initial }
 }
 
-function take (flow: OnceFlow, event: string): void {
+function applyEvent (flow: OnceFlow, event: string): void {
   flow.state = nextState(flow.chart, flow.state, event)
 }
 
 function refuse (flow: OnceFlow, reason: string): OnceEffect {
-  take(flow, 'refuse')
+  applyEvent(flow, 'refuse')
   return { type: 'recordNotRun', reason }
 }
 
-/** The first step: a request that can't be served in time is refused before it costs anything. */
+/** Starts the flow. A request that cannot complete before its deadline is refused before any work is spent on it. */
 export function startOnce (flow: OnceFlow, isAdmitted: boolean): OnceEffect {
   if (!isAdmitted) return refuse(flow, 'no capacity in time')
-  take(flow, 'claim')
+  applyEvent(flow, 'claim')
   return { type: 'claim' }
 }
 
-/** After the register answered. */
+/** Continues after the register's answer to the claim. */
 export function afterClaim (flow: OnceFlow, event: ClaimEvent): OnceEffect {
   switch (event) {
     case 'granted':
-      take(flow, 'granted')
+      applyEvent(flow, 'granted')
       return { type: 'getSlot' }
     case 'noAnswer':
       return refuse(flow, 'the register of claims did not answer in time')
     default:
-      take(flow, 'refuse')
+      applyEvent(flow, 'refuse')
       return { type: 'answer', told: event, reason: 'the register refused the claim', record: undefined }
   }
 }
 
-/** After a slot came, or did not. */
+/**
+ * Continues after a slot was acquired or could not be.
+ *
+ * @param noSlotReason why no slot was acquired; undefined when one was
+ */
 export function afterSlot (flow: OnceFlow, noSlotReason: string | undefined): OnceEffect {
   if (noSlotReason !== undefined) return refuse(flow, noSlotReason)
-  take(flow, 'send')
+  applyEvent(flow, 'send')
   return { type: 'send' }
 }
 
-/** After an attempt ended. */
+/** Continues after the end of an attempt. */
 export function afterAttempt (flow: OnceFlow, event: AttemptEvent, mayTryAgain: boolean): OnceEffect {
   switch (event) {
     case 'answered':
-      take(flow, 'answer')
+      applyEvent(flow, 'answer')
       return { type: 'answer', told: 'done', reason: 'done', record: 'done' }
     case 'lost':
-      take(flow, 'fail')
-      take(flow, 'giveUp')
-      return { type: 'answer', told: 'unknown', reason: 'sent, but no whole answer came', record: 'unknown' }
+      applyEvent(flow, 'fail')
+      applyEvent(flow, 'giveUp')
+      return { type: 'answer', told: 'unknown', reason: 'the request was sent, but no complete response arrived', record: 'unknown' }
     default:
-      take(flow, 'shed')
-      return mayTryAgain ? { type: 'getSlot' } : refuse(flow, event === 'shed' ? 'servers shed' : 'servers can not be reached')
+      applyEvent(flow, 'shed')
+      return mayTryAgain ? { type: 'getSlot' } : refuse(flow, event === 'shed' ? 'servers shed' : 'servers cannot be reached')
   }
 }
 
 /**
- * After the register was asked to record not-run. Without its word another copy of the id may still
- * run, so the caller must not hear `not-run`.
+ * Continues after the register was asked to record the request as not run. Unless the register confirmed the record,
+ * another copy with the same id may still run, so the caller must not receive `not-run`.
  */
 export function afterRecord (isRecorded: boolean, reason: string): OnceEffect {
   if (isRecorded) return { type: 'answer', told: 'notRun', reason, record: undefined }
-  return { type: 'answer', told: 'unknown', reason: `${reason}; this copy was not sent, but the register could not rule out others`, record: undefined }
+  return { type: 'answer', told: 'unknown', reason: `${reason}; this copy of the request was not sent, but the register did not confirm that no other copy runs`, record: undefined }
 }
--- a/packages/routing/src/core/places.ts
+++ b/packages/routing/src/core/places.ts
@@ -1,21 +1,22 @@
-/** The order of regions for a caller: preference, drains and shifts. */
+/** The order in which regions are tried for a caller, by latency, preference, drains and shifts. */
 import type { RegionId, ServiceId, ShiftId } from '@lynxcourse/base'
-import { latencyBetween } from '../types/view.js'
+import { getLatencyMs } from '../types/view.js'
 import type { ActiveShift, RegionLatencies } from '../types/view.js'
 
-/** A region to try, and the shift that put it there. */
+/** A region to try. */
 export interface Place {
   readonly region: RegionId
+  /** The shift that moved the caller to this region, if any. */
   readonly shift: ShiftId | undefined
 }
 
-/** What the order is made from. */
-export interface PlaceInput {
+/** The inputs that determine the order. */
+export interface RegionOrderInput {
   readonly service: ServiceId
   /** The profile's regions in order of preference. */
   readonly places: readonly RegionId[]
   readonly callerRegion: RegionId | undefined
-  /** Regions that no new work may go to. */
+  /** Regions that receive no new requests. */
   readonly drained: ReadonlySet<RegionId>
   readonly shifts: readonly ActiveShift[]
   /** `blockHash` of the caller's address. */
@@ -23,39 +24,39 @@
   readonly latencies: RegionLatencies
 }
 
-const percents = 100
+const maxPercent = 100
 
-/** Callers' blocks are put in this many groups, which share look-up answers and shifts. */
+/** Number of buckets for callers' address blocks. Callers of a bucket share look-up answers and are shifted together. */
 export const callerBuckets = 512
 
 /**
- * Orders regions for a caller: its own first, the rest by latency from there and then by preference;
- * a shift that took the caller's block puts its destination before its origin.
+ * Orders the regions for a caller: the caller's own region first, then the others by latency from it and by
+ * preference. A shift that applies to the caller moves its destination ahead of its origin.
  */
-export function orderPlaces (input: PlaceInput): Place[] {
+export function orderPlaces (input: RegionOrderInput): Place[] {
   const { callerRegion, places, drained } = input
-  const usable = places.filter(region => !drained.has(region))
-  const distance = (region: RegionId): number =>
-    callerRegion === undefined ? 0 : latencyBetween(input.latencies, callerRegion, region)
-  const ordered = usable
+  const available = places.filter(region => !drained.has(region))
+  const getDistance = (region: RegionId): number =>
+    callerRegion === undefined ? 0 : getLatencyMs(input.latencies, callerRegion, region)
+  const ordered = available
     .map((region, preference) => ({ region, preference }))
-    .sort((a, b) => distance(a.region) - distance(b.region) || a.preference - b.preference)
+    .sort((a, b) => getDistance(a.region) - getDistance(b.region) || a.preference - b.preference)
     .map(({ region }): Place => ({ region, shift: undefined }))
   return input.shifts.reduce((list, shift) => applyShift(list, shift, input), ordered)
 }
 
-function applyShift (list: Place[], shift: ActiveShift, input: PlaceInput): Place[] {
-  if (shift.service !== input.service || !isTaken(shift, input.callerHash)) return list
-  const from = list.findIndex(place => place.region === shift.from)
-  const to = list.findIndex(place => place.region === shift.to)
-  const isMove = from >= 0 && to > from
-  if (!isMove) return list
-  const rest = list.filter((_, place) => place !== to)
-  rest.splice(from, 0, { region: shift.to, shift: shift.id })
-  return rest
+function applyShift (list: Place[], shift: ActiveShift, input: RegionOrderInput): Place[] {
+  if (shift.service !== input.service || !isShifted(shift, input.callerHash)) return list
+  const from = list.findIndex(candidate => candidate.region === shift.from)
+  const to = list.findIndex(candidate => candidate.region === shift.to)
+  const isDestinationLater = from >= 0 && to > from
+  if (!isDestinationLater) return list
+  const reordered = list.filter((_, index) => index !== to)
+  reordered.splice(from, 0, { region: shift.to, shift: shift.id })
+  return reordered
 }
 
-/** Whether a shift takes a caller's block; a block once taken stays taken as the share grows. */
-export function isTaken (shift: ActiveShift, callerHash: number): boolean {
-  return callerHash % callerBuckets * percents < shift.percent * callerBuckets
+/** Returns whether a shift applies to a caller's block. A block that is shifted stays so as the percentage grows. */
+export function isShifted (shift: ActiveShift, callerHash: number): boolean {
+  return callerHash % callerBuckets * maxPercent < shift.percent * callerBuckets
 }
--- a/packages/routing/src/core/routeTable.ts
+++ b/packages/routing/src/core/routeTable.ts
@@ -1,9 +1,9 @@
-/** Finds the route of a request, and the service among the parts of a weighted split. */
+/** Matches requests to routes and selects a service among the parts of a weighted split. */
 import { partsOf } from '@lynxcourse/state'
 import type { Route } from '@lynxcourse/state'
 import type { ServiceId } from '@lynxcourse/base'
 
-/** Routes by host, the longest prefix first. */
+/** Routes by host, ordered by descending length of the path prefix. */
 export type RouteTable = ReadonlyMap<string, readonly Route[]>
 
 export function buildRouteTable (routes: readonly Route[]): RouteTable {
@@ -17,24 +17,24 @@
   return table
 }
 
-/** The route with the longest prefix that begins the path. */
+/** Returns the route of the host whose path prefix is the longest match. */
 export function matchRoute (table: RouteTable, host: string, path: string): Route | undefined {
-  const name = hostName(host)
+  const name = normalizeHost(host)
   return table.get(name)?.find(route => path.startsWith(route.pathPrefix))
 }
 
-/** A `Host` header without its port, in lower case. */
-function hostName (host: string): string {
+/** Returns a `Host` header without its port, in lower case. */
+function normalizeHost (host: string): string {
   const colon = host.lastIndexOf(':')
   return (colon < 0 ? host : host.slice(0, colon)).toLowerCase()
 }
 
-/** How far each route's split has got. */
+/** State of the weighted round-robin by route name. `key` identifies the weights that the credits belong to. */
 export type SplitPicker = Map<string, { key: string, credits: number[] }>
 
 /**
- * Picks the service of a request by smooth weighted round-robin: over any stretch each part gets its
- * share to within one request, where drawing at random would stray by tens of percent on short ones.
+ * Selects the service of a request by smooth weighted round-robin. Over any sequence of requests each part receives its
+ * proportion to within about one request, whereas random selection deviates by tens of percent on short sequences.
  */
 export function pickService (picker: SplitPicker, route: Route): ServiceId {
   const parts = partsOf(route)
@@ -46,16 +46,16 @@
     state = { key, credits: parts.map(() => 0) }
     picker.set(route.name, state)
   }
-  return takeTurn(parts, state.credits)
+  return selectByCredits(parts, state.credits)
 }
 
-function takeTurn (parts: Route['split'], credits: number[]): ServiceId {
+function selectByCredits (parts: Route['split'], credits: number[]): ServiceId {
   let best = 0
   let total = 0
-  parts.forEach((part, place) => {
-    credits[place] = (credits[place] ?? 0) + part.weight
+  parts.forEach((part, index) => {
+    credits[index] = (credits[index] ?? 0) + part.weight
     total += part.weight
-    if ((credits[place] as number) > (credits[best] as number)) best = place
+    if ((credits[index] as number) > (credits[best] as number)) best = index
   })
   credits[best] = (credits[best] as number) - total
   return (parts[best] as Route['split'][number]).service
--- a/packages/routing/src/core/router.ts
+++ b/packages/routing/src/core/router.ts
@@ -1,13 +1,13 @@
-/** Chooses place and backend server for each request; the heart of an entry VM. */
+/** Selects the region and the backend server for each request at an entry VM. */
 import type { Chart, Millis, Random, RegionId, ResourceId, ServiceId, VmId } from '@lynxcourse/base'
 import type { RegionLatencies } from '../types/view.js'
-import { latencyBetween } from '../types/view.js'
+import { getLatencyMs } from '../types/view.js'
 import { createBackends, isServing, isUsable, noteEnded, noteSent, refreshBackend } from './backends.js'
 import type { AttemptEnd, Backends, ObservationCfg, Observed } from './backends.js'
 import type { Place } from './places.js'
 import type { PolicyContext, ServerPolicy } from './serverPolicy.js'
 
-/** What the router needs for its whole life. */
+/** Settings and dependencies of a router, fixed for its lifetime. */
 export interface RouterSetup {
   readonly self: VmId
   readonly region: RegionId
@@ -18,30 +18,31 @@
   readonly latencies: RegionLatencies
 }
 
-/** Limits as the router sees them. */
+/** The router's interface to the limits on requests in flight. */
 export interface LimitGate {
-  /** Whether a request may start against these resources now. */
+  /** Returns whether a request may start against these resources now. */
   mayEnter (resources: readonly ResourceId[]): boolean
-  /** The capped resources that a request to a place uses. */
+  /** Returns the capped resources that a request to this region uses. */
   resourcesOf (place: Place): readonly ResourceId[]
 }
 
 export interface Router {
   readonly setup: RouterSetup
   readonly backends: Backends
-  /** Entry VMs by region, for sharing servers out. */
+  /** Entry VMs by region, among which servers are divided. */
   peers: Map<RegionId, readonly VmId[]>
 }
 
-/** A request as routing sees it. */
+/** The properties of a request that determine its route. */
 export interface RouteRequest {
   readonly service: ServiceId
+  /** Regions to try, in order. */
   readonly places: readonly Place[]
-  /** Servers already tried. */
+  /** Ids of the servers already tried. */
   readonly tried: ReadonlySet<string>
 }
 
-/** Why a place was passed over, for `route explain` and the log. */
+/** A region that was passed over and why, for `route explain` and the log. */
 export interface PassedOver {
   readonly region: RegionId
   readonly reason: 'noServer' | 'noSlot' | 'limit'
@@ -55,19 +56,19 @@
   return { setup, backends: createBackends(setup.observation, setup.chart), peers: new Map() }
 }
 
-function contextFor (router: Router, region: RegionId, now: Millis): PolicyContext {
+function createPolicyContext (router: Router, region: RegionId, now: Millis): PolicyContext {
   const { setup } = router
   const inRegion = router.peers.get(region) ?? []
-  // Where no entry VM stands in a region, those of all regions share its servers.
+  // The servers of a region without entry VMs are divided among the entry VMs of all regions.
   const peers = inRegion.length > 0 ? inRegion : [...router.peers.values()].flat()
   return { cfg: setup.observation, self: setup.self, peers, random: setup.random, now }
 }
 
-/** Chooses the first place, in order, with a free slot and room under its limits. */
+/** Selects a server in the first region, in order, that has a free slot and capacity under its limits. */
 export function routeRequest (router: Router, request: RouteRequest, gate: LimitGate, now: Millis): RouteDecision {
   const passedOver: PassedOver[] = []
   for (const place of request.places) {
-    const usable = servingIn(router, request, place.region, now).filter(observed => isUsable(observed, now))
+    const usable = listServing(router, request, place.region, now).filter(observed => isUsable(observed, now))
     if (usable.length === 0) {
       passedOver.push({ region: place.region, reason: 'noServer' })
       continue
@@ -77,8 +78,8 @@
       passedOver.push({ region: place.region, reason: 'limit' })
       continue
     }
-    const ctx = contextFor(router, place.region, now)
-    const free = usable.filter(observed => observed.inFlight < slotsFor(router, observed, ctx))
+    const ctx = createPolicyContext(router, place.region, now)
+    const free = usable.filter(observed => observed.inFlight < countUsableSlots(router, observed, ctx))
     const observed = router.setup.policy.pick(free, ctx)
     if (observed !== undefined) return { type: 'send', observed, place, resources, passedOver }
     passedOver.push({ region: place.region, reason: 'noSlot' })
@@ -86,47 +87,47 @@
   return { type: 'wait', passedOver }
 }
 
-function servingIn (router: Router, request: RouteRequest, region: RegionId, now: Millis): Observed[] {
-  const all = router.backends.byService.get(request.service) ?? []
-  return all.filter(observed => {
+function listServing (router: Router, request: RouteRequest, region: RegionId, now: Millis): Observed[] {
+  const servers = router.backends.byService.get(request.service) ?? []
+  return servers.filter(observed => {
     if (observed.backend.region !== region || request.tried.has(observed.backend.id)) return false
     refreshBackend(router.backends, observed, now)
     return isServing(observed)
   })
 }
 
-function slotsFor (router: Router, observed: Observed, ctx: PolicyContext): number {
+function countUsableSlots (router: Router, observed: Observed, ctx: PolicyContext): number {
   return router.setup.policy.slotsFor(observed, ctx)
 }
 
-/** Slots that this VM may fill for a request, busy or free, also those that are left alone for a moment. */
+/** Returns the number of slots, busy or free, that this VM may use for a request; includes servers paused after a shed. */
 export function slotsOpenTo (router: Router, request: RouteRequest, now: Millis): number {
   let slots = 0
   for (const place of request.places) {
-    const ctx = contextFor(router, place.region, now)
-    for (const observed of servingIn(router, request, place.region, now)) slots += slotsFor(router, observed, ctx)
+    const ctx = createPolicyContext(router, place.region, now)
+    for (const observed of listServing(router, request, place.region, now)) slots += countUsableSlots(router, observed, ctx)
   }
   return slots
 }
 
-/** Mean service time of a service as this VM saw it, in milliseconds. */
+/** Returns the mean service time of a service as observed by this VM, in milliseconds; 0 if it has no servers. */
 export function serviceTime (router: Router, service: ServiceId): Millis {
-  const all = router.backends.byService.get(service) ?? []
-  if (all.length === 0) return 0
-  return all.reduce((sum, observed) => sum + observed.latencyMs, 0) / all.length
+  const servers = router.backends.byService.get(service) ?? []
+  if (servers.length === 0) return 0
+  return servers.reduce((sum, observed) => sum + observed.latencyMs, 0) / servers.length
 }
 
-/** Two-way latency from this VM to a region. */
+/** Returns the round-trip time from this VM to a region, in milliseconds. */
 export function roundTripTo (router: Router, region: RegionId): Millis {
-  return 2 * latencyBetween(router.setup.latencies, router.setup.region, region)
+  return 2 * getLatencyMs(router.setup.latencies, router.setup.region, region)
 }
 
-/** Counts an attempt in; pair it with `leaveAttempt`. */
+/** Counts an attempt as in flight. Each call needs a matching call of `leaveAttempt` when the attempt ends. */
 export function enterAttempt (observed: Observed): void {
   noteSent(observed)
 }
 
-/** Counts an attempt out. */
+/** Records the end and the outcome of an attempt. */
 export function leaveAttempt (router: Router, observed: Observed, end: AttemptEnd, tookMs: Millis, now: Millis): void {
   noteEnded(router.backends, observed, end, tookMs, now)
 }
--- a/packages/routing/src/core/serverPolicy.ts
+++ b/packages/routing/src/core/serverPolicy.ts
@@ -1,57 +1,57 @@
-/** How one of several VMs picks a backend server without asking the others. */
+/** Policies by which an entry VM selects a backend server without consulting the other VMs. */
 import { ownerByHash } from '@lynxcourse/base'
 import type { Millis, Random, VmId } from '@lynxcourse/base'
-import { openSlots, reportedWeight } from './backends.js'
+import { openSlots, estimateReportedLoad } from './backends.js'
 import type { ObservationCfg, Observed } from './backends.js'
 
-/** What a policy may look at. */
+/** The inputs of a policy besides the servers. */
 export interface PolicyContext {
   readonly cfg: ObservationCfg
   readonly self: VmId
-  /** Entry VMs of the servers' region, this one among them if it is there. */
+  /** Entry VMs that share the servers, usually those of the servers' region; includes `self` only if it is one of them. */
   readonly peers: readonly VmId[]
   readonly random: Random
   readonly now: Millis
 }
 
-/** A way of sharing servers among entry VMs. */
+/** A policy for dividing servers among entry VMs. */
 export abstract class ServerPolicy {
   /** Name in the settings. */
   abstract readonly name: string
 
-  /** Slots of a server that this VM may fill. */
+  /** Returns how many slots of a server this VM may use. */
   abstract slotsFor (observed: Observed, ctx: PolicyContext): number
 
-  /** Whether the slot counts are shared out, so that no two VMs fill the same slot. */
+  /** Whether slots are divided among VMs, so that no two VMs of the region use the same slot. */
   abstract readonly isShared: boolean
 
-  /** Picks among servers that have a free slot: the less loaded of two drawn at random. */
+  /** Selects among servers with a free slot: of two chosen at random, the one with the lower utilization. */
   pick (candidates: readonly Observed[], ctx: PolicyContext): Observed | undefined {
     if (candidates.length <= 1) return candidates[0]
     const first = Math.floor(ctx.random() * candidates.length)
     const second = (first + 1 + Math.floor(ctx.random() * (candidates.length - 1))) % candidates.length
     const a = candidates[first] as Observed
     const b = candidates[second] as Observed
-    return this.loadOf(a, ctx) <= this.loadOf(b, ctx) ? a : b
+    return this.estimateUtilization(a, ctx) <= this.estimateUtilization(b, ctx) ? a : b
   }
 
-  /** Share of a server's slots in use: our own work, or what the server reports if that is more. */
-  protected loadOf (observed: Observed, ctx: PolicyContext): number {
-    const busy = Math.max(observed.inFlight, reportedWeight(ctx.cfg, observed, ctx.now))
+  /** Estimates the fraction of a server's open slots in use, from this VM's own requests or the server's report, if higher. */
+  protected estimateUtilization (observed: Observed, ctx: PolicyContext): number {
+    const busy = Math.max(observed.inFlight, estimateReportedLoad(ctx.cfg, observed, ctx.now))
     return busy / openSlots(ctx.cfg, observed, ctx.now)
   }
 }
 
 /**
- * Whether this VM stands outside the servers' region. It owns nothing there, and yet its callers must
- * find a way when their own region is drained or full: it takes what is free, within the link's cap.
+ * Returns whether this VM is outside the servers' region. Such a VM owns no slots there, but its callers depend on
+ * them when their own region is drained or full. It may therefore use any slot, within the cap of the link.
  */
-function isForeign (ctx: PolicyContext): boolean {
+function isRemote (ctx: PolicyContext): boolean {
   return !ctx.peers.includes(ctx.self)
 }
 
-/** Each VM for itself; two may pick the same slot, and the server sheds the second. */
-export class AlonePolicy extends ServerPolicy {
+/** VMs decide independently. Two may choose the same slot, and the server then sheds the second request. */
+export class IndependentPolicy extends ServerPolicy {
   readonly name = 'alone'
   readonly isShared = false
 
@@ -64,31 +64,31 @@
 export class SlotLeasePolicy extends ServerPolicy {
   readonly name = 'slots'
   readonly isShared = true
-  private readonly owners = new Map<string, readonly (VmId | undefined)[]>()
+  private readonly ownersCache = new Map<string, readonly (VmId | undefined)[]>()
 
   override slotsFor (observed: Observed, ctx: PolicyContext): number {
     const open = openSlots(ctx.cfg, observed, ctx.now)
-    if (isForeign(ctx)) return open
-    let mine = 0
-    for (const owner of this.ownersOf(observed, ctx).slice(0, open)) {
-      if (owner === ctx.self) mine += 1
+    if (isRemote(ctx)) return open
+    let ownSlots = 0
+    for (const owner of this.getSlotOwners(observed, ctx).slice(0, open)) {
+      if (owner === ctx.self) ownSlots += 1
     }
-    return mine
+    return ownSlots
   }
 
-  private ownersOf (observed: Observed, ctx: PolicyContext): readonly (VmId | undefined)[] {
+  private getSlotOwners (observed: Observed, ctx: PolicyContext): readonly (VmId | undefined)[] {
     const { id, slots } = observed.backend
     const key = `${id} ${slots} ${ctx.peers.join()}`
-    const known = this.owners.get(key)
-    if (known !== undefined) return known
-    if (this.owners.size > maxKnownOwners) this.owners.clear()
+    const cached = this.ownersCache.get(key)
+    if (cached !== undefined) return cached
+    if (this.ownersCache.size > maxCachedOwners) this.ownersCache.clear()
     const owners = Array.from({ length: slots }, (_, slot) => ownerByHash(`${id} ${slot}`, ctx.peers))
-    this.owners.set(key, owners)
+    this.ownersCache.set(key, owners)
     return owners
   }
 }
 
-const maxKnownOwners = 10_000
+const maxCachedOwners = 10_000
 
 /** Each server belongs to one VM of the region, by rendezvous hashing. */
 export class OwnerPolicy extends ServerPolicy {
@@ -96,20 +96,20 @@
   readonly isShared = true
 
   override slotsFor (observed: Observed, ctx: PolicyContext): number {
-    const mayFill = isForeign(ctx) || ownerByHash(observed.backend.id, ctx.peers) === ctx.self
-    return mayFill ? openSlots(ctx.cfg, observed, ctx.now) : 0
+    const mayUse = isRemote(ctx) || ownerByHash(observed.backend.id, ctx.peers) === ctx.self
+    return mayUse ? openSlots(ctx.cfg, observed, ctx.now) : 0
   }
 }
 
-/** Names of the policies, as settings spell them. */
+/** Names of the policies in the settings. */
 export const policyNames = ['alone', 'slots', 'owner'] as const
 
 export type PolicyName = typeof policyNames[number]
 
-/** Makes a policy by its name. */
+/** Creates the policy of the given name. */
 export function makePolicy (name: PolicyName): ServerPolicy {
   switch (name) {
-    case 'alone': return new AlonePolicy()
+    case 'alone': return new IndependentPolicy()
     case 'slots': return new SlotLeasePolicy()
     case 'owner': return new OwnerPolicy()
   }
--- a/packages/routing/src/internal.ts
+++ b/packages/routing/src/internal.ts
@@ -1,4 +1,4 @@
-/** Fixes the order in which the modules of this package load. */
+/** Defines the load order of this package's modules. */
 export * from './types/view.js'
 export * from './core/blockTable.js'
 export * from './core/places.js'
--- a/packages/routing/src/types/view.ts
+++ b/packages/routing/src/types/view.ts
@@ -1,14 +1,14 @@
-/** What routing sees of the rest of the system. */
+/** Routing's view of the rest of the system. */
 import type { FailureDomainId, RegionId, ServerId, ServiceId, ShiftId, VmId } from '@lynxcourse/base'
 
-/** An entry VM that callers may be sent to. */
+/** An entry VM that a look-up may return to callers. */
 export interface EntryVm {
   readonly vm: VmId
   readonly region: RegionId
   readonly failureDomain: FailureDomainId
   /** `IP:port`. */
   readonly http: string
-  /** Not heard of late; named last. */
+  /** No recent heartbeat; look-ups list the VM last. */
   readonly suspected: boolean
 }
 
@@ -21,13 +21,13 @@
   readonly address: string
   readonly slots: number
   readonly maxConnections: number
-  /** By the server's own word or by an operator's drain: no new work. */
+  /** Takes no new requests, as announced by the server or because of an operator's drain. */
   readonly leaving: boolean
-  /** Not ready yet, by its own word. */
+  /** Announced by the server as not ready yet. */
   readonly starting: boolean
 }
 
-/** A shift that moves a share of a service's callers. */
+/** A shift in progress that moves a percentage of a service's callers from one region to another. */
 export interface ActiveShift {
   readonly id: ShiftId
   readonly service: ServiceId
@@ -36,14 +36,14 @@
   readonly percent: number
 }
 
-/** One-way latencies between regions, in milliseconds, by `from>to`. */
+/** One-way latencies between regions in milliseconds, keyed by `from>to`. */
 export type RegionLatencies = ReadonlyMap<string, number>
 
-/** Latency assumed where none is set, in milliseconds. */
+/** Latency between two regions that have none configured, in milliseconds. */
 export const defaultLatencyMs = 50
 
-/** One-way latency between two regions. */
-export function latencyBetween (latencies: RegionLatencies, from: RegionId, to: RegionId): number {
+/** Returns the one-way latency between two regions, in milliseconds. */
+export function getLatencyMs (latencies: RegionLatencies, from: RegionId, to: RegionId): number {
   if (from === to) return 0
   return latencies.get(`${from}>${to}`) ?? latencies.get(`${to}>${from}`) ?? defaultLatencyMs
 }
