--- a/packages/daemon/src/core/control/shiftDuty.ts
+++ b/packages/daemon/src/core/control/shiftDuty.ts
@@ -1,7 +1,7 @@
 /** The leader moves shifts on. */
 import type { Millis, RegionId, ServiceId } from '@lynxcourse/base'
 import { listServers } from '@lynxcourse/membership'
-import { profileOf } from '@lynxcourse/state'
+import { findServiceProfile } from '@lynxcourse/state'
 import type { ShiftItem } from '@lynxcourse/state'
 import { addReading, planShift, summarizeReadings } from '@lynxcourse/steering'
 import type { Headroom } from '@lynxcourse/steering'
@@ -48,7 +48,7 @@
     duties.readings.delete(shift.key)
     return
   }
-  const profile = profileOf(duties.host.machine.config, shift.service)
+  const profile = findServiceProfile(duties.host.machine.config, shift.service)
   if (profile === undefined) return
   const headroom = steadyHeadroom(duties, shift, now)
   const times = { lookupTtlMs: profile.lookupTtlS * 1000, reportLagMs, staleMs: staleReportMs }
--- a/packages/daemon/src/core/entry/serveOnce.ts
+++ b/packages/daemon/src/core/entry/serveOnce.ts
@@ -1,7 +1,7 @@
 /** Serves requests that must not run twice, by the steps of `onceFlow`. */
 import { afterAttempt, afterClaim, afterRecord, afterSlot, createOnceFlow, lastSendAfterShed, mayTryAfterSheds, startOnce } from '@lynxcourse/routing'
 import type { OnceEffect, OnceFlow } from '@lynxcourse/routing'
-import type { ClaimAnswer, KeptAnswer } from '@lynxcourse/state'
+import type { ClaimAnswer, StoredAnswer } from '@lynxcourse/state'
 import type { Millis, RequestId } from '@lynxcourse/base'
 import { presentTime } from '../../utils/clock.js'
 import type { FinalAnswer, HeaderMap } from '../../types/answers.js'
@@ -130,7 +130,7 @@
 }
 
 /** What a later copy of a request hears. */
-function takenAnswer (state: string, answer: KeptAnswer | undefined): FinalAnswer {
+function takenAnswer (state: string, answer: StoredAnswer | undefined): FinalAnswer {
   switch (state) {
     case 'done': return keptAnswer(answer)
     case 'notRun': return ownAnswer('not-run', 'this id was refused before; give the request a new one', undefined)
@@ -139,7 +139,7 @@
   }
 }
 
-function answerToKeep (serving: Serving, result: AttemptResult | undefined): KeptAnswer | undefined {
+function answerToKeep (serving: Serving, result: AttemptResult | undefined): StoredAnswer | undefined {
   if (result?.type !== 'answered') return undefined
   const { body, status, headers } = result
   const isSmall = Buffer.isBuffer(body) && body.length <= serving.entry.node.cfg.limits.keptAnswerBytes
--- a/packages/daemon/src/core/entry/slots.ts
+++ b/packages/daemon/src/core/entry/slots.ts
@@ -6,7 +6,7 @@
   serviceTime
 } from '@lynxcourse/routing'
 import type { AttemptEnd, LimitGate, RouteRequest } from '@lynxcourse/routing'
-import { linkResource, profileOf, regionResource, shiftResource } from '@lynxcourse/state'
+import { createLinkResourceId, findServiceProfile, createRegionResourceId, createShiftResourceId } from '@lynxcourse/state'
 import type { Profile } from '@lynxcourse/state'
 import type { Cancel } from '../../utils/cancel.js'
 import { presentTime } from '../../utils/clock.js'
@@ -28,9 +28,9 @@
   const { node } = entry
   return {
     resourcesOf: place => {
-      const resources = [regionResource(profile, place.region)]
-      if (place.region !== node.cfg.region) resources.push(linkResource(profile, node.cfg.region, place.region))
-      if (place.shift !== undefined) resources.push(shiftResource(place.shift))
+      const resources = [createRegionResourceId(profile, place.region)]
+      if (place.region !== node.cfg.region) resources.push(createLinkResourceId(profile, node.cfg.region, place.region))
+      if (place.shift !== undefined) resources.push(createShiftResourceId(place.shift))
       return resources.filter(resource => entry.capped.has(resource))
     },
     mayEnter: resources => {
@@ -46,7 +46,7 @@
 function queueOf (entry: Entry, service: ServiceId): ServiceQueue {
   const known = entry.queues.get(service)
   if (known !== undefined) return known
-  const limit = profileOf(entry.node.config, service)?.queueLimit ?? 0
+  const limit = findServiceProfile(entry.node.config, service)?.queueLimit ?? 0
   const made: ServiceQueue = { queue: createQueue(limit), pace: createPace(), timer: undefined, prunedAt: 0 }
   entry.queues.set(service, made)
   return made
--- a/packages/faults/src/core/controlDuties.ts
+++ b/packages/faults/src/core/controlDuties.ts
@@ -4,7 +4,7 @@
 import { createGrantor, grantsFor, noteReport, planShares } from '@lynxcourse/limits'
 import type { Grant, Grantor, Usage } from '@lynxcourse/limits'
 import { isCurrent, noteConfirmed } from '@lynxcourse/membership'
-import { deltaSince, listCaps, listItems, takeDelta } from '@lynxcourse/state'
+import { getDeltaSince, listCaps, listItems, applyDelta } from '@lynxcourse/state'
 import type { ConfigDelta } from '@lynxcourse/state'
 import { FixedStepRule, judgeDrain, planShift } from '@lynxcourse/steering'
 import type { VmProgress } from '@lynxcourse/steering'
@@ -48,12 +48,12 @@
   refreshView(control, now)
   const ageMs = isCurrent(control.currency, now) ? now - control.currency.confirmedAt : undefined
   const leader = control.replica?.leader
-  return { delta: deltaSince(control.view, version), ageMs, leader: leader === undefined ? undefined : vmOfHolder(leader) }
+  return { delta: getDeltaSince(control.view, version), ageMs, leader: leader === undefined ? undefined : vmOfHolder(leader) }
 }
 
 function refreshView (control: ControlModel, now: Millis): void {
   if (!leadsNow(control) || control.replica === undefined) return
-  takeDelta(control.view, deltaSince(control.machine.config, control.view.version))
+  applyDelta(control.view, getDeltaSince(control.machine.config, control.view.version))
   noteConfirmed(control.currency, Math.min(now, control.replica.confirmedAt), 0)
 }
 
@@ -83,7 +83,7 @@
   send(world.network, control.host, target.host, () => {
     const reply = answerSync(world, target, version)
     send(world.network, target.host, control.host, () => {
-      const isWhole = takeDelta(control.view, reply.delta)
+      const isWhole = applyDelta(control.view, reply.delta)
       if (isWhole && reply.ageMs !== undefined) noteConfirmed(control.currency, askedAt, reply.ageMs)
     })
   })
--- a/packages/faults/src/core/requestModel.ts
+++ b/packages/faults/src/core/requestModel.ts
@@ -6,7 +6,7 @@
 import { plan } from '@lynxcourse/base/timeline'
 import { enterLimits, leaveLimits, mayEnter, noteWanted } from '@lynxcourse/limits'
 import { listCaps } from '@lynxcourse/state'
-import type { Answer, ClaimCommand, SettleCommand } from '@lynxcourse/state'
+import type { CommandAnswer, ClaimCommand, SettleCommand } from '@lynxcourse/state'
 import { checkDispatch, checkLoad, checkRun, checkTold, passStep } from './checks.js'
 import { propose } from './controlLog.js'
 import { planAt, send, sendOverStream } from './network.js'
@@ -75,10 +75,10 @@
 }
 
 /** Sends a command to the leader until an answer comes or the time is over; `done` is called once. */
-function submit (copy: Copy, command: ClaimCommand | SettleCommand, until: Millis, done: (answer: Answer | undefined) => void): void {
+function submit (copy: Copy, command: ClaimCommand | SettleCommand, until: Millis, done: (answer: CommandAnswer | undefined) => void): void {
   const { world, entry } = copy
   let over = false
-  const finish = (answer: Answer | undefined): void => {
+  const finish = (answer: CommandAnswer | undefined): void => {
     if (over || entry.host.life !== copy.life) return
     over = true
     done(answer)
--- a/packages/routing/src/core/routeTable.ts
+++ b/packages/routing/src/core/routeTable.ts
@@ -1,5 +1,5 @@
 /** Matches requests to routes and selects a service among the parts of a weighted split. */
-import { partsOf } from '@lynxcourse/state'
+import { getRouteServices } from '@lynxcourse/state'
 import type { Route } from '@lynxcourse/state'
 import type { ServiceId } from '@lynxcourse/base'
 
@@ -37,7 +37,7 @@
  * proportion to within about one request, whereas random selection deviates by tens of percent on short sequences.
  */
 export function pickService (picker: SplitPicker, route: Route): ServiceId {
-  const parts = partsOf(route)
+  const parts = getRouteServices(route)
   const only = parts.length === 1 ? parts[0] : undefined
   if (only !== undefined) return only.service
   const key = parts.map(part => `${part.service}=${part.weight}`).join()
