--- a/packages/daemon/src/core/entry/entry.ts
+++ b/packages/daemon/src/core/entry/entry.ts
@@ -4,7 +4,7 @@
 import { isTombstone, listServers, listVms } from '@lynxcourse/membership'
 import type { ServerRecord, VmRecord } from '@lynxcourse/membership'
 import {
-  buildBlockTable, buildLookupIndex, createRouter, defaultObservation, makePolicy, setBackends
+  buildBlockTable, buildLookupIndex, createRouter, defaultObservation, createServerPolicy, setBackends
 } from '@lynxcourse/routing'
 import type { ActiveShift, Backend, BlockTable, CallerBlock, EntryVm, LookupIndex, RetryBudget, Router } from '@lynxcourse/routing'
 import { listActiveDrains, listActiveShifts, listCaps, findServiceProfile } from '@lynxcourse/state'
@@ -61,7 +61,7 @@
   const router = createRouter({
     self: node.cfg.vm,
     region: node.cfg.region,
-    policy: makePolicy(node.cfg.serverPolicy),
+    policy: createServerPolicy(node.cfg.serverPolicy),
     observation: { ...defaultObservation, slowStartMs: times.slowStartMs },
     chart: loadChart('server'),
     random: node.random,
--- a/packages/daemon/src/core/node/queries.ts
+++ b/packages/daemon/src/core/node/queries.ts
@@ -144,7 +144,7 @@
   if (profile === undefined) throw new LynxError('unknownService', `'${service}'`, { step: 'explain', field: 'service' })
   const caller = callerInfo(entry, client)
   const places = placesFor(entry, service, profile, caller)
-  const decision = routeRequest(entry.router, { service, places, tried: new Set() }, limitGate(entry, service, profile, presentTime), now)
+  const decision = routeRequest(entry.router, { service, places, triedServers: new Set() }, limitGate(entry, service, profile, presentTime), now)
   const servers = (entry.router.backends.byService.get(service) ?? []).map(observed => {
     refreshBackend(entry.router.backends, observed, now)
     const { backend, state, inFlight, latencyMs } = observed
--- a/packages/faults/src/core/entryModel.ts
+++ b/packages/faults/src/core/entryModel.ts
@@ -1,7 +1,7 @@
 /** An entry VM of the model: its lease, its reports and its look-ups. */
 import { holderOf } from '@lynxcourse/base'
 import type { DrainId, Incarnation, VmId } from '@lynxcourse/base'
-import { createHolderLimits, reportUsage, takeGrants } from '@lynxcourse/limits'
+import { createHolderLimits, collectUsages, applyGrants } from '@lynxcourse/limits'
 import { createCurrency, isCurrent, noteConfirmed } from '@lynxcourse/membership'
 import { listActiveDrains, createConfig, listCaps, applyDelta } from '@lynxcourse/state'
 import { checkCurrent, checkVersion, passStep } from './checks.js'
@@ -91,7 +91,7 @@
   const report: Report = {
     holder: entry.holder,
     serial: entry.limits.serial,
-    usages: reportUsage(entry.limits, listCaps(entry.config).keys()),
+    usages: collectUsages(entry.limits, listCaps(entry.config).keys()),
     progress: { vm: entry.vm, version: entry.config.version, remaining: remainingOf(world, entry) },
     load: [...entry.inFlight.values()].reduce((sum, count) => sum + count, 0)
   }
@@ -99,7 +99,7 @@
     const reply = answerReport(world, leader, report)
     if (reply === undefined) return
     send(world.network, leader.host, entry.host, () => {
-      if (entry.host.life === life) takeGrants(entry.limits, reply.serial, reply.grants, askedAt)
+      if (entry.host.life === life) applyGrants(entry.limits, reply.serial, reply.grants, askedAt)
     })
   })
 }
--- a/packages/limits/__tests__/limits.test.ts
+++ b/packages/limits/__tests__/limits.test.ts
@@ -5,8 +5,8 @@
 import { brandId } from '@lynxcourse/base'
 import type { HolderId, ResourceId } from '@lynxcourse/base'
 import {
-  computeFairShares, createGrantor, createHolderLimits, enterLimits, grantsFor, leaveLimits, mayEnter, noteReport, planShares,
-  reportUsage, takeGrants
+  computeFairShares, createGrantor, createHolderLimits, acquireCapacity, getGrants, releaseCapacity, hasCapacity, recordUsageReport, planShares,
+  collectUsages, applyGrants
 } from '@lynxcourse/limits'
 import type { Grant, Grantor, HolderLimits, Share, Usage } from '@lynxcourse/limits'
 
@@ -66,8 +66,8 @@
   const holder = fixture.holders[pick % holderCount] as Holder
   switch (type) {
     case 'fillGrant':
-      while (mayEnter(holder.limits, [resource], fixture.now)) {
-        enterLimits(holder.limits, [resource])
+      while (hasCapacity(holder.limits, [resource], fixture.now)) {
+        acquireCapacity(holder.limits, [resource])
         holder.requestEnds.push(fixture.now + maxRequestMs)
       }
       break
@@ -76,11 +76,11 @@
       deliverReport(fixture, fixture.reports.length - 1)
       perform(fixture, 'deliverGrants', fixture.answers.length - 1)
       break
-    case 'sendReport': fixture.reports.push({ holder, serial: holder.limits.serial, usages: reportUsage(holder.limits, [resource]).map(usage => ({ ...usage, wanted: pick })), askedAt: fixture.now }); break
+    case 'sendReport': fixture.reports.push({ holder, serial: holder.limits.serial, usages: collectUsages(holder.limits, [resource]).map(usage => ({ ...usage, wanted: pick })), askedAt: fixture.now }); break
     case 'deliverReport': deliverReport(fixture, pick); break
     case 'deliverGrants': {
       const [answer] = fixture.answers.splice(pick % Math.max(1, fixture.answers.length), 1)
-      if (answer !== undefined) takeGrants(answer.holder.limits, answer.serial, answer.grants, answer.askedAt)
+      if (answer !== undefined) applyGrants(answer.holder.limits, answer.serial, answer.grants, answer.askedAt)
       break
     }
     case 'plan': applyPlan(fixture); break
@@ -93,15 +93,15 @@
 function deliverReport (fixture: Fixture, pick: number): void {
   const [report] = fixture.reports.splice(pick % Math.max(1, fixture.reports.length), 1)
   if (report === undefined) return
-  noteReport(fixture.grantor, report.holder.id, report.serial, report.usages, fixture.now)
-  fixture.answers.push({ holder: report.holder, serial: fixture.serial, grants: grantsFor(fixture.grantor, fixture.shares, report.holder.id), askedAt: report.askedAt })
+  recordUsageReport(fixture.grantor, report.holder.id, report.serial, report.usages, fixture.now)
+  fixture.answers.push({ holder: report.holder, serial: fixture.serial, grants: getGrants(fixture.grantor, fixture.shares, report.holder.id), askedAt: report.askedAt })
 }
 
 function advanceTime (fixture: Fixture, ms: number): void {
   fixture.now += ms
   for (const holder of fixture.holders) {
     const ended = holder.requestEnds.filter(end => end <= fixture.now)
-    ended.forEach(() => leaveLimits(holder.limits, [resource]))
+    ended.forEach(() => releaseCapacity(holder.limits, [resource]))
     holder.requestEnds = holder.requestEnds.filter(end => end > fixture.now)
   }
 }
--- a/packages/limits/src/core/grantor.ts
+++ b/packages/limits/src/core/grantor.ts
@@ -47,7 +47,7 @@
 export interface Grantor {
   readonly ttlMs: Millis
   /** Longest time that a request may run after it started under a grant: the longest deadline. */
-  readonly holdMs: Millis
+  readonly maxRequestMs: Millis
   reports: Map<HolderId, HolderReport>
   pendingReductions: Map<string, PendingReduction>
 }
@@ -56,17 +56,17 @@
 const minRelativeChange = 0.2
 
 export function createGrantor (ttlMs: Millis, maxRequestMs: Millis): Grantor {
-  return { ttlMs, holdMs: maxRequestMs, reports: new Map(), pendingReductions: new Map() }
+  return { ttlMs, maxRequestMs, reports: new Map(), pendingReductions: new Map() }
 }
 
 /** Records a holder's usage report. */
-export function noteReport (grantor: Grantor, holder: HolderId, serial: number, usages: readonly Usage[], now: Millis): void {
+export function recordUsageReport (grantor: Grantor, holder: HolderId, serial: number, usages: readonly Usage[], now: Millis): void {
   const byResource = new Map(usages.map(usage => [usage.resource, usage]))
   grantor.reports.set(holder, { at: now, serial, usages: byResource })
 }
 
 /** Returns the grants that answer a holder's report. */
-export function grantsFor (grantor: Grantor, shares: SharesByResource, holder: HolderId): Grant[] {
+export function getGrants (grantor: Grantor, shares: SharesByResource, holder: HolderId): Grant[] {
   const grants: Grant[] = []
   for (const [resource, holders] of shares) {
     const share = holders.get(holder)
@@ -114,7 +114,7 @@
       const key = `${resource} ${holder}`
       reducedKeys.add(key)
       const reduction = trackReduction(grantor, key, share.amount, serial, now)
-      const isTimeOver = now - reduction.since > grantor.ttlMs + grantor.holdMs
+      const isTimeOver = now - reduction.since > grantor.ttlMs + grantor.maxRequestMs
       if (isTimeOver || isAcknowledged(grantor, holder, resource, share.amount, reduction.serial)) {
         lapsed.push({ resource, holder, amount: share.amount })
       }
--- a/packages/limits/src/core/holder.ts
+++ b/packages/limits/src/core/holder.ts
@@ -44,7 +44,7 @@
  * @param serial the grantor's log index; grants of an older index could undo a reduction and are ignored
  * @param askedAt when this holder sent the report that the grants answer
  */
-export function takeGrants (limits: HolderLimits, serial: number, grants: readonly Grant[], askedAt: Millis): void {
+export function applyGrants (limits: HolderLimits, serial: number, grants: readonly Grant[], askedAt: Millis): void {
   if (serial < limits.serial) return
   limits.serial = serial
   limits.grants = new Map()
@@ -65,26 +65,26 @@
  *
  * @param extra number of requests that would use the resource if they had capacity
  */
-export function noteWanted (limits: HolderLimits, resource: ResourceId, extra: number): void {
+export function recordDemand (limits: HolderLimits, resource: ResourceId, extra: number): void {
   const wanted = (limits.inFlight.get(resource) ?? 0) + extra
   limits.wanted.set(resource, Math.max(limits.wanted.get(resource) ?? 0, wanted))
 }
 
 /** Returns whether a request may start against all of these resources. */
-export function mayEnter (limits: HolderLimits, resources: readonly ResourceId[], now: Millis): boolean {
+export function hasCapacity (limits: HolderLimits, resources: readonly ResourceId[], now: Millis): boolean {
   return resources.every(resource => getRemainingCapacity(limits, resource, now) > 0)
 }
 
-/** Counts a request as in flight. Each call needs a matching call of `leaveLimits` when the request ends. */
-export function enterLimits (limits: HolderLimits, resources: readonly ResourceId[]): void {
+/** Counts a request as in flight. Each call needs a matching call of `releaseCapacity` when the request ends. */
+export function acquireCapacity (limits: HolderLimits, resources: readonly ResourceId[]): void {
   for (const resource of resources) {
     limits.inFlight.set(resource, (limits.inFlight.get(resource) ?? 0) + 1)
-    noteWanted(limits, resource, 0)
+    recordDemand(limits, resource, 0)
   }
 }
 
 /** Removes an ended request from the counts of requests in flight. */
-export function leaveLimits (limits: HolderLimits, resources: readonly ResourceId[]): void {
+export function releaseCapacity (limits: HolderLimits, resources: readonly ResourceId[]): void {
   for (const resource of resources) {
     const remaining = (limits.inFlight.get(resource) ?? 0) - 1
     if (remaining > 0) limits.inFlight.set(resource, remaining)
@@ -93,7 +93,7 @@
 }
 
 /** Returns the usage of the capped resources for a report, and resets the recorded demand. */
-export function reportUsage (limits: HolderLimits, cappedResources: Iterable<ResourceId>): Usage[] {
+export function collectUsages (limits: HolderLimits, cappedResources: Iterable<ResourceId>): Usage[] {
   const usages: Usage[] = []
   for (const resource of cappedResources) {
     const inFlight = limits.inFlight.get(resource) ?? 0
--- a/packages/routing/__tests__/connections.test.ts
+++ b/packages/routing/__tests__/connections.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { loadChart } from '@lynxcourse/base'
-import { createConnectionState, defaultConnectionCfg, isSilent, mayCarry, noteProgress, takeConnectionEvent } from '@lynxcourse/routing'
+import { createConnectionState, defaultConnectionCfg, isSilent, isReusable, recordProgress, applyConnectionEvent } from '@lynxcourse/routing'
 import { createRestMemory, longestRest, noteRestedReset, noteSilence } from '@lynxcourse/placement'
 
 test('a connection without recent progress is not reused, with a shorter limit for requests that must not repeat', () => {
@@ -10,13 +10,13 @@
   const connections = loadChart('connection')
   const connection = createConnectionState(connections, 0)
   const { staleMs, silentMs } = defaultConnectionCfg
-  assert.equal(mayCarry(defaultConnectionCfg, connection, true, staleMs / 2 - 1), true)
-  assert.equal(mayCarry(defaultConnectionCfg, connection, true, staleMs / 2), false)
-  assert.equal(mayCarry(defaultConnectionCfg, connection, false, staleMs / 2), true)
-  assert.equal(mayCarry(defaultConnectionCfg, connection, false, staleMs), false)
-  takeConnectionEvent(connections, connection, 'take')
+  assert.equal(isReusable(defaultConnectionCfg, connection, true, staleMs / 2 - 1), true)
+  assert.equal(isReusable(defaultConnectionCfg, connection, true, staleMs / 2), false)
+  assert.equal(isReusable(defaultConnectionCfg, connection, false, staleMs / 2), true)
+  assert.equal(isReusable(defaultConnectionCfg, connection, false, staleMs), false)
+  applyConnectionEvent(connections, connection, 'take')
   assert.equal(isSilent(defaultConnectionCfg, connection, silentMs + 1), true)
-  noteProgress(connections, connection, silentMs)
+  recordProgress(connections, connection, silentMs)
   assert.equal(isSilent(defaultConnectionCfg, connection, silentMs + 1), false)
 })
 
--- a/packages/routing/src/core/admission.ts
+++ b/packages/routing/src/core/admission.ts
@@ -1,6 +1,6 @@
 /** Admission control: estimates whether a request can complete before its deadline, before any work is spent on it. */
 import type { Millis } from '@lynxcourse/base'
-import type { Waiting } from './deadlineQueue.js'
+import type { QueueItem } from './deadlineQueue.js'
 
 /** What is known when a request arrives. */
 export interface AdmissionInput {
@@ -8,11 +8,11 @@
   /** Slots that this VM may use for the service, in all regions available to the request. */
   readonly slots: number
   /** Number of requests that already wait for the service. */
-  readonly waiting: number
+  readonly queueLength: number
   /** Smoothed service time. */
   readonly serviceMs: Millis
   /** Smoothed interval between completions while other requests wait; 0 as long as no request had to wait. */
-  readonly intervalMs: Millis
+  readonly completionIntervalMs: Millis
   /** Round-trip time to the first region, plus that of a claim if the request needs one. */
   readonly overheadMs: Millis
 }
@@ -37,13 +37,13 @@
  * use the same slots, so the completion rate is considered as well; the longer of both estimates counts.
  */
 export function estimateWaitMs (input: AdmissionInput): Millis {
-  const bySlots = Math.floor(input.waiting / Math.max(1, input.slots)) * input.serviceMs
-  const byCompletions = input.waiting * input.intervalMs
+  const bySlots = Math.floor(input.queueLength / Math.max(1, input.slots)) * input.serviceMs
+  const byCompletions = input.queueLength * input.completionIntervalMs
   return Math.max(bySlots, byCompletions)
 }
 
 /** Returns whether a request is expected to complete before its deadline. */
-export function canFinish (input: AdmissionInput, now: Millis): boolean {
+export function canCompleteInTime (input: AdmissionInput, now: Millis): boolean {
   return input.slots > 0 && estimateCompletion(input, now) <= input.deadline
 }
 
@@ -59,7 +59,7 @@
  * @param sheds how often the request was shed
  * @param waiting number of requests that wait for the same service
  */
-export function mayTryAfterSheds (sheds: number, waiting: number): boolean {
+export function canRetryAfterSheds (sheds: number, waiting: number): boolean {
   return sheds < (waiting > 0 ? maxShedsWithQueue : maxSheds)
 }
 
@@ -72,17 +72,17 @@
  * is aborted in transit, and its caller receives an unknown outcome and must not repeat it although no server started
  * it. With 300 ms to the deadline this happened to three of seven requests that all servers shed, even over loopback.
  */
-export function lastSendAfterShed (arrivedAt: Millis, deadline: Millis): Millis {
+export function getLatestResendTime (arrivedAt: Millis, deadline: Millis): Millis {
   return deadline - Math.min(maxResponseMs, (deadline - arrivedAt) * responseFraction)
 }
 
 /** Returns the delay after which a rejected caller should retry: the estimated time to serve the present queue. */
-export function retryAfter (input: AdmissionInput): Millis {
+export function getRetryAfterMs (input: AdmissionInput): Millis {
   return Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, Math.ceil(estimateWaitMs(input))))
 }
 
 /** Tracks the rate at which requests complete while others wait. */
-export interface Pace {
+export interface CompletionRate {
   /** Smoothed interval between two completions; 0 while unknown. */
   intervalMs: Millis
   /** Time of the last completion; undefined if the queue has been empty since. */
@@ -91,12 +91,12 @@
 
 const intervalSmoothing = 0.1
 
-export function createPace (): Pace {
+export function createCompletionRate (): CompletionRate {
   return { intervalMs: 0, lastAt: undefined }
 }
 
 /** Records that a request completed while others waited. */
-export function notePace (pace: Pace, now: Millis): void {
+export function recordCompletion (pace: CompletionRate, now: Millis): void {
   if (pace.lastAt !== undefined) {
     const interval = now - pace.lastAt
     pace.intervalMs = pace.intervalMs === 0 ? interval : pace.intervalMs + (interval - pace.intervalMs) * intervalSmoothing
@@ -105,7 +105,7 @@
 }
 
 /** Records that the queue is empty, so that the next interval does not include idle time. */
-export function pausePace (pace: Pace): void {
+export function pauseCompletionRate (pace: CompletionRate): void {
   pace.lastAt = undefined
 }
 
@@ -113,7 +113,7 @@
  * Finds the waiting requests that cannot complete before their deadlines at the present completion rate. Rejecting them
  * immediately lets their callers know before the deadline.
  */
-export function findHopeless<Item extends Waiting> (items: readonly Item[], pace: Pace, serviceMs: Millis, now: Millis): Item[] {
+export function findUnservable<Item extends QueueItem> (items: readonly Item[], pace: CompletionRate, serviceMs: Millis, now: Millis): Item[] {
   const inOrder = [...items].sort((a, b) => a.deadline - b.deadline || a.order - b.order)
   const unservable: Item[] = []
   let position = 0
--- a/packages/routing/src/core/backends.ts
+++ b/packages/routing/src/core/backends.ts
@@ -31,7 +31,7 @@
 }
 
 /** A server as observed by this VM. */
-export interface Observed {
+export interface ObservedServer {
   backend: Backend
   /** State of the `server` chart. */
   state: string
@@ -55,8 +55,8 @@
 export interface Backends {
   readonly cfg: ObservationCfg
   readonly chart: Chart
-  byId: Map<ServerId, Observed>
-  byService: Map<ServiceId, Observed[]>
+  byId: Map<ServerId, ObservedServer>
+  byService: Map<ServiceId, ObservedServer[]>
 }
 
 const latencySmoothing = 0.1
@@ -93,7 +93,7 @@
   }
 }
 
-function createObserved (state: string, backend: Backend, now: Millis): Observed {
+function createObserved (state: string, backend: Backend, now: Millis): ObservedServer {
   return {
     backend,
     state,
@@ -109,8 +109,8 @@
   }
 }
 
-function groupByService (backends: Backends): Map<ServiceId, Observed[]> {
-  const groups = new Map<ServiceId, Observed[]>()
+function groupByService (backends: Backends): Map<ServiceId, ObservedServer[]> {
+  const groups = new Map<ServiceId, ObservedServer[]>()
   for (const observed of backends.byId.values()) {
     const { service } = observed.backend
     const group = groups.get(service)
@@ -120,12 +120,12 @@
   return groups
 }
 
-function applyServerEvent (backends: Backends, observed: Observed, event: string): void {
+function applyServerEvent (backends: Backends, observed: ObservedServer, event: string): void {
   if (canTake(backends.chart, observed.state, event)) observed.state = nextState(backends.chart, observed.state, event)
 }
 
 /** Ends a server's ejection or slow start when its time is over. */
-export function refreshBackend (backends: Backends, observed: Observed, now: Millis): void {
+export function refreshBackend (backends: Backends, observed: ObservedServer, now: Millis): void {
   if (observed.state === 'ejected' && now >= observed.ejectedUntil) {
     applyServerEvent(backends, observed, 'letBack')
     observed.freshSince = now
@@ -137,17 +137,17 @@
 }
 
 /** Returns whether a server takes part in routing; it may still be paused for a moment after a shed. */
-export function isServing (observed: Observed): boolean {
+export function isServing (observed: ObservedServer): boolean {
   return (observed.state === 'fresh' || observed.state === 'serving') && !observed.backend.starting
 }
 
 /** Returns whether a server may receive a new request now. */
-export function isUsable (observed: Observed, now: Millis): boolean {
+export function isUsable (observed: ObservedServer, now: Millis): boolean {
   return isServing(observed) && now >= observed.pausedUntil
 }
 
 /** Returns the number of slots open now: all slots or, during the slow start, a growing number of at least one. */
-export function openSlots (cfg: ObservationCfg, observed: Observed, now: Millis): number {
+export function countOpenSlots (cfg: ObservationCfg, observed: ObservedServer, now: Millis): number {
   const { slots } = observed.backend
   if (observed.state !== 'fresh') return slots
   const rampFraction = Math.min(1, (now - observed.freshSince) / cfg.slowStartMs)
@@ -155,28 +155,28 @@
 }
 
 /** Estimates a server's present load from its last report, discounted by the age of the report. */
-export function estimateReportedLoad (cfg: ObservationCfg, observed: Observed, now: Millis): number {
+export function estimateReportedLoad (cfg: ObservationCfg, observed: ObservedServer, now: Millis): number {
   const ageMs = now - observed.reportedAt
   return observed.reportedLoad * 2 ** (-ageMs / cfg.reportHalfLifeMs)
 }
 
 /** Records the load that a server reported. Invalid values are ignored. */
-export function noteReportedLoad (observed: Observed, load: number, now: Millis): void {
+export function recordReportedLoad (observed: ObservedServer, load: number, now: Millis): void {
   if (!Number.isFinite(load) || load < 0 || load > observed.backend.slots * 1000) return
   observed.reportedLoad = load
   observed.reportedAt = now
 }
 
 /** Records the start of an attempt. */
-export function noteSent (observed: Observed): void {
+export function recordAttemptStart (observed: ObservedServer): void {
   observed.inFlight += 1
 }
 
 /** Outcome of an attempt, in so far as it concerns the server's health. */
-export type AttemptEnd = 'answered' | 'shed' | 'failed' | 'cancelled'
+export type AttemptOutcome = 'answered' | 'shed' | 'failed' | 'cancelled'
 
 /** Records the end of an attempt. */
-export function noteEnded (backends: Backends, observed: Observed, end: AttemptEnd, tookMs: Millis, now: Millis): void {
+export function recordAttemptEnd (backends: Backends, observed: ObservedServer, end: AttemptOutcome, tookMs: Millis, now: Millis): void {
   observed.inFlight = Math.max(0, observed.inFlight - 1)
   switch (end) {
     case 'answered':
@@ -198,7 +198,7 @@
  * Records a failure and, after `ejectAfter` consecutive ones, ejects the server. Each further ejection lasts twice as
  * long. The server returns as a fresh one, with a slow start.
  */
-function recordFailure (backends: Backends, observed: Observed, now: Millis): void {
+function recordFailure (backends: Backends, observed: ObservedServer, now: Millis): void {
   const { cfg } = backends
   observed.failuresInRow += 1
   if (observed.failuresInRow < cfg.ejectAfter || !canTake(backends.chart, observed.state, 'ejected')) return
--- a/packages/routing/src/core/blockTable.ts
+++ b/packages/routing/src/core/blockTable.ts
@@ -20,7 +20,7 @@
   /** First address of each interval. Intervals are sorted and disjoint, and cover the whole address space. */
   readonly starts: Uint32Array
   /** Region index of each interval, or `noRegion`. */
-  readonly regionOf: Uint16Array
+  readonly regionIndexes: Uint16Array
   /** For each 16-bit prefix, the index of the interval that contains its first address. */
   readonly prefixes: Uint32Array
 }
@@ -106,7 +106,7 @@
     prefixes[prefix] = interval
   }
   prefixes[prefixCount] = starts.length - 1
-  return { regions, starts, regionOf, prefixes }
+  return { regions, starts, regionIndexes: regionOf, prefixes }
 }
 
 /**
@@ -115,7 +115,7 @@
  * @param address IPv4 as an unsigned 32-bit number
  * @returns index into `regions`, or `noRegion`
  */
-export function regionNumber (table: BlockTable, address: number): number {
+export function findRegionIndex (table: BlockTable, address: number): number {
   const prefix = address >>> 16
   let low = table.prefixes[prefix] as number
   let high = table.prefixes[prefix + 1] as number
@@ -125,12 +125,12 @@
     if ((starts[middle] as number) <= address) low = middle
     else high = middle - 1
   }
-  return table.regionOf[low] as number
+  return table.regionIndexes[low] as number
 }
 
 /** Returns the region of an address, or undefined when no block contains the address. */
-export function regionOfAddress (table: BlockTable, address: number): RegionId | undefined {
-  const index = regionNumber(table, address)
+export function findRegion (table: BlockTable, address: number): RegionId | undefined {
+  const index = findRegionIndex(table, address)
   return index === noRegion ? undefined : table.regions[index]
 }
 
@@ -161,12 +161,12 @@
 }
 
 /** Returns the size of a table's arrays in bytes. */
-export function tableBytes (table: BlockTable): number {
-  return table.starts.byteLength + table.regionOf.byteLength + table.prefixes.byteLength
+export function getTableBytes (table: BlockTable): number {
+  return table.starts.byteLength + table.regionIndexes.byteLength + table.prefixes.byteLength
 }
 
 /** Hashes the /24 block of an address to 32 bits, so that all callers of a /24 block share one hash. */
-export function blockHash (address: number): number {
+export function hashBlock (address: number): number {
   let hash = (address >>> 8) + 0x9e3779b9
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b)
   hash = Math.imul(hash ^ (hash >>> 13), 0xc2b2ae35)
--- a/packages/routing/src/core/connections.ts
+++ b/packages/routing/src/core/connections.ts
@@ -34,7 +34,7 @@
  *
  * @param mustNotRepeat whether the request must not run twice; the allowed idle time is then half as long
  */
-export function mayCarry (cfg: ConnectionCfg, connection: ConnectionState, mustNotRepeat: boolean, now: Millis): boolean {
+export function isReusable (cfg: ConnectionCfg, connection: ConnectionState, mustNotRepeat: boolean, now: Millis): boolean {
   if (connection.state !== 'idle') return false
   const idleMs = now - connection.progressAt
   return mustNotRepeat ? idleMs < cfg.staleMs / 2 : idleMs < cfg.staleMs
@@ -46,12 +46,12 @@
 }
 
 /** Records that bytes arrived on a connection. */
-export function noteProgress (chart: Chart, connection: ConnectionState, now: Millis): void {
+export function recordProgress (chart: Chart, connection: ConnectionState, now: Millis): void {
   connection.state = nextState(chart, connection.state, 'progress')
   connection.progressAt = now
 }
 
 /** Applies an event of the `connection` chart. */
-export function takeConnectionEvent (chart: Chart, connection: ConnectionState, event: string): void {
+export function applyConnectionEvent (chart: Chart, connection: ConnectionState, event: string): void {
   connection.state = nextState(chart, connection.state, event)
 }
--- a/packages/routing/src/core/deadlineQueue.ts
+++ b/packages/routing/src/core/deadlineQueue.ts
@@ -1,29 +1,29 @@
 /** Bounded queue of requests that wait for a slot, ordered by deadline. */
 import type { Millis } from '@lynxcourse/base'
 
-export interface Waiting {
+export interface QueueItem {
   readonly deadline: Millis
   /** Breaks ties between equal deadlines; lower comes first. */
   readonly order: number
 }
 
 /** Waiting requests as a binary heap. */
-export interface DeadlineQueue<Item extends Waiting> {
+export interface DeadlineQueue<Item extends QueueItem> {
   /** Maximum length. Lowering it removes no request that already waits. */
   limit: number
   heap: Item[]
 }
 
-export function createQueue<Item extends Waiting> (limit: number): DeadlineQueue<Item> {
+export function createDeadlineQueue<Item extends QueueItem> (limit: number): DeadlineQueue<Item> {
   return { limit, heap: [] }
 }
 
-function isBefore (a: Waiting, b: Waiting): boolean {
+function isBefore (a: QueueItem, b: QueueItem): boolean {
   return a.deadline < b.deadline || (a.deadline === b.deadline && a.order < b.order)
 }
 
 /** Adds a request; returns false when the queue is full. */
-export function enqueue<Item extends Waiting> (queue: DeadlineQueue<Item>, item: Item): boolean {
+export function enqueue<Item extends QueueItem> (queue: DeadlineQueue<Item>, item: Item): boolean {
   if (queue.heap.length >= queue.limit) return false
   queue.heap.push(item)
   siftUp(queue.heap, queue.heap.length - 1)
@@ -31,19 +31,19 @@
 }
 
 /** Removes and returns the request with the earliest deadline. */
-export function dequeue<Item extends Waiting> (queue: DeadlineQueue<Item>): Item | undefined {
+export function dequeue<Item extends QueueItem> (queue: DeadlineQueue<Item>): Item | undefined {
   return removeAt(queue.heap, 0)
 }
 
 /** Removes a request from any position; returns false when it is not in the queue. */
-export function removeItem<Item extends Waiting> (queue: DeadlineQueue<Item>, item: Item): boolean {
+export function removeItem<Item extends QueueItem> (queue: DeadlineQueue<Item>, item: Item): boolean {
   const index = queue.heap.indexOf(item)
   if (index < 0) return false
   removeAt(queue.heap, index)
   return true
 }
 
-function removeAt<Item extends Waiting> (heap: Item[], index: number): Item | undefined {
+function removeAt<Item extends QueueItem> (heap: Item[], index: number): Item | undefined {
   const removed = heap[index]
   const last = heap.pop()
   if (removed === undefined || last === undefined || index >= heap.length) return removed
@@ -53,7 +53,7 @@
   return removed
 }
 
-function siftUp<Item extends Waiting> (heap: Item[], from: number): void {
+function siftUp<Item extends QueueItem> (heap: Item[], from: number): void {
   let index = from
   while (index > 0) {
     const parent = (index - 1) >> 1
@@ -63,7 +63,7 @@
   }
 }
 
-function siftDown<Item extends Waiting> (heap: Item[], from: number): void {
+function siftDown<Item extends QueueItem> (heap: Item[], from: number): void {
   let index = from
   for (;;) {
     const left = index * 2 + 1
--- a/packages/routing/src/core/lookup.ts
+++ b/packages/routing/src/core/lookup.ts
@@ -2,8 +2,8 @@
 import { rankByHash } from '@lynxcourse/base'
 import type { RegionId, VmId } from '@lynxcourse/base'
 import type { EntryVm } from '../types/view.js'
-import { callerBuckets } from './places.js'
-import type { Place } from './places.js'
+import { callerBucketCount } from './regionOrder.js'
+import type { CandidateRegion } from './regionOrder.js'
 
 /** Maximum number of entry VMs in one answer. */
 export const maxLookupVms = 6
@@ -30,8 +30,8 @@
  * @param callerHash `blockHash` of the caller's address. All callers of a block get the same order, which keeps caches
  * warm, and the loss of a VM moves only the callers that used it.
  */
-export function lookupVms (index: LookupIndex, candidates: readonly Place[], callerHash: number): readonly EntryVm[] {
-  const bucket = callerHash % callerBuckets
+export function selectEntryVms (index: LookupIndex, candidates: readonly CandidateRegion[], callerHash: number): readonly EntryVm[] {
+  const bucket = callerHash % callerBucketCount
   const key = `${bucket} ${candidates.map(candidate => candidate.region).join(' ')}`
   const cached = index.orders.get(key)
   if (cached !== undefined) return cached
@@ -40,7 +40,7 @@
   return order
 }
 
-function orderVms (index: LookupIndex, candidates: readonly Place[], bucket: number): readonly EntryVm[] {
+function orderVms (index: LookupIndex, candidates: readonly CandidateRegion[], bucket: number): readonly EntryVm[] {
   const listedRegions = new Set(candidates.map(candidate => candidate.region))
   const otherRegions = [...index.byRegion.keys()].filter(region => !listedRegions.has(region))
   const ordered: EntryVm[] = []
--- a/packages/routing/src/core/onceFlow.ts
+++ b/packages/routing/src/core/onceFlow.ts
@@ -23,7 +23,7 @@
   /** Record the request as not run, before the caller receives an answer. */
   | { readonly type: 'recordNotRun', readonly reason: string }
   /** Answer the caller, and record the outcome `record`, if any, without delaying the answer. */
-  | { readonly type: 'answer', readonly told: CallerOutcome, readonly reason: string, readonly record: OnceOutcome | undefined }
+  | { readonly type: 'answer', readonly callerOutcome: CallerOutcome, readonly reason: string, readonly record: OnceOutcome | undefined }
 
 /** Outcome sent to the caller. `taken` and `refused` forward the answer of the register of claims. */
 export type CallerOutcome = 'done' | 'notRun' | 'unknown' | 'taken' | 'refused'
@@ -53,14 +53,14 @@
 }
 
 /** Starts the flow. A request that cannot complete before its deadline is refused before any work is spent on it. */
-export function startOnce (flow: OnceFlow, isAdmitted: boolean): OnceEffect {
+export function startOnceFlow (flow: OnceFlow, isAdmitted: boolean): OnceEffect {
   if (!isAdmitted) return refuse(flow, 'no capacity in time')
   applyEvent(flow, 'claim')
   return { type: 'claim' }
 }
 
 /** Continues after the register's answer to the claim. */
-export function afterClaim (flow: OnceFlow, event: ClaimEvent): OnceEffect {
+export function continueAfterClaim (flow: OnceFlow, event: ClaimEvent): OnceEffect {
   switch (event) {
     case 'granted':
       applyEvent(flow, 'granted')
@@ -69,7 +69,7 @@
       return refuse(flow, 'the register of claims did not answer in time')
     default:
       applyEvent(flow, 'refuse')
-      return { type: 'answer', told: event, reason: 'the register refused the claim', record: undefined }
+      return { type: 'answer', callerOutcome: event, reason: 'the register refused the claim', record: undefined }
   }
 }
 
@@ -78,22 +78,22 @@
  *
  * @param noSlotReason why no slot was acquired; undefined when one was
  */
-export function afterSlot (flow: OnceFlow, noSlotReason: string | undefined): OnceEffect {
+export function continueAfterSlot (flow: OnceFlow, noSlotReason: string | undefined): OnceEffect {
   if (noSlotReason !== undefined) return refuse(flow, noSlotReason)
   applyEvent(flow, 'send')
   return { type: 'send' }
 }
 
 /** Continues after the end of an attempt. */
-export function afterAttempt (flow: OnceFlow, event: AttemptEvent, mayTryAgain: boolean): OnceEffect {
+export function continueAfterAttempt (flow: OnceFlow, event: AttemptEvent, mayTryAgain: boolean): OnceEffect {
   switch (event) {
     case 'answered':
       applyEvent(flow, 'answer')
-      return { type: 'answer', told: 'done', reason: 'done', record: 'done' }
+      return { type: 'answer', callerOutcome: 'done', reason: 'done', record: 'done' }
     case 'lost':
       applyEvent(flow, 'fail')
       applyEvent(flow, 'giveUp')
-      return { type: 'answer', told: 'unknown', reason: 'the request was sent, but no complete response arrived', record: 'unknown' }
+      return { type: 'answer', callerOutcome: 'unknown', reason: 'the request was sent, but no complete response arrived', record: 'unknown' }
     default:
       applyEvent(flow, 'shed')
       return mayTryAgain ? { type: 'getSlot' } : refuse(flow, event === 'shed' ? 'servers shed' : 'servers cannot be reached')
@@ -104,7 +104,7 @@
  * Continues after the register was asked to record the request as not run. Unless the register confirmed the record,
  * another copy with the same id may still run, so the caller must not receive `not-run`.
  */
-export function afterRecord (isRecorded: boolean, reason: string): OnceEffect {
-  if (isRecorded) return { type: 'answer', told: 'notRun', reason, record: undefined }
-  return { type: 'answer', told: 'unknown', reason: `${reason}; this copy of the request was not sent, but the register did not confirm that no other copy runs`, record: undefined }
+export function continueAfterRecord (isRecorded: boolean, reason: string): OnceEffect {
+  if (isRecorded) return { type: 'answer', callerOutcome: 'notRun', reason, record: undefined }
+  return { type: 'answer', callerOutcome: 'unknown', reason: `${reason}; this copy of the request was not sent, but the register did not confirm that no other copy runs`, record: undefined }
 }
--- a/packages/routing/src/core/places.ts
+++ b/packages/routing/src/core/regionOrder.ts
@@ -4,7 +4,7 @@
 import type { ActiveShift, RegionLatencies } from '../types/view.js'
 
 /** A region to try. */
-export interface Place {
+export interface CandidateRegion {
   readonly region: RegionId
   /** The shift that moved the caller to this region, if any. */
   readonly shift: ShiftId | undefined
@@ -27,13 +27,13 @@
 const maxPercent = 100
 
 /** Number of buckets for callers' address blocks. Callers of a bucket share look-up answers and are shifted together. */
-export const callerBuckets = 512
+export const callerBucketCount = 512
 
 /**
  * Orders the regions for a caller: the caller's own region first, then the others by latency from it and by
  * preference. A shift that applies to the caller moves its destination ahead of its origin.
  */
-export function orderPlaces (input: RegionOrderInput): Place[] {
+export function orderRegions (input: RegionOrderInput): CandidateRegion[] {
   const { callerRegion, places, drained } = input
   const available = places.filter(region => !drained.has(region))
   const getDistance = (region: RegionId): number =>
@@ -41,11 +41,11 @@
   const ordered = available
     .map((region, preference) => ({ region, preference }))
     .sort((a, b) => getDistance(a.region) - getDistance(b.region) || a.preference - b.preference)
-    .map(({ region }): Place => ({ region, shift: undefined }))
+    .map(({ region }): CandidateRegion => ({ region, shift: undefined }))
   return input.shifts.reduce((list, shift) => applyShift(list, shift, input), ordered)
 }
 
-function applyShift (list: Place[], shift: ActiveShift, input: RegionOrderInput): Place[] {
+function applyShift (list: CandidateRegion[], shift: ActiveShift, input: RegionOrderInput): CandidateRegion[] {
   if (shift.service !== input.service || !isShifted(shift, input.callerHash)) return list
   const from = list.findIndex(candidate => candidate.region === shift.from)
   const to = list.findIndex(candidate => candidate.region === shift.to)
@@ -58,5 +58,5 @@
 
 /** Returns whether a shift applies to a caller's block. A block that is shifted stays so as the percentage grows. */
 export function isShifted (shift: ActiveShift, callerHash: number): boolean {
-  return callerHash % callerBuckets * maxPercent < shift.percent * callerBuckets
+  return callerHash % callerBucketCount * maxPercent < shift.percent * callerBucketCount
 }
--- a/packages/routing/src/core/budget.ts
+++ b/packages/routing/src/core/retryBudget.ts
@@ -11,7 +11,7 @@
 /** Maximum number of unused retries that a budget accumulates. */
 export const maxRetryTokens = 20
 
-export function createBudget (): RetryBudget {
+export function createRetryBudget (): RetryBudget {
   return { tokens: maxRetryTokens / 2 }
 }
 
--- a/packages/routing/src/core/routeTable.ts
+++ b/packages/routing/src/core/routeTable.ts
@@ -30,13 +30,13 @@
 }
 
 /** State of the weighted round-robin by route name. `key` identifies the weights that the credits belong to. */
-export type SplitPicker = Map<string, { key: string, credits: number[] }>
+export type SplitStates = Map<string, { key: string, credits: number[] }>
 
 /**
  * Selects the service of a request by smooth weighted round-robin. Over any sequence of requests each part receives its
  * proportion to within about one request, whereas random selection deviates by tens of percent on short sequences.
  */
-export function pickService (picker: SplitPicker, route: Route): ServiceId {
+export function selectService (picker: SplitStates, route: Route): ServiceId {
   const parts = getRouteServices(route)
   const only = parts.length === 1 ? parts[0] : undefined
   if (only !== undefined) return only.service
--- a/packages/routing/src/core/router.ts
+++ b/packages/routing/src/core/router.ts
@@ -2,9 +2,9 @@
 import type { Chart, Millis, Random, RegionId, ResourceId, ServiceId, VmId } from '@lynxcourse/base'
 import type { RegionLatencies } from '../types/view.js'
 import { getLatencyMs } from '../types/view.js'
-import { createBackends, isServing, isUsable, noteEnded, noteSent, refreshBackend } from './backends.js'
-import type { AttemptEnd, Backends, ObservationCfg, Observed } from './backends.js'
-import type { Place } from './places.js'
+import { createBackends, isServing, isUsable, recordAttemptEnd, recordAttemptStart, refreshBackend } from './backends.js'
+import type { AttemptOutcome, Backends, ObservationCfg, ObservedServer } from './backends.js'
+import type { CandidateRegion } from './regionOrder.js'
 import type { PolicyContext, ServerPolicy } from './serverPolicy.js'
 
 /** Settings and dependencies of a router, fixed for its lifetime. */
@@ -21,9 +21,9 @@
 /** The router's interface to the limits on requests in flight. */
 export interface LimitGate {
   /** Returns whether a request may start against these resources now. */
-  mayEnter (resources: readonly ResourceId[]): boolean
+  hasCapacity (resources: readonly ResourceId[]): boolean
   /** Returns the capped resources that a request to this region uses. */
-  resourcesOf (place: Place): readonly ResourceId[]
+  getResources (place: CandidateRegion): readonly ResourceId[]
 }
 
 export interface Router {
@@ -37,20 +37,20 @@
 export interface RouteRequest {
   readonly service: ServiceId
   /** Regions to try, in order. */
-  readonly places: readonly Place[]
+  readonly places: readonly CandidateRegion[]
   /** Ids of the servers already tried. */
-  readonly tried: ReadonlySet<string>
+  readonly triedServers: ReadonlySet<string>
 }
 
 /** A region that was passed over and why, for `route explain` and the log. */
-export interface PassedOver {
+export interface PassedOverRegion {
   readonly region: RegionId
   readonly reason: 'noServer' | 'noSlot' | 'limit'
 }
 
 export type RouteDecision =
-  | { readonly type: 'send', readonly observed: Observed, readonly place: Place, readonly resources: readonly ResourceId[], readonly passedOver: readonly PassedOver[] }
-  | { readonly type: 'wait', readonly passedOver: readonly PassedOver[] }
+  | { readonly type: 'send', readonly observed: ObservedServer, readonly place: CandidateRegion, readonly resources: readonly ResourceId[], readonly passedOver: readonly PassedOverRegion[] }
+  | { readonly type: 'wait', readonly passedOver: readonly PassedOverRegion[] }
 
 export function createRouter (setup: RouterSetup): Router {
   return { setup, backends: createBackends(setup.observation, setup.chart), peers: new Map() }
@@ -66,15 +66,15 @@
 
 /** Selects a server in the first region, in order, that has a free slot and capacity under its limits. */
 export function routeRequest (router: Router, request: RouteRequest, gate: LimitGate, now: Millis): RouteDecision {
-  const passedOver: PassedOver[] = []
+  const passedOver: PassedOverRegion[] = []
   for (const place of request.places) {
     const usable = listServing(router, request, place.region, now).filter(observed => isUsable(observed, now))
     if (usable.length === 0) {
       passedOver.push({ region: place.region, reason: 'noServer' })
       continue
     }
-    const resources = gate.resourcesOf(place)
-    if (!gate.mayEnter(resources)) {
+    const resources = gate.getResources(place)
+    if (!gate.hasCapacity(resources)) {
       passedOver.push({ region: place.region, reason: 'limit' })
       continue
     }
@@ -87,21 +87,21 @@
   return { type: 'wait', passedOver }
 }
 
-function listServing (router: Router, request: RouteRequest, region: RegionId, now: Millis): Observed[] {
+function listServing (router: Router, request: RouteRequest, region: RegionId, now: Millis): ObservedServer[] {
   const servers = router.backends.byService.get(request.service) ?? []
   return servers.filter(observed => {
-    if (observed.backend.region !== region || request.tried.has(observed.backend.id)) return false
+    if (observed.backend.region !== region || request.triedServers.has(observed.backend.id)) return false
     refreshBackend(router.backends, observed, now)
     return isServing(observed)
   })
 }
 
-function countUsableSlots (router: Router, observed: Observed, ctx: PolicyContext): number {
-  return router.setup.policy.slotsFor(observed, ctx)
+function countUsableSlots (router: Router, observed: ObservedServer, ctx: PolicyContext): number {
+  return router.setup.policy.countUsableSlots(observed, ctx)
 }
 
 /** Returns the number of slots, busy or free, that this VM may use for a request; includes servers paused after a shed. */
-export function slotsOpenTo (router: Router, request: RouteRequest, now: Millis): number {
+export function countAvailableSlots (router: Router, request: RouteRequest, now: Millis): number {
   let slots = 0
   for (const place of request.places) {
     const ctx = createPolicyContext(router, place.region, now)
@@ -111,23 +111,23 @@
 }
 
 /** Returns the mean service time of a service as observed by this VM, in milliseconds; 0 if it has no servers. */
-export function serviceTime (router: Router, service: ServiceId): Millis {
+export function getMeanServiceMs (router: Router, service: ServiceId): Millis {
   const servers = router.backends.byService.get(service) ?? []
   if (servers.length === 0) return 0
   return servers.reduce((sum, observed) => sum + observed.latencyMs, 0) / servers.length
 }
 
 /** Returns the round-trip time from this VM to a region, in milliseconds. */
-export function roundTripTo (router: Router, region: RegionId): Millis {
+export function getRoundTripMs (router: Router, region: RegionId): Millis {
   return 2 * getLatencyMs(router.setup.latencies, router.setup.region, region)
 }
 
-/** Counts an attempt as in flight. Each call needs a matching call of `leaveAttempt` when the attempt ends. */
-export function enterAttempt (observed: Observed): void {
-  noteSent(observed)
+/** Counts an attempt as in flight. Each call needs a matching call of `endAttempt` when the attempt ends. */
+export function beginAttempt (observed: ObservedServer): void {
+  recordAttemptStart(observed)
 }
 
 /** Records the end and the outcome of an attempt. */
-export function leaveAttempt (router: Router, observed: Observed, end: AttemptEnd, tookMs: Millis, now: Millis): void {
-  noteEnded(router.backends, observed, end, tookMs, now)
+export function endAttempt (router: Router, observed: ObservedServer, end: AttemptOutcome, tookMs: Millis, now: Millis): void {
+  recordAttemptEnd(router.backends, observed, end, tookMs, now)
 }
--- a/packages/routing/src/core/serverPolicy.ts
+++ b/packages/routing/src/core/serverPolicy.ts
@@ -1,8 +1,8 @@
 /** Policies by which an entry VM selects a backend server without consulting the other VMs. */
 import { ownerByHash } from '@lynxcourse/base'
 import type { Millis, Random, VmId } from '@lynxcourse/base'
-import { openSlots, estimateReportedLoad } from './backends.js'
-import type { ObservationCfg, Observed } from './backends.js'
+import { countOpenSlots, estimateReportedLoad } from './backends.js'
+import type { ObservationCfg, ObservedServer } from './backends.js'
 
 /** The inputs of a policy besides the servers. */
 export interface PolicyContext {
@@ -20,25 +20,25 @@
   abstract readonly name: string
 
   /** Returns how many slots of a server this VM may use. */
-  abstract slotsFor (observed: Observed, ctx: PolicyContext): number
+  abstract countUsableSlots (observed: ObservedServer, ctx: PolicyContext): number
 
   /** Whether slots are divided among VMs, so that no two VMs of the region use the same slot. */
   abstract readonly isShared: boolean
 
   /** Selects among servers with a free slot: of two chosen at random, the one with the lower utilization. */
-  pick (candidates: readonly Observed[], ctx: PolicyContext): Observed | undefined {
+  pick (candidates: readonly ObservedServer[], ctx: PolicyContext): ObservedServer | undefined {
     if (candidates.length <= 1) return candidates[0]
     const first = Math.floor(ctx.random() * candidates.length)
     const second = (first + 1 + Math.floor(ctx.random() * (candidates.length - 1))) % candidates.length
-    const a = candidates[first] as Observed
-    const b = candidates[second] as Observed
+    const a = candidates[first] as ObservedServer
+    const b = candidates[second] as ObservedServer
     return this.estimateUtilization(a, ctx) <= this.estimateUtilization(b, ctx) ? a : b
   }
 
   /** Estimates the fraction of a server's open slots in use, from this VM's own requests or the server's report, if higher. */
-  protected estimateUtilization (observed: Observed, ctx: PolicyContext): number {
+  protected estimateUtilization (observed: ObservedServer, ctx: PolicyContext): number {
     const busy = Math.max(observed.inFlight, estimateReportedLoad(ctx.cfg, observed, ctx.now))
-    return busy / openSlots(ctx.cfg, observed, ctx.now)
+    return busy / countOpenSlots(ctx.cfg, observed, ctx.now)
   }
 }
 
@@ -55,8 +55,8 @@
   readonly name = 'alone'
   readonly isShared = false
 
-  override slotsFor (observed: Observed, ctx: PolicyContext): number {
-    return openSlots(ctx.cfg, observed, ctx.now)
+  override countUsableSlots (observed: ObservedServer, ctx: PolicyContext): number {
+    return countOpenSlots(ctx.cfg, observed, ctx.now)
   }
 }
 
@@ -66,8 +66,8 @@
   readonly isShared = true
   private readonly ownersCache = new Map<string, readonly (VmId | undefined)[]>()
 
-  override slotsFor (observed: Observed, ctx: PolicyContext): number {
-    const open = openSlots(ctx.cfg, observed, ctx.now)
+  override countUsableSlots (observed: ObservedServer, ctx: PolicyContext): number {
+    const open = countOpenSlots(ctx.cfg, observed, ctx.now)
     if (isRemote(ctx)) return open
     let ownSlots = 0
     for (const owner of this.getSlotOwners(observed, ctx).slice(0, open)) {
@@ -76,7 +76,7 @@
     return ownSlots
   }
 
-  private getSlotOwners (observed: Observed, ctx: PolicyContext): readonly (VmId | undefined)[] {
+  private getSlotOwners (observed: ObservedServer, ctx: PolicyContext): readonly (VmId | undefined)[] {
     const { id, slots } = observed.backend
     const key = `${id} ${slots} ${ctx.peers.join()}`
     const cached = this.ownersCache.get(key)
@@ -95,9 +95,9 @@
   readonly name = 'owner'
   readonly isShared = true
 
-  override slotsFor (observed: Observed, ctx: PolicyContext): number {
+  override countUsableSlots (observed: ObservedServer, ctx: PolicyContext): number {
     const mayUse = isRemote(ctx) || ownerByHash(observed.backend.id, ctx.peers) === ctx.self
-    return mayUse ? openSlots(ctx.cfg, observed, ctx.now) : 0
+    return mayUse ? countOpenSlots(ctx.cfg, observed, ctx.now) : 0
   }
 }
 
@@ -107,7 +107,7 @@
 export type PolicyName = typeof policyNames[number]
 
 /** Creates the policy of the given name. */
-export function makePolicy (name: PolicyName): ServerPolicy {
+export function createServerPolicy (name: PolicyName): ServerPolicy {
   switch (name) {
     case 'alone': return new IndependentPolicy()
     case 'slots': return new SlotLeasePolicy()
--- a/packages/steering/__tests__/steering.test.ts
+++ b/packages/steering/__tests__/steering.test.ts
@@ -3,13 +3,13 @@
 import fc from 'fast-check'
 import { brandId } from '@lynxcourse/base'
 import type { DrainId, VmId } from '@lynxcourse/base'
-import { FixedStepRule, HeadroomStepRule, addReading, judgeDrain, planShift, maxShiftUtilization, summarizeReadings } from '@lynxcourse/steering'
-import type { Headroom, Reading, ShiftView, VmProgress } from '@lynxcourse/steering'
+import { FixedStepRule, HeadroomStepRule, addReading, evaluateDrain, planShift, maxShiftUtilization, summarizeReadings } from '@lynxcourse/steering'
+import type { ShiftLoads, LoadReading, ShiftView, VmProgress } from '@lynxcourse/steering'
 
 const seed = 29
 console.log(`seed ${seed}`)
 
-const drain = { id: brandId<DrainId>('d'), state: 'draining', at: 0, version: 7, seenAt: 1000 }
+const drain = { id: brandId<DrainId>('d'), state: 'draining', at: 0, version: 7, firstSeenAt: 1000 }
 const leaseMs = 4000
 const maxRequestMs = 2000
 
@@ -18,7 +18,7 @@
 }
 
 test('a drain waits for VMs that have not received it, for requests in flight, and for leases to expire', () => {
-  const evaluate = (now: number, ...reports: VmProgress[]) => judgeDrain(drain, reports, leaseMs, maxRequestMs, now)
+  const evaluate = (now: number, ...reports: VmProgress[]) => evaluateDrain(drain, reports, leaseMs, maxRequestMs, now)
   assert.equal(evaluate(6000, report('a', 5900, 7, 0)).event, 'empty')
   assert.equal(evaluate(6000, report('a', 5900, 7, 2)).event, undefined)
   assert.deepEqual(evaluate(6000, report('a', 5900, 6, 0)).waitingFor, ['a'])
@@ -28,22 +28,22 @@
 test('a drain is not empty while a VM without recent reports may still have requests in flight', () => {
   // Guards against this failure: a server is stopped while it still executes a request of a partitioned VM.
   const silent = report('b', 500, 7, 0)
-  assert.equal(judgeDrain(drain, [silent], leaseMs, maxRequestMs, 6000).event, undefined)
-  assert.equal(judgeDrain(drain, [silent], leaseMs, maxRequestMs, 1000 + leaseMs + maxRequestMs + 1).event, 'empty')
+  assert.equal(evaluateDrain(drain, [silent], leaseMs, maxRequestMs, 6000).event, undefined)
+  assert.equal(evaluateDrain(drain, [silent], leaseMs, maxRequestMs, 1000 + leaseMs + maxRequestMs + 1).event, 'empty')
 })
 
 test('a scheduled drain starts when it is due', () => {
   const scheduled = { ...drain, state: 'scheduled', at: 5000 }
-  assert.equal(judgeDrain(scheduled, [], leaseMs, maxRequestMs, 4999).event, undefined)
-  assert.equal(judgeDrain(scheduled, [], leaseMs, maxRequestMs, 5000).event, 'due')
+  assert.equal(evaluateDrain(scheduled, [], leaseMs, maxRequestMs, 4999).event, undefined)
+  assert.equal(evaluateDrain(scheduled, [], leaseMs, maxRequestMs, 5000).event, 'due')
 })
 
 const times = { lookupTtlMs: 5000, reportLagMs: 1500, staleMs: 2000 }
 const moving: ShiftView = { state: 'moving', percent: 0, targetPercent: 100, stepPercent: 10, steppedAt: 0, cap: 20 }
 
 test('no step without recent reports, before cached look-ups expire, or beyond the destination\'s headroom', () => {
-  const headroom: Headroom = { measuredAt: 9000, busy: 10, slots: 100, originBusy: 50 }
-  const plan = (shift: Partial<ShiftView>, load: Partial<Headroom>, now = 10_000) => planShift({ ...moving, ...shift }, { ...headroom, ...load }, new FixedStepRule(), times, now)
+  const headroom: ShiftLoads = { measuredAt: 9000, busy: 10, slots: 100, originBusy: 50 }
+  const plan = (shift: Partial<ShiftView>, load: Partial<ShiftLoads>, now = 10_000) => planShift({ ...moving, ...shift }, { ...headroom, ...load }, new FixedStepRule(), times, now)
   assert.deepEqual(plan({}, {}), { type: 'step', percent: 10 })
   assert.deepEqual(plan({}, { measuredAt: undefined }), { type: 'wait', reason: 'noMeasurement' })
   assert.deepEqual(plan({}, { measuredAt: 7000 }), { type: 'wait', reason: 'noMeasurement' })
@@ -57,7 +57,7 @@
 test('a single low reading does not trigger a step', () => {
   // Guards against this failure: a step planned on a low reading overloads the destination.
   const busy = [16, 17, 15, 18, 16, 17, 3]
-  const readings = busy.reduce<Reading[]>((list, inFlight, index) => addReading(list, { at: index * 200, busy: inFlight, originBusy: 10 }), [])
+  const readings = busy.reduce<LoadReading[]>((list, inFlight, index) => addReading(list, { at: index * 200, busy: inFlight, originBusy: 10 }), [])
   assert.deepEqual(summarizeReadings(readings), { busy: 18, originBusy: 10 })
   assert.equal(summarizeReadings(readings.slice(0, 4)), undefined, 'too few readings')
   assert.equal(addReading(readings, { at: 10_000, busy: 1, originBusy: 1 }).length, 1, 'readings outside the window are dropped')
--- a/packages/steering/src/core/drainPlan.ts
+++ b/packages/steering/src/core/drainPlan.ts
@@ -21,10 +21,10 @@
   /** Configuration version at which the drain started. */
   readonly version: number
   /** When this leader first saw the drain in the state `draining`. */
-  readonly seenAt: Millis
+  readonly firstSeenAt: Millis
 }
 
-export interface DrainJudgement {
+export interface DrainStatus {
   /** The event that the drain is ready for, if any. */
   readonly event: 'due' | 'empty' | undefined
   /** Requests in flight according to the reports. */
@@ -43,9 +43,9 @@
  * @param leaseMs how long a VM may act on the last configuration that it received
  * @param maxRequestMs longest time that a request may run
  */
-export function judgeDrain (
+export function evaluateDrain (
   drain: DrainView, reports: Iterable<VmProgress>, leaseMs: Millis, maxRequestMs: Millis, now: Millis
-): DrainJudgement {
+): DrainStatus {
   if (drain.state === 'scheduled') {
     return { event: drain.at <= now ? 'due' : undefined, remaining: 0, waitingFor: [] }
   }
@@ -61,7 +61,7 @@
     if (report.version < drain.version) waitingFor.push(report.vm)
     remaining += report.remaining.get(drain.id) ?? 0
   }
-  const elapsedMs = now - drain.seenAt
+  const elapsedMs = now - drain.firstSeenAt
   const haveSilentVmsFinished = !hasStaleReport || elapsedMs > leaseMs + maxRequestMs
   const haveLeasesExpired = elapsedMs > leaseMs
   const isEmpty = drain.state === 'draining' && remaining === 0 && waitingFor.length === 0 && haveSilentVmsFinished && haveLeasesExpired
--- a/packages/steering/src/core/readings.ts
+++ b/packages/steering/src/core/readings.ts
@@ -7,7 +7,7 @@
 import type { Millis } from '@lynxcourse/base'
 
 /** The load of both regions at one time. */
-export interface Reading {
+export interface LoadReading {
   readonly at: Millis
   /** Requests in flight at the destination. */
   readonly busy: number
@@ -25,12 +25,12 @@
 export const minReadings = 5
 
 /** Returns the readings with a new one added and those outside the window removed. */
-export function addReading (readings: readonly Reading[], reading: Reading): Reading[] {
+export function addReading (readings: readonly LoadReading[], reading: LoadReading): LoadReading[] {
   return [...readings.filter(other => reading.at - other.at < readingWindowMs), reading]
 }
 
 /** Returns the load of both regions over the window, or undefined when there are fewer than `minReadings` readings. */
-export function summarizeReadings (readings: readonly Reading[]): { readonly busy: number, readonly originBusy: number } | undefined {
+export function summarizeReadings (readings: readonly LoadReading[]): { readonly busy: number, readonly originBusy: number } | undefined {
   if (readings.length < minReadings) return undefined
   const sorted = readings.map(reading => reading.busy).sort((a, b) => a - b)
   const busy = sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * destinationQuantile))] ?? 0
--- a/packages/steering/src/core/shiftPlan.ts
+++ b/packages/steering/src/core/shiftPlan.ts
@@ -2,7 +2,7 @@
 import type { Millis } from '@lynxcourse/base'
 
 /** Load of a shift's destination and origin, as reported by the entry VMs. */
-export interface Headroom {
+export interface ShiftLoads {
   /** Time of the oldest report included; undefined when there is none. */
   readonly measuredAt: Millis | undefined
   /** Requests in flight at the destination's servers. */
@@ -48,14 +48,14 @@
   abstract readonly name: string
 
   /** Returns the size of the next step in percent of the service's callers at the origin, or 0 to wait. */
-  abstract sizeOf (shift: ShiftView, headroom: Headroom): number
+  abstract computeStepPercent (shift: ShiftView, headroom: ShiftLoads): number
 }
 
 /** Every step has the shift's configured size; the shift waits while the headroom is smaller. */
 export class FixedStepRule extends StepRule {
   readonly name = 'fixed'
 
-  override sizeOf (shift: ShiftView, headroom: Headroom): number {
+  override computeStepPercent (shift: ShiftView, headroom: ShiftLoads): number {
     return computeFittingPercent(shift, headroom) >= shift.stepPercent ? shift.stepPercent : 0
   }
 }
@@ -64,14 +64,14 @@
 export class HeadroomStepRule extends StepRule {
   readonly name = 'headroom'
 
-  override sizeOf (shift: ShiftView, headroom: Headroom): number {
+  override computeStepPercent (shift: ShiftView, headroom: ShiftLoads): number {
     const halfOfHeadroom = Math.floor(computeFittingPercent(shift, headroom) / 2)
     return Math.min(shift.stepPercent, halfOfHeadroom)
   }
 }
 
 /** Returns how many percent of the origin's load before the shift fit into the destination. */
-function computeFittingPercent (shift: ShiftView, headroom: Headroom): number {
+function computeFittingPercent (shift: ShiftView, headroom: ShiftLoads): number {
   const freeSlots = headroom.slots * maxShiftUtilization - headroom.busy
   if (freeSlots <= 0) return 0
   const originalLoad = headroom.originBusy / Math.max(0.01, 1 - shift.percent / 100)
@@ -81,7 +81,7 @@
 }
 
 /** Returns the next step of a shift, or the reason to wait. */
-export function planShift (shift: ShiftView, headroom: Headroom, rule: StepRule, times: ShiftTimes, now: Millis): ShiftStep {
+export function planShift (shift: ShiftView, headroom: ShiftLoads, rule: StepRule, times: ShiftTimes, now: Millis): ShiftStep {
   if (shift.state === 'settling') return planSettling(shift, times, now)
   if (shift.state !== 'moving') return { type: 'wait', reason: 'stopped' }
   if (shift.percent >= shift.targetPercent) return { type: 'step', percent: shift.percent }
@@ -89,7 +89,7 @@
     // Without recent reports the effect of the last step is unknown, and another step could overload the destination.
     return { type: 'wait', reason: 'noMeasurement' }
   }
-  const size = rule.sizeOf(shift, headroom)
+  const size = rule.computeStepPercent(shift, headroom)
   if (size <= 0) return { type: 'wait', reason: 'headroom' }
   return { type: 'step', percent: Math.min(shift.targetPercent, shift.percent + size) }
 }
--- a/scripts/bench/capacityModules.ts
+++ b/scripts/bench/capacityModules.ts
@@ -2,7 +2,7 @@
 import { brandId, loadChart, makeRandom, makeRequestId } from '@lynxcourse/base'
 import { answerRequest, buildRequest, createDirectory, createUplink, defaultMembershipTimes, putRecord, takeAnswer } from '@lynxcourse/membership'
 import type { ServerRecord, VmRecord } from '@lynxcourse/membership'
-import { buildBlockTable, tableBytes } from '@lynxcourse/routing'
+import { buildBlockTable, getTableBytes } from '@lynxcourse/routing'
 import { applyEntry, createStateMachine, serializeStateMachine } from '@lynxcourse/state'
 import type { StateMachine } from '@lynxcourse/state'
 import { targetBlocks } from './path.js'
@@ -32,7 +32,7 @@
     const startedAt = performance.now()
     const table = buildBlockTable(blocks)
     build.push([size, performance.now() - startedAt])
-    bytes.push([size, tableBytes(table)])
+    bytes.push([size, getTableBytes(table)])
   }
   slope(figures, 'look-up table memory', 'bytes', 'block', bytes)
   slope(figures, 'look-up table build time', 'ms', 'block', build)
