--- a/packages/agreement/__tests__/start.test.ts
+++ b/packages/agreement/__tests__/start.test.ts
@@ -1,4 +1,4 @@
-/** How soon a group has a leader after all its copies start at one moment. */
+/** Time until a leader is elected after all copies start at the same time. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { brandId, loadChart, makeRandom } from '@lynxcourse/base'
@@ -7,78 +7,81 @@
 import type { Envelope, Output, Replica } from '@lynxcourse/agreement'
 
 const chart = loadChart('agreementRole')
-/** As a fleet's control VMs have them. */
+/** The settings of the control VMs of a fleet. */
 const times = { heartbeatMs: 120, electionMs: 700 }
 const tickMs = 30
-/** One way between regions with what a VM that has just started needs for a message. */
-const leastWayMs = 15
-const mostWayMs = 60
-/** Copies listen at different times after the power is back. */
+/** One-way network delay between regions plus the time that a VM needs for a message right after its start. */
+const minOneWayDelayMs = 15
+const maxOneWayDelayMs = 60
+/** Copies start to listen at different times after power returns. */
 const startSpreadMs = 80
 const runs = 200
 
-interface Start {
+interface Startup {
   readonly random: Random
-  readonly startAt: number[]
+  readonly startTimes: number[]
   readonly copies: Array<Replica | undefined>
-  readonly under: Array<{ readonly at: number, readonly envelope: Envelope }>
+  readonly inFlight: Array<{ readonly at: number, readonly envelope: Envelope }>
 }
 
-function carry (start: Start, out: Output, now: number): void {
+function sendMessages (startup: Startup, out: Output, now: number): void {
   for (const envelope of out.messages) {
-    start.under.push({ at: now + leastWayMs + start.random() * (mostWayMs - leastWayMs), envelope })
+    startup.inFlight.push({ at: now + minOneWayDelayMs + startup.random() * (maxOneWayDelayMs - minOneWayDelayMs), envelope })
   }
 }
 
-function step (start: Start, place: number, event: Parameters<typeof stepReplica>[1], now: number): void {
-  const replica = start.copies[place]
+function step (startup: Startup, position: number, event: Parameters<typeof stepReplica>[1], now: number): void {
+  const replica = startup.copies[position]
   if (replica === undefined) return
-  carry(start, stepReplica(replica, event, now), now)
-  carry(start, stepReplica(replica, { type: 'synced' }, now), now)
+  sendMessages(startup, stepReplica(replica, event, now), now)
+  sendMessages(startup, stepReplica(replica, { type: 'synced' }, now), now)
 }
 
-function deliver (start: Start, ids: readonly HolderId[], now: number): void {
-  const due = start.under.filter(message => message.at <= now)
+function deliver (startup: Startup, ids: readonly HolderId[], now: number): void {
+  const due = startup.inFlight.filter(message => message.at <= now)
   for (const message of due) {
-    start.under.splice(start.under.indexOf(message), 1)
+    startup.inFlight.splice(startup.inFlight.indexOf(message), 1)
     // A message to a copy that does not listen yet is lost.
-    step(start, ids.indexOf(message.envelope.to), { type: 'receive', envelope: message.envelope }, now)
+    step(startup, ids.indexOf(message.envelope.to), { type: 'receive', envelope: message.envelope }, now)
   }
 }
 
-/** Milliseconds from the first copy's start to a settled leader. */
-function timeToLeader (size: number, seed: number, isFirstAway = false): number {
-  const ids = Array.from({ length: size }, (_, place) => brandId<HolderId>(`v${place}/i1`))
+/** Returns the milliseconds from the start of the run to a leader with a committed entry of its own term. */
+function measureTimeToLeader (size: number, seed: number, isFirstDown = false): number {
+  const ids = Array.from({ length: size }, (_, position) => brandId<HolderId>(`v${position}/i1`))
   const random = makeRandom(seed)
-  const start: Start = { random, startAt: ids.map((_, place) => isFirstAway && place === 0 ? Infinity : random() * startSpreadMs), copies: ids.map(() => undefined), under: [] }
+  const startup: Startup = { random, startTimes: ids.map((_, position) => isFirstDown && position === 0 ? Infinity : random() * startSpreadMs), copies: ids.map(() => undefined), inFlight: [] }
   for (let now = 0; now < 5000; now++) {
-    ids.forEach((id, place) => {
-      const startedAt = start.startAt[place] ?? 0
-      if (start.copies[place] === undefined && now >= startedAt) {
+    ids.forEach((id, position) => {
+      const startedAt = startup.startTimes[position] ?? 0
+      if (startup.copies[position] === undefined && now >= startedAt) {
         const stored = { hardState: { term: 1, votedFor: undefined }, snapshot: firstSnapshot(ids, ''), entries: [] }
-        start.copies[place] = createReplica({ id, cluster: 'c', chart, times, random, stored }, now)
+        startup.copies[position] = createReplica({ id, cluster: 'c', chart, times, random, stored }, now)
       }
-      if (Math.floor(now - startedAt) % tickMs === 0) step(start, place, { type: 'tick' }, now)
+      if (Math.floor(now - startedAt) % tickMs === 0) step(startup, position, { type: 'tick' }, now)
     })
-    deliver(start, ids, now)
-    if (start.copies.some(replica => replica !== undefined && isSettledLeader(replica))) return now
+    deliver(startup, ids, now)
+    if (startup.copies.some(replica => replica !== undefined && isSettledLeader(replica))) return now
   }
   return Infinity
 }
 
-/** Guards against this failure: after all processes die, callers are refused for a second longer on some days than on others. */
-test('copies that start at one moment elect a leader without a split vote', () => {
+/**
+ * Guards against this failure: after all processes die, a split vote delays the election, so that callers are refused
+ * for a second longer after some restarts than after others.
+ */
+test('copies that start at the same time elect a leader without a split vote', () => {
   for (const size of [3, 5]) {
-    const taken = Array.from({ length: runs }, (_, seed) => timeToLeader(size, seed + 1)).sort((a, b) => a - b)
-    const median = taken[runs / 2] ?? Infinity
-    const slowest = taken.at(-1) ?? Infinity
-    assert.ok(median < 450, `${size} copies: half of ${runs} starts took ${median} ms and more`)
-    assert.ok(slowest < 1000, `${size} copies: the slowest of ${runs} starts took ${slowest} ms`)
+    const elapsedMs = Array.from({ length: runs }, (_, seed) => measureTimeToLeader(size, seed + 1)).sort((a, b) => a - b)
+    const median = elapsedMs[runs / 2] ?? Infinity
+    const slowest = elapsedMs.at(-1) ?? Infinity
+    assert.ok(median < 450, `${size} copies: the median of ${runs} elections took ${median} ms, expected under 450 ms`)
+    assert.ok(slowest < 1000, `${size} copies: the slowest of ${runs} elections took ${slowest} ms, expected under 1000 ms`)
   }
 })
 
-/** Guards against this failure: an election waits for a VM that stays away. */
-test('copies that start elect a leader as well while the first voter is away', () => {
-  const taken = Array.from({ length: runs }, (_, seed) => timeToLeader(5, seed + 1, true)).sort((a, b) => a - b)
-  assert.ok((taken.at(-1) ?? Infinity) < 1200, `the slowest of ${runs} starts took ${taken.at(-1)} ms`)
+/** Guards against this failure: after a restart, the election waits for a VM that is down. */
+test('copies that start at the same time elect a leader while the first voter is down', () => {
+  const elapsedMs = Array.from({ length: runs }, (_, seed) => measureTimeToLeader(5, seed + 1, true)).sort((a, b) => a - b)
+  assert.ok((elapsedMs.at(-1) ?? Infinity) < 1200, `the slowest of ${runs} elections took ${elapsedMs.at(-1)} ms, expected under 1200 ms`)
 })
--- a/packages/agreement/src/agreement.ts
+++ b/packages/agreement/src/agreement.ts
@@ -1,7 +1,7 @@
 /**
- * Agreement between control VMs: a replicated log with terms, pre-vote, quorum reads, snapshots,
- * learners and changes of members one at a time. No input or output: `stepReplica` is driven by
- * events and says what its host is to save, send and apply.
+ * Consensus between control VMs: a replicated log with terms, pre-votes, quorum reads, snapshots,
+ * learners and single-member membership changes. The package performs no input or output: `stepReplica`
+ * processes an event and returns what its host must save, send and apply.
  */
 export { createReplica, isLeader, isSettledLeader, isVoter, lastIndex, voters } from './internal.js'
 export { stepReplica } from './internal.js'
--- a/packages/agreement/src/core/election.ts
+++ b/packages/agreement/src/core/election.ts
@@ -1,47 +1,47 @@
-/** Elections: pre-vote, vote and stepping down. */
+/** Elections: pre-votes, votes and stepping down. */
 import type { HolderId, Millis } from '@lynxcourse/base'
 import type { Output, VoteAnswer, VoteRequest } from '../types/messages.js'
-import { appendOwn, broadcast } from './replication.js'
+import { appendEntry, broadcast } from './replication.js'
 import {
-  awaitVotes, isLeader, isVoter, lastIndex, lastTerm, quorumSize, resetElection, saveHardState, send, takeRoleEvent, voters
+  startVoteTimeout, isLeader, isVoter, lastIndex, lastTerm, quorumSize, resetElectionTimer, saveHardState, send, applyRoleEvent, voters
 } from './replica.js'
 import type { Replica } from './replica.js'
 
 /**
- * How long a copy keeps a pre-vote for the one that it was given to, in heartbeats: a way there and back, and the vote after it.
+ * How long a granted pre-vote excludes other candidates, in heartbeat intervals: a round trip and the vote after it.
  *
- * What can go wrong: all copies start at one moment, several win their pre-votes within some milliseconds, and the votes of the
- * same term are split among them. It shows as candidates of one term at several VMs and no leader for another time-out. A pre-vote
- * that is kept for one copy lets only one of them win a quorum.
+ * Without this exclusion, copies that start at the same time can win their pre-votes within a few milliseconds of each
+ * other and split the votes of one term, which leaves the cluster without a leader for another election timeout. An
+ * exclusive pre-vote lets only one of them win a quorum.
  */
-const keepPreVoteHeartbeats = 1.25
+const preVoteHoldHeartbeats = 1.25
 
 /**
- * Starts a pre-vote. A copy that was cut off would otherwise come back with a high term and force
- * the working leader to step down; the pre-vote raises no term until a quorum says it would vote.
+ * Starts a pre-vote. Without it, a copy that returns from a network partition would have a high term and force a
+ * working leader to step down; with it, the copy raises its term only after a quorum has granted its pre-vote.
  */
 export function startPreVote (replica: Replica, now: Millis, out: Output): void {
-  takeRoleEvent(replica, 'electionDue')
-  resetElection(replica, now)
+  applyRoleEvent(replica, 'electionDue')
+  resetElectionTimer(replica, now)
   replica.leader = undefined
   replica.votes = new Set([replica.id])
-  keepPreVote(replica, replica.id, now)
-  askForVotes(replica, true, out)
-  checkVotes(replica, now, out)
+  recordPreVote(replica, replica.id, now)
+  requestVotes(replica, true, out)
+  countVotes(replica, now, out)
 }
 
 function startVote (replica: Replica, now: Millis, out: Output): void {
-  takeRoleEvent(replica, 'preVotesWon')
+  applyRoleEvent(replica, 'preVotesWon')
   replica.term += 1
   replica.votedFor = replica.id
   replica.votes = new Set([replica.id])
-  awaitVotes(replica, now)
+  startVoteTimeout(replica, now)
   saveHardState(replica, out)
-  askForVotes(replica, false, out)
-  checkVotes(replica, now, out)
+  requestVotes(replica, false, out)
+  countVotes(replica, now, out)
 }
 
-function askForVotes (replica: Replica, pre: boolean, out: Output): void {
+function requestVotes (replica: Replica, pre: boolean, out: Output): void {
   const message: VoteRequest = {
     type: 'vote',
     pre,
@@ -54,72 +54,72 @@
   }
 }
 
-function checkVotes (replica: Replica, now: Millis, out: Output): void {
-  const won = voters(replica).filter(voter => replica.votes.has(voter)).length >= quorumSize(replica)
-  if (!won) return
+function countVotes (replica: Replica, now: Millis, out: Output): void {
+  const hasQuorum = voters(replica).filter(voter => replica.votes.has(voter)).length >= quorumSize(replica)
+  if (!hasQuorum) return
   if (replica.role === 'preCandidate') startVote(replica, now, out)
-  else if (replica.role === 'candidate') startLeading(replica, now, out)
+  else if (replica.role === 'candidate') becomeLeader(replica, now, out)
 }
 
-function startLeading (replica: Replica, now: Millis, out: Output): void {
-  takeRoleEvent(replica, 'votesWon')
+function becomeLeader (replica: Replica, now: Millis, out: Output): void {
+  applyRoleEvent(replica, 'votesWon')
   replica.leader = replica.id
   replica.progress = new Map()
   replica.round = 0
-  replica.firstRound = 1
-  replica.roundSentAt = []
+  replica.firstUnconfirmedRound = 1
+  replica.unconfirmedRoundSentAt = []
   replica.confirmedRound = 0
   replica.confirmedAt = now
-  replica.reads = []
-  replica.joining = new Set()
-  // The first entry of the term: older entries count as committed only below one of our own term,
-  // since a copy with a longer log of a higher term could still overwrite them.
-  replica.termStart = lastIndex(replica) + 1
-  appendOwn(replica, { type: 'noop' }, now, out)
+  replica.pendingReads = []
+  replica.joinRequests = new Set()
+  // An entry of an older term counts as committed only once an entry of the leader's own term after it is committed.
+  // Until then, a copy whose last entry has a higher term could still overwrite it.
+  replica.termStartIndex = lastIndex(replica) + 1
+  appendEntry(replica, { type: 'noop' }, now, out)
   broadcast(replica, now, out)
 }
 
-/** Answers a request for a vote or a pre-vote. */
-export function answerVote (replica: Replica, from: HolderId, request: VoteRequest, now: Millis, out: Output): void {
-  const granted = request.pre ? givePreVote(replica, from, request, now) : giveVote(replica, from, request, now, out)
+/** Grants or denies a vote or a pre-vote and answers the request. */
+export function handleVoteRequest (replica: Replica, from: HolderId, request: VoteRequest, now: Millis, out: Output): void {
+  const granted = request.pre ? tryGrantPreVote(replica, from, request, now) : tryGrantVote(replica, from, request, now, out)
   const term = request.pre && granted ? request.term : replica.term
   send(replica, out, from, { type: 'voteAnswer', pre: request.pre, term, granted })
 }
 
-function givePreVote (replica: Replica, from: HolderId, request: VoteRequest, now: Millis): boolean {
-  if (!wouldVote(replica, request, now) || isPreVoteKept(replica, from, now)) return false
-  keepPreVote(replica, from, now)
-  // The other one is about to win: a pre-vote of this copy's own would only hold votes back from it.
-  replica.electionAt = Math.max(replica.electionAt, now + keptMs(replica))
+function tryGrantPreVote (replica: Replica, from: HolderId, request: VoteRequest, now: Millis): boolean {
+  if (!canGrantPreVote(replica, request, now) || hasPreVotedForOther(replica, from, now)) return false
+  recordPreVote(replica, from, now)
+  // The other candidate may be about to win; a pre-vote round of this copy would only withhold votes from it.
+  replica.electionDueAt = Math.max(replica.electionDueAt, now + getPreVoteHoldMs(replica))
   return true
 }
 
-function keepPreVote (replica: Replica, id: HolderId, now: Millis): void {
+function recordPreVote (replica: Replica, id: HolderId, now: Millis): void {
   replica.preVotedFor = id
   replica.preVotedAt = now
 }
 
-function isPreVoteKept (replica: Replica, from: HolderId, now: Millis): boolean {
-  return replica.preVotedFor !== from && now - replica.preVotedAt < keptMs(replica)
+function hasPreVotedForOther (replica: Replica, from: HolderId, now: Millis): boolean {
+  return replica.preVotedFor !== from && now - replica.preVotedAt < getPreVoteHoldMs(replica)
 }
 
-function keptMs (replica: Replica): Millis {
-  return replica.times.heartbeatMs * keepPreVoteHeartbeats
+function getPreVoteHoldMs (replica: Replica): Millis {
+  return replica.times.heartbeatMs * preVoteHoldHeartbeats
 }
 
-function wouldVote (replica: Replica, request: VoteRequest, now: Millis): boolean {
-  const hasLeader = isLeader(replica) || now - replica.leaderHeardAt < replica.times.electionMs
+function canGrantPreVote (replica: Replica, request: VoteRequest, now: Millis): boolean {
+  const hasLeader = isLeader(replica) || now - replica.leaderLastSeenAt < replica.times.electionMs
   if (hasLeader) return false
   return request.term > replica.term && isUpToDate(replica, request)
 }
 
-function giveVote (replica: Replica, from: HolderId, request: VoteRequest, now: Millis, out: Output): boolean {
+function tryGrantVote (replica: Replica, from: HolderId, request: VoteRequest, now: Millis, out: Output): boolean {
   if (request.term < replica.term) return false
   if (replica.votedFor !== undefined && replica.votedFor !== from) return false
   if (!isUpToDate(replica, request)) return false
   replica.votedFor = from
   saveHardState(replica, out)
-  resetElection(replica, now)
+  resetElectionTimer(replica, now)
   return true
 }
 
@@ -128,37 +128,37 @@
   return request.lastIndex >= lastIndex(replica)
 }
 
-/** Counts an answer to our own request for votes. */
-export function takeVoteAnswer (replica: Replica, from: HolderId, answer: VoteAnswer, now: Millis, out: Output): void {
+/** Counts an answer to this copy's own request for votes or pre-votes. */
+export function handleVoteAnswer (replica: Replica, from: HolderId, answer: VoteAnswer, now: Millis, out: Output): void {
   if (!answer.granted) return
   const expected = answer.pre ? 'preCandidate' : 'candidate'
   if (replica.role !== expected) return
   const term = answer.pre ? replica.term + 1 : replica.term
   if (answer.term !== term) return
   replica.votes.add(from)
-  checkVotes(replica, now, out)
+  countVotes(replica, now, out)
 }
 
-/** Takes over a higher term as a follower of nobody yet. */
+/** Adopts a higher term and becomes a follower whose leader is not known yet. */
 export function adoptTerm (replica: Replica, term: number, now: Millis, out: Output): void {
-  if (isLeader(replica)) stopLeading(replica, 'higherTerm', now, out)
-  else takeRoleEvent(replica, 'higherTerm')
+  if (isLeader(replica)) stepDown(replica, 'higherTerm', now, out)
+  else applyRoleEvent(replica, 'higherTerm')
   replica.term = term
   replica.votedFor = undefined
   replica.leader = undefined
   saveHardState(replica, out)
 }
 
-/** Gives up the lead; reads that wait can't be answered here any more. */
-export function stopLeading (replica: Replica, event: 'quorumLost' | 'higherTerm' | 'removed', now: Millis, out: Output): void {
-  takeRoleEvent(replica, event)
+/** Ends this copy's leadership and fails its pending reads. */
+export function stepDown (replica: Replica, event: 'quorumLost' | 'higherTerm' | 'removed', now: Millis, out: Output): void {
+  applyRoleEvent(replica, event)
   replica.leader = undefined
-  out.failedReads.push(...replica.reads.map(read => read.token))
-  replica.reads = []
-  resetElection(replica, now)
+  out.failedReads.push(...replica.pendingReads.map(read => read.token))
+  replica.pendingReads = []
+  resetElectionTimer(replica, now)
 }
 
-/** Whether it is time for this copy to ask for votes. */
+/** Whether this copy's election timer has expired and it may request votes. */
 export function isElectionDue (replica: Replica, now: Millis): boolean {
-  return !isLeader(replica) && isVoter(replica) && now >= replica.electionAt
+  return !isLeader(replica) && isVoter(replica) && now >= replica.electionDueAt
 }
--- a/packages/agreement/src/core/following.ts
+++ b/packages/agreement/src/core/following.ts
@@ -1,80 +1,81 @@
-/** The follower's side of replication: taking entries and snapshots from the leader. */
+/** The follower's side of replication: stores entries and snapshots from the leader. */
 import type { HolderId, Millis } from '@lynxcourse/base'
 import type { Entry } from '../types/log.js'
 import type { AppendRequest, Output, SnapshotRequest } from '../types/messages.js'
 import { canTake } from '@lynxcourse/base'
-import { commitTo, lastIndex, refreshMembers, resetElection, send, takeRoleEvent, termAt } from './replica.js'
+import { commitUpTo, lastIndex, refreshMembers, resetElectionTimer, send, applyRoleEvent, termAt } from './replica.js'
 import type { Replica } from './replica.js'
 
-/** Takes entries, or says from where they are lacking. */
-export function takeAppend (replica: Replica, from: HolderId, request: AppendRequest, now: Millis, out: Output): void {
+/** Stores the leader's entries, or answers with the last index at which the two logs may match. */
+export function handleAppend (replica: Replica, from: HolderId, request: AppendRequest, now: Millis, out: Output): void {
   if (request.term < replica.term) {
-    answer(replica, from, false, lastIndex(replica), request.round, out)
+    sendAppendAnswer(replica, from, false, lastIndex(replica), request.round, out)
     return
   }
-  hearLeader(replica, from, now)
-  const known = knownUpTo(replica, request)
-  if (!known) {
+  recordLeaderContact(replica, from, now)
+  const isMatching = matchesPreviousEntry(replica, request)
+  if (!isMatching) {
     const hint = Math.min(lastIndex(replica), request.prevIndex - 1)
-    answer(replica, from, false, hint, request.round, out)
+    sendAppendAnswer(replica, from, false, hint, request.round, out)
     return
   }
-  for (const entry of request.entries) takeEntry(replica, entry, out)
-  const matched = request.prevIndex + request.entries.length
-  commitTo(replica, Math.min(request.commit, matched), out)
-  // A heartbeat that stands in for a snapshot, and any of a leader that has not settled, carry no commit index: they tell nothing of freshness.
+  for (const entry of request.entries) storeEntry(replica, entry, out)
+  const matchIndex = request.prevIndex + request.entries.length
+  commitUpTo(replica, Math.min(request.commit, matchIndex), out)
+  // A heartbeat in place of a snapshot, or from a leader without a committed entry of its own term, has commit index 0
+  // and doesn't show whether this follower is up to date.
   if (request.commit > 0 && replica.commit >= request.commit) replica.freshAt = now
-  answer(replica, from, true, matched, request.round, out)
+  sendAppendAnswer(replica, from, true, matchIndex, request.round, out)
 }
 
-function knownUpTo (replica: Replica, request: AppendRequest): boolean {
-  // What a snapshot covers is committed, so it equals the leader's log without a look.
+function matchesPreviousEntry (replica: Replica, request: AppendRequest): boolean {
+  // Entries covered by the snapshot are committed, so they equal the leader's entries and need no comparison.
   if (request.prevIndex < replica.snapshot.index) return true
   return termAt(replica, request.prevIndex) === request.prevTerm
 }
 
-function takeEntry (replica: Replica, entry: Entry, out: Output): void {
+function storeEntry (replica: Replica, entry: Entry, out: Output): void {
   if (entry.index <= replica.snapshot.index) return
-  const held = termAt(replica, entry.index)
-  if (held === entry.term) return
-  if (held !== undefined) {
-    // A former leader's entry that was never committed: it and all after it go.
+  const storedTerm = termAt(replica, entry.index)
+  if (storedTerm === entry.term) return
+  if (storedTerm !== undefined) {
+    // The stored entry is an uncommitted one of a former leader; it and all entries after it are removed.
     replica.entries.length = entry.index - replica.snapshot.index - 1
-    replica.synced = Math.min(replica.synced, entry.index - 1)
+    replica.syncedIndex = Math.min(replica.syncedIndex, entry.index - 1)
   }
   replica.entries.push(entry)
   out.entries.push(entry)
-  if (held !== undefined || entry.body.type === 'members') refreshMembers(replica)
+  if (storedTerm !== undefined || entry.body.type === 'members') refreshMembers(replica)
 }
 
-/** Replaces the log by the leader's snapshot when that is ahead of it. */
-export function takeSnapshot (replica: Replica, from: HolderId, request: SnapshotRequest, now: Millis, out: Output): void {
+/** Replaces the log up to the snapshot's index by the leader's snapshot, if that is ahead of the commit index. */
+export function handleSnapshot (replica: Replica, from: HolderId, request: SnapshotRequest, now: Millis, out: Output): void {
   if (request.term < replica.term) {
-    answer(replica, from, false, lastIndex(replica), request.round, out)
+    sendAppendAnswer(replica, from, false, lastIndex(replica), request.round, out)
     return
   }
-  hearLeader(replica, from, now)
+  recordLeaderContact(replica, from, now)
   const { snapshot } = request
   if (snapshot.index > replica.commit) {
-    const keepsTail = termAt(replica, snapshot.index) === snapshot.term
-    replica.entries = keepsTail ? replica.entries.slice(snapshot.index - replica.snapshot.index) : []
+    const hasMatchingEntry = termAt(replica, snapshot.index) === snapshot.term
+    replica.entries = hasMatchingEntry ? replica.entries.slice(snapshot.index - replica.snapshot.index) : []
     replica.snapshot = snapshot
     replica.commit = snapshot.index
-    replica.synced = lastIndex(replica)
+    replica.syncedIndex = lastIndex(replica)
     refreshMembers(replica)
     out.snapshot = snapshot
     out.install = true
   }
-  answer(replica, from, true, snapshot.index, request.round, out)
+  sendAppendAnswer(replica, from, true, snapshot.index, request.round, out)
 }
 
-function hearLeader (replica: Replica, leader: HolderId, now: Millis): void {
-  if (canTake(replica.chart, replica.role, 'leaderHeard')) takeRoleEvent(replica, 'leaderHeard')
+function recordLeaderContact (replica: Replica, leader: HolderId, now: Millis): void {
+  if (canTake(replica.chart, replica.role, 'leaderHeard')) applyRoleEvent(replica, 'leaderHeard')
   replica.leader = leader
-  replica.leaderHeardAt = now
-  resetElection(replica, now)
+  replica.leaderLastSeenAt = now
+  resetElectionTimer(replica, now)
 }
 
-function answer (replica: Replica, to: HolderId, ok: boolean, index: number, round: number, out: Output): void {
+function sendAppendAnswer (replica: Replica, to: HolderId, ok: boolean, index: number, round: number, out: Output): void {
   send(replica, out, to, { type: 'appendAnswer', term: replica.term, ok, index, round })
 }
--- a/packages/agreement/src/core/repair.ts
+++ b/packages/agreement/src/core/repair.ts
@@ -1,52 +1,51 @@
 /**
- * Changes of members, one at a time, worked out by the leader from the member list alone, so that a
- * new leader goes on where the last one stopped.
+ * Membership changes, one member at a time. The leader derives each change from the member list alone, so that a new
+ * leader continues where the previous one stopped.
  *
- * What can go wrong: a VM that lost its disk has forgotten votes and entries that it acknowledged.
- * If it counted under its old name at once, a quorum could form that lacks a committed entry. So it
- * returns under a new incarnation, first as a learner; the old copy is removed before the new one
- * becomes a voter, since a swap in one step makes quorums that need not overlap.
+ * A VM that lost its disk no longer has the votes that it gave and the entries that it acknowledged. If it counted as
+ * the same voter again, a quorum without a committed entry could form. Therefore the VM returns under a new incarnation,
+ * first as a learner. Its old copy is removed before the new one becomes a voter, because a swap in one step allows
+ * quorums that don't overlap.
  */
 import { vmOfHolder } from '@lynxcourse/base'
 import type { HolderId, Millis } from '@lynxcourse/base'
 import type { Member } from '../types/log.js'
 import type { Output } from '../types/messages.js'
-import { appendOwn, broadcast } from './replication.js'
+import { appendEntry, broadcast } from './replication.js'
 import { isSettledLeader, lastIndex } from './replica.js'
 import type { Replica } from './replica.js'
 
-/** More voters make commits slower and bear more losses than failure domains are planned for. */
-const mostVoters = 7
+/** More voters would slow down commits and tolerate more failures than there are failure domains planned for. */
+const maxVoters = 7
 
-/** Proposes the next change of members, if one is due and none is under way. */
-export function repairMembers (replica: Replica, now: Millis, out: Output): void {
+/** Proposes the next membership change, if one is due and no other is in progress. */
+export function proposeMemberChange (replica: Replica, now: Millis, out: Output): void {
   if (!isSettledLeader(replica)) return
-  const changeUnderWay = replica.membersIndex > replica.commit
-  if (changeUnderWay) return
-  const members = planMembers(replica, now)
+  const isChangeInProgress = replica.membersIndex > replica.commit
+  if (isChangeInProgress) return
+  const members = planMemberChange(replica, now)
   if (members === undefined) return
-  appendOwn(replica, { type: 'members', members }, now, out)
+  appendEntry(replica, { type: 'members', members }, now, out)
   broadcast(replica, now, out)
 }
 
-function planMembers (replica: Replica, now: Millis): readonly Member[] | undefined {
+function planMemberChange (replica: Replica, now: Millis): readonly Member[] | undefined {
   return planLearner(replica) ?? planPromotion(replica, now) ?? planRemoval(replica, now)
 }
 
-/** A voter silent for this many election time-outs may be replaced by a copy that holds the log; some seconds, longer than a restart takes. */
-const silentTimeouts = 8
-/** Below this the group bears no loss at all, so nobody is removed. */
-const leastVoters = 3
+/** Number of election timeouts without an answer after which a voter may be removed; a few seconds, longer than a restart takes. */
+const silentElectionTimeouts = 8
+/** With fewer voters, the cluster tolerates no failure; at this number, no voter is removed. */
+const minVoters = 3
 
 /**
- * Removes a voter that fell silent for good. One of an even number adds nothing to the losses that the
- * group bears, and makes each quorum wait for one copy more; one of an odd number goes only when a
- * learner that holds the log is ready to take its place. A copy that was only cut off asks to be let in
- * again as a learner.
+ * Plans the removal of a voter that has been silent for a long time. With an even number of voters, the silent one adds
+ * no fault tolerance and makes each quorum larger by one copy. With an odd number, the voter is removed only if a
+ * caught-up learner can replace it. A removed copy that was only partitioned joins again as a learner.
  */
 function planRemoval (replica: Replica, now: Millis): readonly Member[] | undefined {
   const voters = replica.members.filter(member => member.voter)
-  if (voters.length <= leastVoters) return undefined
+  if (voters.length <= minVoters) return undefined
   const hasSuccessor = replica.members.some(member => !member.voter && isCaughtUp(replica, member.id, now))
   if (voters.length % 2 === 1 && !hasSuccessor) return undefined
   const silent = voters.find(member => member.id !== replica.id && isSilent(replica, member.id, now))
@@ -55,17 +54,17 @@
 
 function isSilent (replica: Replica, id: HolderId, now: Millis): boolean {
   const progress = replica.progress.get(id)
-  return progress !== undefined && now - progress.heardAt > replica.times.electionMs * silentTimeouts
+  return progress !== undefined && now - progress.lastSeenAt > replica.times.electionMs * silentElectionTimeouts
 }
 
 function planLearner (replica: Replica): readonly Member[] | undefined {
-  for (const id of replica.joining) {
-    replica.joining.delete(id)
+  for (const id of replica.joinRequests) {
+    replica.joinRequests.delete(id)
     if (replica.members.some(member => member.id === id)) continue
     const vm = vmOfHolder(id)
-    // Learners count in no quorum, so an outdated one of the same VM may go in the same step.
-    const kept = replica.members.filter(member => member.voter || vmOfHolder(member.id) !== vm)
-    return [...kept, { id, voter: false }]
+    // Learners don't count towards quorums, so an outdated learner of the same VM can be removed in the same step.
+    const remaining = replica.members.filter(member => member.voter || vmOfHolder(member.id) !== vm)
+    return [...remaining, { id, voter: false }]
   }
   return undefined
 }
@@ -76,16 +75,16 @@
     const vm = vmOfHolder(learner.id)
     const outdated = replica.members.find(member => member.voter && vmOfHolder(member.id) === vm)
     if (outdated !== undefined) return replica.members.filter(member => member !== outdated)
-    if (replica.members.filter(member => member.voter).length >= mostVoters) continue
+    if (replica.members.filter(member => member.voter).length >= maxVoters) continue
     return replica.members.map(member => member === learner ? { id: member.id, voter: true } : member)
   }
   return undefined
 }
 
-/** Whether a learner has synced all that is in the leader's log and was heard just now. */
+/** Whether a member has synced the leader's whole log and has answered within the last election timeout. */
 function isCaughtUp (replica: Replica, id: HolderId, now: Millis): boolean {
   const progress = replica.progress.get(id)
   if (progress === undefined) return false
-  const heardNow = now - progress.heardAt < replica.times.electionMs
-  return heardNow && progress.match >= replica.commit && progress.match >= lastIndex(replica)
+  const isRecentlySeen = now - progress.lastSeenAt < replica.times.electionMs
+  return isRecentlySeen && progress.match >= replica.commit && progress.match >= lastIndex(replica)
 }
--- a/packages/agreement/src/core/replica.ts
+++ b/packages/agreement/src/core/replica.ts
@@ -1,27 +1,28 @@
-/** The state of one copy of the replicated log and the small questions asked of it. */
+/** The state of one copy of the replicated log, with basic queries and updates. */
 import type { Chart, HolderId, Millis, Random } from '@lynxcourse/base'
 import { nextState } from '@lynxcourse/base'
 import type { Entry, Member, Snapshot, StoredLog } from '../types/log.js'
 import type { Envelope, Message, Output, ReplicaTimes } from '../types/messages.js'
 
-/** What the leader knows of one other member. */
+/** Replication progress of one other member, as the leader tracks it. */
 export interface Progress {
-  /** Next index to send; runs ahead of `match` while answers are under way. */
+  /** Next index to send; greater than `match + 1` while appends are in flight. */
   next: number
+  /** Last index known to be synced by the member. */
   match: number
   ackedRound: number
-  heardAt: Millis
-  /** When a snapshot was last sent, so that a slow copy isn't sent one with each heartbeat. */
+  lastSeenAt: Millis
+  /** When a snapshot was last sent; prevents sending a slow copy a snapshot with each heartbeat. */
   snapshotSentAt: Millis
 }
 
-/** A read that waits for its round to be confirmed by a quorum. */
+/** A read that is pending until a quorum confirms its round. */
 export interface PendingRead {
   readonly token: number
   readonly round: number
 }
 
-/** One copy of the log. Plain data: every function here takes it first. */
+/** One copy of the log. Plain data: functions of this package take it as their first parameter. */
 export interface Replica {
   readonly id: HolderId
   readonly cluster: string
@@ -34,36 +35,36 @@
   leader: HolderId | undefined
   snapshot: Snapshot
   entries: Entry[]
-  /** Members by the newest members entry in the log, committed or not. */
+  /** Members according to the newest members entry in the log, whether committed or not. */
   members: readonly Member[]
   membersIndex: number
   commit: number
-  /** Last index that is synced on this disk. */
-  synced: number
-  electionAt: Millis
-  leaderHeardAt: Millis
-  /** The copy that was last told that it would get this one's vote, and when. */
+  /** Last index that is synced to this copy's disk. */
+  syncedIndex: number
+  electionDueAt: Millis
+  leaderLastSeenAt: Millis
+  /** The candidate that last received a pre-vote from this copy, and when. */
   preVotedFor: HolderId | undefined
   preVotedAt: Millis
-  /** When this follower last held all that the leader knew to be committed. */
+  /** When this follower last had every entry that the leader reported as committed. */
   freshAt: Millis
   votes: Set<HolderId>
   progress: Map<HolderId, Progress>
-  heartbeatAt: Millis
+  nextHeartbeatAt: Millis
   round: number
-  /** Send times of rounds not yet confirmed; the index in the array is `round - firstRound`. */
-  roundSentAt: Millis[]
-  firstRound: number
-  /** Send time of the newest round that a quorum answered. */
+  /** Send times of unconfirmed rounds; the array index is `round - firstUnconfirmedRound`. */
+  unconfirmedRoundSentAt: Millis[]
+  firstUnconfirmedRound: number
+  /** Send time of the newest round that a quorum confirmed. */
   confirmedAt: Millis
   confirmedRound: number
-  /** Index of this term's first entry: once committed, all before it is known to be committed. */
-  termStart: number
-  reads: PendingRead[]
-  joining: Set<HolderId>
+  /** Index of this term's first entry: once it is committed, all earlier entries are known to be committed. */
+  termStartIndex: number
+  pendingReads: PendingRead[]
+  joinRequests: Set<HolderId>
 }
 
-/** What a copy needs to start. */
+/** Parameters of `createReplica`. */
 export interface ReplicaSetup {
   readonly id: HolderId
   readonly cluster: string
@@ -74,15 +75,15 @@
 }
 
 /**
- * When a copy that starts asks for votes, in heartbeats: the first voter soon, each next one this much later, so that the first
- * one's question reaches it before it asks itself.
+ * Delay of the first election after a start, in heartbeat intervals. Each voter adds one rank delay per rank, so that the
+ * request of a lower-ranked voter arrives before the next voter's own election is due.
  */
-const firstAskHeartbeats = 0.25
-const rankHeartbeats = 0.5
-/** Time until such a copy asks again, in heartbeats: others of its age may not have listened yet. */
-const startRetryHeartbeats = 2
+const firstElectionDelayHeartbeats = 0.25
+const rankDelayHeartbeats = 0.5
+/** Delay until a starting copy requests votes again, in heartbeat intervals: other copies may not have been listening yet. */
+const startupRetryHeartbeats = 2
 
-/** Makes a copy of the log from what its disk holds. */
+/** Creates a copy of the log from its stored state. */
 export function createReplica (setup: ReplicaSetup, now: Millis): Replica {
   const { stored } = setup
   const replica: Replica = {
@@ -100,58 +101,58 @@
     members: stored.snapshot.members,
     membersIndex: stored.snapshot.index,
     commit: stored.snapshot.index,
-    synced: 0,
-    electionAt: 0,
-    leaderHeardAt: -Infinity,
+    syncedIndex: 0,
+    electionDueAt: 0,
+    leaderLastSeenAt: -Infinity,
     preVotedFor: undefined,
     preVotedAt: -Infinity,
     freshAt: -Infinity,
     votes: new Set(),
     progress: new Map(),
-    heartbeatAt: 0,
+    nextHeartbeatAt: 0,
     round: 0,
-    roundSentAt: [],
-    firstRound: 1,
+    unconfirmedRoundSentAt: [],
+    firstUnconfirmedRound: 1,
     confirmedAt: -Infinity,
     confirmedRound: 0,
-    termStart: 0,
-    reads: [],
-    joining: new Set()
+    termStartIndex: 0,
+    pendingReads: [],
+    joinRequests: new Set()
   }
-  replica.synced = lastIndex(replica)
+  replica.syncedIndex = lastIndex(replica)
   refreshMembers(replica)
-  // A copy that starts asks for votes soon: where all copies start together nobody has anything to wait for, and a
-  // pre-vote disturbs no leader that lives.
-  replica.electionAt = now + setup.times.heartbeatMs * (firstAskHeartbeats + rankHeartbeats * rankOf(replica))
+  // A starting copy requests votes early: if all copies start together, there is no leader to wait for, and a pre-vote
+  // doesn't affect a working leader.
+  replica.electionDueAt = now + setup.times.heartbeatMs * (firstElectionDelayHeartbeats + rankDelayHeartbeats * getVoterRank(replica))
   return replica
 }
 
-/** Place of this copy among the voters, which all copies see alike; 0 where it is no voter. */
-function rankOf (replica: Replica): number {
+/** Returns the rank of this copy among the voters sorted by id, equal on all copies; 0 if this copy is not a voter. */
+function getVoterRank (replica: Replica): number {
   return Math.max(0, voters(replica).sort().indexOf(replica.id))
 }
 
-/** Whether this copy has heard of no leader since its start. */
-function isStarting (replica: Replica): boolean {
-  return replica.leaderHeardAt === -Infinity
+/** Whether this copy has received nothing from a leader since its start. */
+function hasNeverSeenLeader (replica: Replica): boolean {
+  return replica.leaderLastSeenAt === -Infinity
 }
 
-/** Moves the role by the chart. */
-export function takeRoleEvent (replica: Replica, event: string): void {
+/** Changes the role by the transition that the chart defines for an event. */
+export function applyRoleEvent (replica: Replica, event: string): void {
   replica.role = nextState(replica.chart, replica.role, event)
 }
 
-/** Whether this copy leads, as far as it knows. */
+/** Whether this copy is in the leader role; it may have been superseded without knowing yet. */
 export function isLeader (replica: Replica): boolean {
   return replica.role === 'leader'
 }
 
 /**
- * Whether this copy leads and has committed an entry of its own term. Before that it may not know
- * that older entries are committed, so it must neither answer reads nor change members.
+ * Whether this copy is the leader and has committed an entry of its own term. Before that, it may not know which older
+ * entries are committed, so it must neither answer reads nor change members.
  */
 export function isSettledLeader (replica: Replica): boolean {
-  return isLeader(replica) && replica.commit >= replica.termStart
+  return isLeader(replica) && replica.commit >= replica.termStartIndex
 }
 
 export function lastIndex (replica: Replica): number {
@@ -162,7 +163,7 @@
   return termAt(replica, lastIndex(replica)) ?? 0
 }
 
-/** Term of the entry at an index; undefined where the log has none or has dropped it. */
+/** Returns the term of the entry at an index; undefined if the log has no such entry or has compacted it. */
 export function termAt (replica: Replica, index: number): number | undefined {
   if (index === replica.snapshot.index) return replica.snapshot.term
   return entryAt(replica, index)?.term
@@ -172,8 +173,8 @@
   return replica.entries[index - replica.snapshot.index - 1]
 }
 
-/** Time stamp of the newest entry; later entries never go below it. */
-export function lastAt (replica: Replica): Millis {
+/** Returns the timestamp of the newest entry; later entries never have a lower one. */
+export function lastEntryAt (replica: Replica): Millis {
   return replica.entries.at(-1)?.at ?? replica.snapshot.at
 }
 
@@ -185,18 +186,18 @@
   return replica.members.some(member => member.id === replica.id && member.voter)
 }
 
-/** How many voters make a quorum. */
+/** Returns the number of voters that form a quorum. */
 export function quorumSize (replica: Replica): number {
   return Math.floor(voters(replica).length / 2) + 1
 }
 
-/** The greatest value that a quorum of voters has reached. */
-export function reachedByQuorum (replica: Replica, valueOf: (id: HolderId) => number): number {
-  const values = voters(replica).map(valueOf).sort((a, b) => b - a)
+/** Returns the greatest value that a quorum of voters has reached. */
+export function maxReachedByQuorum (replica: Replica, getValue: (id: HolderId) => number): number {
+  const values = voters(replica).map(getValue).sort((a, b) => b - a)
   return values[quorumSize(replica) - 1] ?? 0
 }
 
-/** Finds the newest members entry; needed at start and after entries were cut off. */
+/** Updates the members from the newest members entry; needed at start and after the log was truncated or replaced. */
 export function refreshMembers (replica: Replica): void {
   replica.members = replica.snapshot.members
   replica.membersIndex = replica.snapshot.index
@@ -209,24 +210,24 @@
 }
 
 /**
- * Draws the time of the next election: between one and two election time-outs from now, and soon, in the order of the
- * voters, where this copy has heard of no leader since its start.
+ * Draws the time of the next election: one to two election timeouts from now, or earlier and staggered by voter rank if
+ * this copy has received nothing from a leader since its start.
  */
-export function resetElection (replica: Replica, now: Millis): void {
+export function resetElectionTimer (replica: Replica, now: Millis): void {
   const { electionMs, heartbeatMs } = replica.times
-  const chance = replica.random()
-  const waitMs = isStarting(replica)
-    ? heartbeatMs * (startRetryHeartbeats + rankHeartbeats * (rankOf(replica) + chance))
-    : electionMs * (1 + chance)
-  replica.electionAt = now + Math.floor(waitMs)
+  const jitter = replica.random()
+  const delayMs = hasNeverSeenLeader(replica)
+    ? heartbeatMs * (startupRetryHeartbeats + rankDelayHeartbeats * (getVoterRank(replica) + jitter))
+    : electionMs * (1 + jitter)
+  replica.electionDueAt = now + Math.floor(delayMs)
 }
 
-/** Draws the time at which a vote that was not won counts as lost; half a time-out covers a way there and back and a sync. */
-export function awaitVotes (replica: Replica, now: Millis): void {
-  replica.electionAt = now + Math.floor(replica.times.electionMs * (0.5 + replica.random() / 2))
+/** Draws the time at which an undecided vote counts as lost; half an election timeout covers a round trip and a sync. */
+export function startVoteTimeout (replica: Replica, now: Millis): void {
+  replica.electionDueAt = now + Math.floor(replica.times.electionMs * (0.5 + replica.random() / 2))
 }
 
-export function emptyOutput (): Output {
+export function createOutput (): Output {
   return {
     hardState: undefined,
     entries: [],
@@ -245,13 +246,13 @@
   out.messages.push(envelope)
 }
 
-/** Notes that term or vote changed, for the host to sync before anything is sent. */
+/** Asks the host to save term and vote, and to sync them before it sends any message. */
 export function saveHardState (replica: Replica, out: Output): void {
   out.hardState = { term: replica.term, votedFor: replica.votedFor }
 }
 
-/** Hands the entries up to `commit` to the host. */
-export function commitTo (replica: Replica, commit: number, out: Output): void {
+/** Raises the commit index to `commit` and hands the newly committed entries to the host. */
+export function commitUpTo (replica: Replica, commit: number, out: Output): void {
   for (let index = replica.commit + 1; index <= commit; index++) {
     const entry = entryAt(replica, index)
     if (entry !== undefined) out.committed.push(entry)
--- a/packages/agreement/src/core/replication.ts
+++ b/packages/agreement/src/core/replication.ts
@@ -1,22 +1,22 @@
-/** The leader's side of replication: appending, sending, counting answers. */
+/** The leader's side of replication: appends entries, sends them and processes answers. */
 import type { HolderId, Millis } from '@lynxcourse/base'
 import type { EntryBody } from '../types/log.js'
 import type { AppendAnswer, Output } from '../types/messages.js'
 import {
-  commitTo, entryAt, isSettledLeader, lastAt, lastIndex, reachedByQuorum, send, termAt
+  commitUpTo, entryAt, isSettledLeader, lastEntryAt, lastIndex, maxReachedByQuorum, send, termAt
 } from './replica.js'
 import type { Progress, Replica } from './replica.js'
 
-/** Most entries in one message; bounds its size and the memory of who receives it. */
+/** Maximum number of entries in one message; bounds the message size and the memory that the recipient needs. */
 export const maxEntriesPerMessage = 512
 
-/** A snapshot is sent again to the same copy only after this many election time-outs. */
-const snapshotPatience = 3
+/** Minimum interval between two snapshots sent to the same copy, in election timeouts. */
+const snapshotResendElectionTimeouts = 3
 
-/** Appends an entry of this leader's own. Its time never falls below the log's last. */
-export function appendOwn (replica: Replica, body: EntryBody, now: Millis, out: Output): number {
+/** Appends an entry to the leader's log. Its timestamp is never lower than that of the entry before it. */
+export function appendEntry (replica: Replica, body: EntryBody, now: Millis, out: Output): number {
   const index = lastIndex(replica) + 1
-  const entry = { index, term: replica.term, at: Math.max(now, lastAt(replica)), body }
+  const entry = { index, term: replica.term, at: Math.max(now, lastEntryAt(replica)), body }
   replica.entries.push(entry)
   out.entries.push(entry)
   if (body.type === 'members') {
@@ -26,29 +26,29 @@
   return index
 }
 
-/** Sends each other member what it lacks, or a heartbeat, as one new round. */
+/** Starts a new round: sends each other member its missing entries, or a heartbeat if it lacks none. */
 export function broadcast (replica: Replica, now: Millis, out: Output): void {
   replica.round += 1
-  replica.roundSentAt.push(now)
-  replica.heartbeatAt = now + replica.times.heartbeatMs
+  replica.unconfirmedRoundSentAt.push(now)
+  replica.nextHeartbeatAt = now + replica.times.heartbeatMs
   for (const member of replica.members) {
-    if (member.id !== replica.id) sendTo(replica, member.id, now, out)
+    if (member.id !== replica.id) replicateTo(replica, member.id, now, out)
   }
   confirmRounds(replica, out)
 }
 
-/** What the leader knows of a member; made when first asked for. */
-export function progressOf (replica: Replica, id: HolderId, now: Millis): Progress {
+/** Returns the replication progress of a member and creates it on first use. */
+export function getProgress (replica: Replica, id: HolderId, now: Millis): Progress {
   let progress = replica.progress.get(id)
   if (progress === undefined) {
-    progress = { next: lastIndex(replica) + 1, match: 0, ackedRound: 0, heardAt: now, snapshotSentAt: -Infinity }
+    progress = { next: lastIndex(replica) + 1, match: 0, ackedRound: 0, lastSeenAt: now, snapshotSentAt: -Infinity }
     replica.progress.set(id, progress)
   }
   return progress
 }
 
-function sendTo (replica: Replica, to: HolderId, now: Millis, out: Output): void {
-  const progress = progressOf(replica, to, now)
+function replicateTo (replica: Replica, to: HolderId, now: Millis, out: Output): void {
+  const progress = getProgress(replica, to, now)
   const prevIndex = progress.next - 1
   const prevTerm = termAt(replica, prevIndex)
   if (prevTerm === undefined) {
@@ -58,23 +58,23 @@
   const first = prevIndex - replica.snapshot.index
   const entries = replica.entries.slice(first, first + maxEntriesPerMessage)
   const { term, round } = replica
-  send(replica, out, to, { type: 'append', term, prevIndex, prevTerm, entries, commit: knownCommit(replica), round })
+  send(replica, out, to, { type: 'append', term, prevIndex, prevTerm, entries, commit: getAdvertisedCommit(replica), round })
   progress.next += entries.length
 }
 
 /**
- * What the leader may say is committed. After a restart its own index is that of its snapshot, and entries after it
- * are committed as well; a follower that reached it would vouch for a state that had been replaced, and an entry VM
- * that starts would serve by dropped routes. Until an entry of its own term is committed a leader says nothing.
+ * Returns the commit index that the leader may advertise; 0 until an entry of its own term is committed. After a restart,
+ * the leader's commit index is that of its snapshot although later entries are committed too. A follower that reached
+ * this index would count as up to date with an outdated state, and a starting entry VM would serve removed routes.
  */
-function knownCommit (replica: Replica): number {
+function getAdvertisedCommit (replica: Replica): number {
   return isSettledLeader(replica) ? replica.commit : 0
 }
 
 function sendSnapshot (replica: Replica, to: HolderId, progress: Progress, now: Millis, out: Output): void {
   const { term, round, snapshot } = replica
-  if (now - progress.snapshotSentAt < replica.times.electionMs * snapshotPatience) {
-    // Still a heartbeat: without it the copy would start an election while it waits.
+  if (now - progress.snapshotSentAt < replica.times.electionMs * snapshotResendElectionTimeouts) {
+    // The heartbeat prevents the copy from starting an election while the snapshot is in flight.
     send(replica, out, to, {
       type: 'append', term, prevIndex: snapshot.index, prevTerm: snapshot.term, entries: [], commit: 0, round
     })
@@ -84,10 +84,10 @@
   send(replica, out, to, { type: 'snapshot', term, snapshot, round })
 }
 
-/** Counts a member's answer and sends on what it still lacks. */
-export function takeAppendAnswer (replica: Replica, from: HolderId, answer: AppendAnswer, now: Millis, out: Output): void {
-  const progress = progressOf(replica, from, now)
-  progress.heardAt = now
+/** Updates a member's progress by its answer and sends the entries that it still lacks. */
+export function handleAppendAnswer (replica: Replica, from: HolderId, answer: AppendAnswer, now: Millis, out: Output): void {
+  const progress = getProgress(replica, from, now)
+  progress.lastSeenAt = now
   progress.ackedRound = Math.max(progress.ackedRound, answer.round)
   if (answer.ok) {
     progress.match = Math.max(progress.match, answer.index)
@@ -95,45 +95,46 @@
     advanceCommit(replica, out)
   } else {
     progress.next = Math.max(progress.match + 1, Math.min(progress.next, answer.index + 1))
-    sendTo(replica, from, now, out)
+    replicateTo(replica, from, now, out)
   }
   confirmRounds(replica, out)
-  if (answer.ok && progress.next <= lastIndex(replica)) sendTo(replica, from, now, out)
+  if (answer.ok && progress.next <= lastIndex(replica)) replicateTo(replica, from, now, out)
 }
 
-/** Commits what a quorum has synced, if its last entry is of this term. */
+/** Commits the entries that a quorum has synced, if the last of them is of the current term. */
 export function advanceCommit (replica: Replica, out: Output): void {
-  const reached = reachedByQuorum(replica, id => matchOf(replica, id))
-  const index = Math.min(reached, lastIndex(replica))
+  const quorumIndex = maxReachedByQuorum(replica, id => getMatchIndex(replica, id))
+  const index = Math.min(quorumIndex, lastIndex(replica))
   if (index <= replica.commit) return
   if (entryAt(replica, index)?.term !== replica.term) return
-  const wasSettled = isSettledLeader(replica)
-  commitTo(replica, index, out)
-  // Followers count as up to date by the first commit index that they hear: with the next heartbeat it came 120 ms later.
-  if (!wasSettled && isSettledLeader(replica)) replica.heartbeatAt = -Infinity
+  const wasEstablished = isSettledLeader(replica)
+  commitUpTo(replica, index, out)
+  // Followers count as up to date once they receive a commit index. An immediate broadcast saves them the wait for the
+  // next regular heartbeat, 120 ms at the usual interval.
+  if (!wasEstablished && isSettledLeader(replica)) replica.nextHeartbeatAt = -Infinity
   confirmRounds(replica, out)
 }
 
-function matchOf (replica: Replica, id: HolderId): number {
-  if (id === replica.id) return replica.synced
+function getMatchIndex (replica: Replica, id: HolderId): number {
+  if (id === replica.id) return replica.syncedIndex
   return replica.progress.get(id)?.match ?? 0
 }
 
-/** Notes the newest round that a quorum answered and frees the reads that waited for it. */
+/** Records the newest round that a quorum answered and completes the reads that this round confirms. */
 export function confirmRounds (replica: Replica, out: Output): void {
   const ackedRound = (id: HolderId): number =>
     id === replica.id ? replica.round : replica.progress.get(id)?.ackedRound ?? 0
-  const round = reachedByQuorum(replica, ackedRound)
+  const round = maxReachedByQuorum(replica, ackedRound)
   if (round > replica.confirmedRound) {
-    const sentAt = replica.roundSentAt[round - replica.firstRound]
+    const sentAt = replica.unconfirmedRoundSentAt[round - replica.firstUnconfirmedRound]
     if (sentAt !== undefined) replica.confirmedAt = sentAt
     replica.confirmedRound = round
-    replica.roundSentAt = replica.roundSentAt.slice(round - replica.firstRound + 1)
-    replica.firstRound = round + 1
+    replica.unconfirmedRoundSentAt = replica.unconfirmedRoundSentAt.slice(round - replica.firstUnconfirmedRound + 1)
+    replica.firstUnconfirmedRound = round + 1
   }
   if (!isSettledLeader(replica)) return
-  const ready = replica.reads.filter(read => read.round <= replica.confirmedRound)
-  if (ready.length === 0) return
-  out.reads.push(...ready.map(read => read.token))
-  replica.reads = replica.reads.filter(read => read.round > replica.confirmedRound)
+  const confirmedReads = replica.pendingReads.filter(read => read.round <= replica.confirmedRound)
+  if (confirmedReads.length === 0) return
+  out.reads.push(...confirmedReads.map(read => read.token))
+  replica.pendingReads = replica.pendingReads.filter(read => read.round > replica.confirmedRound)
 }
--- a/packages/agreement/src/core/step.ts
+++ b/packages/agreement/src/core/step.ts
@@ -1,29 +1,29 @@
-/** The one way into a copy of the log: an event and the present time in, what is to be done out. */
+/** Entry point of a copy of the log: processes an event and returns the resulting work for the host. */
 import type { Millis } from '@lynxcourse/base'
 import type { Envelope, Output, ReplicaEvent } from '../types/messages.js'
-import { adoptTerm, answerVote, isElectionDue, startPreVote, stopLeading, takeVoteAnswer } from './election.js'
-import { takeAppend, takeSnapshot } from './following.js'
-import { repairMembers } from './repair.js'
-import { advanceCommit, appendOwn, broadcast, takeAppendAnswer } from './replication.js'
+import { adoptTerm, handleVoteRequest, isElectionDue, startPreVote, stepDown, handleVoteAnswer } from './election.js'
+import { handleAppend, handleSnapshot } from './following.js'
+import { proposeMemberChange } from './repair.js'
+import { advanceCommit, appendEntry, broadcast, handleAppendAnswer } from './replication.js'
 import {
-  emptyOutput, entryAt, isLeader, isVoter, lastIndex, termAt
+  createOutput, entryAt, isLeader, isVoter, lastIndex, termAt
 } from './replica.js'
 import type { Replica } from './replica.js'
 
 /**
- * Drives a copy of the log by one event. Does no input or output: the host carries the result out,
- * syncs what it says to save, and then passes a `synced` event in.
+ * Processes one event. Performs no input or output: the host carries out the returned work, syncs what must be saved,
+ * and then passes in a `synced` event.
  *
  * @param now Unix milliseconds of this process
  */
 export function stepReplica (replica: Replica, event: ReplicaEvent, now: Millis): Output {
-  const out = emptyOutput()
+  const out = createOutput()
   switch (event.type) {
     case 'tick': tick(replica, now, out); break
     case 'receive': receive(replica, event.envelope, now, out); break
-    case 'synced': noteSynced(replica, now, out); break
+    case 'synced': handleSynced(replica, now, out); break
     case 'propose': propose(replica, event.commands, now, out); break
-    case 'join': if (isLeader(replica)) replica.joining.add(event.id); break
+    case 'join': if (isLeader(replica)) replica.joinRequests.add(event.id); break
     case 'compact': compact(replica, event.index, event.data, out); break
     case 'read': startRead(replica, event.token, now, out); break
   }
@@ -36,50 +36,50 @@
     return
   }
   if (!isLeader(replica)) return
-  // A leader that was cut off believes that it leads until it notices that no quorum answers.
+  // A partitioned leader stays in its role until it detects that no quorum answers.
   if (now - replica.confirmedAt > replica.times.electionMs) {
-    stopLeading(replica, 'quorumLost', now, out)
+    stepDown(replica, 'quorumLost', now, out)
     return
   }
-  repairMembers(replica, now, out)
-  if (now >= replica.heartbeatAt) broadcast(replica, now, out)
+  proposeMemberChange(replica, now, out)
+  if (now >= replica.nextHeartbeatAt) broadcast(replica, now, out)
 }
 
 function receive (replica: Replica, envelope: Envelope, now: Millis, out: Output): void {
-  // A message to an earlier life of this disk, or from another cluster, must not be answered: the
-  // answer would vouch for entries that this disk never held.
+  // A message to an earlier incarnation of this disk, or from another cluster, must not be answered: the answer would
+  // acknowledge entries that this disk has never stored.
   if (envelope.to !== replica.id || envelope.cluster !== replica.cluster) return
   const { message, from } = envelope
   const isPreVote = (message.type === 'vote' || message.type === 'voteAnswer') && message.pre
   if (!isPreVote && message.term > replica.term) adoptTerm(replica, message.term, now, out)
   switch (message.type) {
-    case 'vote': answerVote(replica, from, message, now, out); break
-    case 'voteAnswer': takeVoteAnswer(replica, from, message, now, out); break
-    case 'append': takeAppend(replica, from, message, now, out); break
-    case 'snapshot': takeSnapshot(replica, from, message, now, out); break
+    case 'vote': handleVoteRequest(replica, from, message, now, out); break
+    case 'voteAnswer': handleVoteAnswer(replica, from, message, now, out); break
+    case 'append': handleAppend(replica, from, message, now, out); break
+    case 'snapshot': handleSnapshot(replica, from, message, now, out); break
     case 'appendAnswer':
-      if (isLeader(replica) && message.term === replica.term) takeAppendAnswer(replica, from, message, now, out)
+      if (isLeader(replica) && message.term === replica.term) handleAppendAnswer(replica, from, message, now, out)
       break
   }
   stepDownIfRemoved(replica, now, out)
 }
 
-function noteSynced (replica: Replica, now: Millis, out: Output): void {
-  replica.synced = lastIndex(replica)
+function handleSynced (replica: Replica, now: Millis, out: Output): void {
+  replica.syncedIndex = lastIndex(replica)
   if (!isLeader(replica)) return
   advanceCommit(replica, out)
   stepDownIfRemoved(replica, now, out)
 }
 
 function stepDownIfRemoved (replica: Replica, now: Millis, out: Output): void {
-  const committedMembers = replica.membersIndex <= replica.commit
-  if (isLeader(replica) && committedMembers && !isVoter(replica)) stopLeading(replica, 'removed', now, out)
+  const isMembershipCommitted = replica.membersIndex <= replica.commit
+  if (isLeader(replica) && isMembershipCommitted && !isVoter(replica)) stepDown(replica, 'removed', now, out)
 }
 
 function propose (replica: Replica, commands: readonly unknown[], now: Millis, out: Output): void {
   if (!isLeader(replica)) return
   for (const command of commands) {
-    const index = appendOwn(replica, { type: 'command', command }, now, out)
+    const index = appendEntry(replica, { type: 'command', command }, now, out)
     out.proposed.push({ index, term: replica.term })
   }
   broadcast(replica, now, out)
@@ -90,7 +90,7 @@
     out.failedReads.push(token)
     return
   }
-  replica.reads.push({ token, round: replica.round + 1 })
+  replica.pendingReads.push({ token, round: replica.round + 1 })
   broadcast(replica, now, out)
 }
 
--- a/packages/agreement/src/internal.ts
+++ b/packages/agreement/src/internal.ts
@@ -1,4 +1,4 @@
-/** Fixes the order in which the modules of this package load. */
+/** Re-exports the modules of this package in a fixed load order. */
 export * from './types/log.js'
 export * from './types/messages.js'
 export * from './core/replica.js'
--- a/packages/agreement/src/types/log.ts
+++ b/packages/agreement/src/types/log.ts
@@ -1,14 +1,14 @@
-/** The replicated log: its entries, its members and what is kept on disk. */
+/** Types of the replicated log: entries, members and the state stored on disk. */
 import type { HolderId, Millis } from '@lynxcourse/base'
 
-/** One copy of the log, held by one life of one disk. */
+/** One copy of the log, identified by its VM and the incarnation of the disk that stores it. */
 export interface Member {
   readonly id: HolderId
-  /** A voter counts towards quorums; a learner only receives. */
+  /** A voter counts towards quorums; a learner only receives entries. */
   readonly voter: boolean
 }
 
-/** What an entry carries. */
+/** Payload of a log entry. */
 export type EntryBody =
   | { readonly type: 'noop' }
   | { readonly type: 'members', readonly members: readonly Member[] }
@@ -18,35 +18,35 @@
 export interface Entry {
   readonly index: number
   readonly term: number
-  /** Unix milliseconds of the leader that made it; never falls along the log. */
+  /** Unix milliseconds by the clock of the leader that appended the entry; never decreases along the log. */
   readonly at: Millis
   readonly body: EntryBody
 }
 
-/** What must be synced before a vote or an answer leaves. */
+/** Term and vote, which must be synced to disk before a vote or an answer is sent. */
 export interface HardState {
   readonly term: number
   readonly votedFor: HolderId | undefined
 }
 
-/** The state after `index`, in place of the entries up to it. */
+/** The state after the entry at `index`; replaces the entries up to that index. */
 export interface Snapshot {
   readonly index: number
   readonly term: number
   readonly at: Millis
   readonly members: readonly Member[]
-  /** The state machine's state, as its owner wrote it. */
+  /** The serialized state of the state machine; opaque to this package. */
   readonly data: string
 }
 
-/** All that a copy reads back from its disk. */
+/** The state that a copy of the log restores from its disk. */
 export interface StoredLog {
   readonly hardState: HardState
   readonly snapshot: Snapshot
   readonly entries: readonly Entry[]
 }
 
-/** Where the log of a new cluster starts: nothing but its first voters. */
+/** Creates the snapshot with which the log of a new cluster starts: index 0 and the initial voters. */
 export function firstSnapshot (voters: readonly HolderId[], data: string): Snapshot {
   const members = voters.map(id => ({ id, voter: true }))
   return { index: 0, term: 0, at: 0, members, data }
--- a/packages/agreement/src/types/messages.ts
+++ b/packages/agreement/src/types/messages.ts
@@ -1,8 +1,8 @@
-/** Messages between copies of the log, the events that drive a copy and what a step gives back. */
+/** Messages between copies of the log, the events that drive a copy, and the output of a step. */
 import type { HolderId, Millis } from '@lynxcourse/base'
 import type { Entry, HardState, Snapshot } from './log.js'
 
-/** Asks for a vote; with `pre`, only whether the vote would be given. */
+/** Requests a vote, or with `pre` a pre-vote, which asks only whether the vote would be granted. */
 export interface VoteRequest {
   readonly type: 'vote'
   readonly pre: boolean
@@ -18,7 +18,7 @@
   readonly granted: boolean
 }
 
-/** Entries after `prevIndex`; without entries, a heartbeat. */
+/** Carries the entries after `prevIndex`; a request without entries is a heartbeat. */
 export interface AppendRequest {
   readonly type: 'append'
   readonly term: number
@@ -26,7 +26,7 @@
   readonly prevTerm: number
   readonly entries: readonly Entry[]
   readonly commit: number
-  /** Number of the leader's round, echoed, so that the leader knows when it last had a quorum. */
+  /** Number of the leader's broadcast round. Answers echo it, so that the leader knows when a quorum last confirmed it. */
   readonly round: number
 }
 
@@ -41,14 +41,14 @@
   readonly type: 'appendAnswer'
   readonly term: number
   readonly ok: boolean
-  /** With `ok`, the last index known to equal the leader's; else the last that might. */
+  /** With `ok`, the last index known to match the leader's log; otherwise the last index that may match. */
   readonly index: number
   readonly round: number
 }
 
 export type Message = VoteRequest | VoteAnswer | AppendRequest | SnapshotRequest | AppendAnswer
 
-/** A message with its ends. `cluster` keeps two clusters apart that share addresses. */
+/** A message with its sender and recipient. `cluster` separates clusters that share addresses. */
 export interface Envelope {
   readonly cluster: string
   readonly from: HolderId
@@ -56,44 +56,44 @@
   readonly message: Message
 }
 
-/** What drives a copy of the log. */
+/** Input events of a copy of the log. */
 export type ReplicaEvent =
   | { readonly type: 'tick' }
   | { readonly type: 'receive', readonly envelope: Envelope }
-  /** The host synced all that earlier steps asked it to save. */
+  /** The host synced everything that earlier steps asked it to save. */
   | { readonly type: 'synced' }
   | { readonly type: 'propose', readonly commands: readonly unknown[] }
-  /** A copy with an empty disk asks to become a member. */
+  /** A copy with an empty disk requests to become a member. */
   | { readonly type: 'join', readonly id: HolderId }
-  /** The host wrote the state after `index` as text; entries up to it may go. */
+  /** The host serialized the state after `index`; the entries up to that index may be discarded. */
   | { readonly type: 'compact', readonly index: number, readonly data: string }
-  /** Asks for a read at a quorum; answered in `Output.reads`. */
+  /** Requests a read that a quorum confirms; the result appears in `Output.reads` or `Output.failedReads`. */
   | { readonly type: 'read', readonly token: number }
 
 /**
- * What a step asks of its host, to be done in this order: save and sync, then send, then apply.
- * Sending before the sync would let a vote or an acknowledgement outlive the state that it promised.
+ * Work that a step hands to its host, in this order: save and sync, then send, then apply. If the host sent
+ * first, a crash before the sync would lose state that a vote or an acknowledgement has already promised.
  */
 export interface Output {
   hardState: HardState | undefined
-  /** Entries to write at their indexes; what the disk has from the first index on is void. */
+  /** Entries to write at their indexes; they replace all stored entries from the first index on. */
   entries: Entry[]
-  /** Replaces the snapshot on disk; with `install`, the state machine starts anew from it. */
+  /** Replaces the snapshot on disk; with `install`, the state machine is reset to the snapshot. */
   snapshot: Snapshot | undefined
   install: boolean
   messages: Envelope[]
   committed: Entry[]
-  /** Tokens of reads that may now be answered from the applied state. */
+  /** Tokens of reads that a quorum confirmed; they may now be answered from the applied state. */
   reads: number[]
-  /** Tokens of reads that can't be answered here. */
+  /** Tokens of reads that this copy can't answer because it is not the leader. */
   failedReads: number[]
-  /** Index and term that each proposed command got; empty if this copy does not lead. */
+  /** Index and term assigned to each proposed command; empty if this copy is not the leader. */
   proposed: Array<{ readonly index: number, readonly term: number }>
 }
 
-/** Time constants of a copy, in milliseconds. */
+/** Heartbeat interval and election timeout of a copy, in milliseconds. */
 export interface ReplicaTimes {
   readonly heartbeatMs: Millis
-  /** An election starts after this, or up to twice this, without a leader. */
+  /** An election starts after one to two times this interval without a leader. */
   readonly electionMs: Millis
 }
