--- a/packages/membership/__tests__/membership.test.ts
+++ b/packages/membership/__tests__/membership.test.ts
@@ -27,14 +27,14 @@
   }
 }
 
-interface Place { directory: Directory, uplink: Uplink, self: VmRecord }
+interface TestNode { directory: Directory, uplink: Uplink, self: VmRecord }
 
-function place (name: string): Place {
+function createTestNode (name: string): TestNode {
   return { directory: createDirectory(brandId(name), `${name}/1`, times, chart), uplink: createUplink(), self: vm(name, 0) }
 }
 
-/** One sync of a child with its parent. */
-function sync (child: Place, parent: Place, now: number): void {
+/** Runs one sync of a child with its parent. */
+function sync (child: TestNode, parent: TestNode, now: number): void {
   child.self = { ...child.self, seq: child.self.seq + 1 }
   putRecord(child.directory, child.self, 'direct', now)
   expireRecords(child.directory, now)
@@ -44,8 +44,8 @@
   takeAnswer(child.uplink, child.directory, request, answerRequest(parent.directory, request, 0, '', now), now)
 }
 
-test('what one VM hears reaches a VM in another branch, and so does its end', () => {
-  const [leaf, relay, root, otherRelay, otherLeaf] = ['leaf', 'relay', 'root', 'relay2', 'leaf2'].map(place) as [Place, Place, Place, Place, Place]
+test('a backend server that one VM sees becomes known in another branch of the tree, and so does its expiry', () => {
+  const [leaf, relay, root, otherRelay, otherLeaf] = ['leaf', 'relay', 'root', 'relay2', 'leaf2'].map(createTestNode) as [TestNode, TestNode, TestNode, TestNode, TestNode]
   const round = (now: number): void => {
     sync(leaf, relay, now)
     sync(relay, root, now)
@@ -60,23 +60,23 @@
   assert.equal(findServer(otherLeaf.directory, 's1')?.state, 'gone')
 })
 
-test('a VM that is not heard is suspected, then lost, and returns under a new incarnation', () => {
-  const parent = place('parent')
+test('a silent VM is suspected, then lost, and returns under a new incarnation', () => {
+  const parent = createTestNode('parent')
   putRecord(parent.directory, vm('a', 5), 'direct', 0)
   expireRecords(parent.directory, times.suspectMs + 1)
   assert.equal(findVm(parent.directory, brandId('a'))?.state, 'suspected')
   expireRecords(parent.directory, times.lostMs + 1)
   assert.equal(findVm(parent.directory, brandId('a'))?.state, 'lost')
   putRecord(parent.directory, vm('a', 5), 'below', times.lostMs + 2)
-  assert.equal(findVm(parent.directory, brandId('a'))?.state, 'lost', 'an old report brings nobody back')
+  assert.equal(findVm(parent.directory, brandId('a'))?.state, 'lost', 'an old report must not restore a lost VM')
   putRecord(parent.directory, vm('a', 1, 2), 'direct', times.lostMs + 3)
   assert.equal(findVm(parent.directory, brandId('a'))?.state, 'joined')
 })
 
 test('a VM whose parent changed is not lost', () => {
-  // Guards against this failure: look-ups drop a healthy VM.
-  const root = place('root')
-  const [first, second, child] = ['p1', 'p2', 'child'].map(place) as [Place, Place, Place]
+  // Guards against this failure: the former parent's record of a healthy VM expires and removes the VM from look-ups.
+  const root = createTestNode('root')
+  const [first, second, child] = ['p1', 'p2', 'child'].map(createTestNode) as [TestNode, TestNode, TestNode]
   sync(child, first, 0)
   sync(first, root, 0)
   for (let now = 500; now <= times.lostMs + times.relayedMs + 3000; now += 500) {
@@ -88,35 +88,35 @@
   assert.equal(findVm(root.directory, brandId('child'))?.state, 'joined')
 })
 
-test('traffic to a parent does not grow with the number of VMs when nothing changes', () => {
-  const root = place('root')
-  const children = Array.from({ length: 50 }, (_, number) => place(`c${number}`))
+test('without changes, traffic to a parent does not grow with the number of VMs', () => {
+  const root = createTestNode('root')
+  const children = Array.from({ length: 50 }, (_, number) => createTestNode(`c${number}`))
   for (let now = 0; now < 3000; now += 500) for (const child of children) sync(child, root, now)
-  const child = children[0] as Place
+  const child = children[0] as TestNode
   const request = buildRequest(child.uplink, child.directory, child.self, 0, 3000)
   const answer = answerRequest(root.directory, request, 0, '', 3000)
   assert.deepEqual([request.vouched.length, answer.records.length, answer.full], [0, 0, false])
 })
 
-test('whatever order records come in, the newest stays', () => {
-  const records = fc.array(fc.record({ incarnation: fc.integer({ min: 1, max: 3 }), seq: fc.nat(5), lost: fc.boolean() }), { minLength: 1, maxLength: 20 })
-  fc.assert(fc.property(records, list => {
-    const { directory } = place('x')
+test('the newest record is kept, whatever order the records arrive in', () => {
+  const recordLists = fc.array(fc.record({ incarnation: fc.integer({ min: 1, max: 3 }), seq: fc.nat(5), lost: fc.boolean() }), { minLength: 1, maxLength: 20 })
+  fc.assert(fc.property(recordLists, list => {
+    const { directory } = createTestNode('x')
     for (const { incarnation, seq, lost } of list) putRecord(directory, { ...vm('a', seq, incarnation), state: lost ? 'lost' : 'joined' }, 'direct', 0)
-    const newest = [...list].sort((a, b) => b.incarnation - a.incarnation || b.seq - a.seq || Number(b.lost) - Number(a.lost))[0]
-    const held = findVm(directory, brandId<VmId>('a'))
-    assert.deepEqual([held?.incarnation, held?.seq, held?.state], [newest?.incarnation, newest?.seq, newest?.lost === true ? 'lost' : 'joined'])
+    const expected = [...list].sort((a, b) => b.incarnation - a.incarnation || b.seq - a.seq || Number(b.lost) - Number(a.lost))[0]
+    const stored = findVm(directory, brandId<VmId>('a'))
+    assert.deepEqual([stored?.incarnation, stored?.seq, stored?.state], [expected?.incarnation, expected?.seq, expected?.lost === true ? 'lost' : 'joined'])
   }), { seed, numRuns: 200 })
 })
 
-test('a lease rests on when it was asked for and on the confirmation\'s age, and never goes back', () => {
-  const currency = createCurrency(1000)
-  assert.equal(isCurrent(currency, 0), false, 'a restarted VM decides nothing')
-  noteConfirmed(currency, 5000, 400)
-  assert.equal(isCurrent(currency, 5599), true)
-  assert.equal(isCurrent(currency, 5600), false)
-  noteConfirmed(currency, 4000, 0)
-  assert.equal(currency.confirmedAt, 4600)
-  noteConfirmed(currency, 6000, -50)
-  assert.equal(currency.confirmedAt, 6000, 'no confirmation from the future')
+test('a lease starts at the request time minus the age of the confirmation, and never moves back', () => {
+  const lease = createCurrency(1000)
+  assert.equal(isCurrent(lease, 0), false, 'a restarted VM holds no lease')
+  noteConfirmed(lease, 5000, 400)
+  assert.equal(isCurrent(lease, 5599), true)
+  assert.equal(isCurrent(lease, 5600), false)
+  noteConfirmed(lease, 4000, 0)
+  assert.equal(lease.confirmedAt, 4600)
+  noteConfirmed(lease, 6000, -50)
+  assert.equal(lease.confirmedAt, 6000, 'a confirmation must not be dated after its request')
 })
--- a/packages/membership/src/core/currency.ts
+++ b/packages/membership/src/core/currency.ts
@@ -1,41 +1,43 @@
 /**
- * The lease on being current. A leader's quorum confirmation travels down the tree as an age; each
- * VM adds the time that passed since it asked, by its own clock, so no clocks need agree.
+ * The configuration lease: a VM may act on its configuration only while the leader's last quorum confirmation is recent.
+ * The confirmation is passed down the sync tree as an age. Each VM adds the time since it sent its request, by its own
+ * clock, so that clocks need not be synchronized.
  *
- * What can go wrong: a VM that was cut off, frozen or restarted acts on configuration that others
- * have replaced. It holds no valid lease then, and whoever decides asks here first. All leases that
- * rest on a confirmation from before a change run out `leaseMs` after it: from then on the change is
- * in force everywhere, with no list of VMs needed to say so.
+ * The lease prevents a VM that was partitioned, suspended or restarted from acting on outdated configuration: such a VM
+ * has no valid lease, and code that makes decisions checks the lease first. All leases based on a confirmation from
+ * before a change expire at the latest `leaseMs` after the change. From then on, the change is in force everywhere,
+ * without a list of the VMs that have applied it.
  */
 import type { Millis } from '@lynxcourse/base'
 
+/** State of one VM's configuration lease. */
 export interface Currency {
   readonly leaseMs: Millis
-  /** When the leader had a quorum, by this VM's clock; never falls. */
+  /** When a quorum last confirmed the leader, by this VM's clock; never decreases. */
   confirmedAt: Millis
 }
 
-/** A lease that this VM does not hold yet. */
+/** Creates a lease that is not valid until its first renewal. */
 export function createCurrency (leaseMs: Millis): Currency {
   return { leaseMs, confirmedAt: -Infinity }
 }
 
 /**
- * Renews the lease.
+ * Renews the lease. An older confirmation doesn't shorten it.
  *
- * @param askedAt when this VM sent the request that was answered
- * @param ageMs age of the confirmation when the answer left
+ * @param requestedAt when this VM sent the request that was answered
+ * @param ageMs age of the confirmation when the answer was sent
  */
-export function noteConfirmed (currency: Currency, askedAt: Millis, ageMs: Millis): void {
-  currency.confirmedAt = Math.max(currency.confirmedAt, askedAt - Math.max(0, ageMs))
+export function noteConfirmed (lease: Currency, requestedAt: Millis, ageMs: Millis): void {
+  lease.confirmedAt = Math.max(lease.confirmedAt, requestedAt - Math.max(0, ageMs))
 }
 
-/** Whether this VM may act on its configuration. */
-export function isCurrent (currency: Currency, now: Millis): boolean {
-  return now - currency.confirmedAt < currency.leaseMs
+/** Whether the lease is valid, so that this VM may act on its configuration. */
+export function isCurrent (lease: Currency, now: Millis): boolean {
+  return now - lease.confirmedAt < lease.leaseMs
 }
 
-/** Age of the confirmation, to be passed on; undefined when there is none worth passing on. */
-export function confirmedAge (currency: Currency, now: Millis): Millis | undefined {
-  return isCurrent(currency, now) ? now - currency.confirmedAt : undefined
+/** Returns the age of the confirmation, for the VMs below; undefined if the lease is not valid. */
+export function confirmedAge (lease: Currency, now: Millis): Millis | undefined {
+  return isCurrent(lease, now) ? now - lease.confirmedAt : undefined
 }
--- a/packages/membership/src/core/directory.ts
+++ b/packages/membership/src/core/directory.ts
@@ -1,25 +1,26 @@
 /**
- * The directory of VMs and backend servers that one VM holds. Records come from three sides: heard
- * by this VM itself, from VMs below it in the tree, and from its parent. It loses records only that
- * it or VMs below it hear; what came from the parent stays until the parent says that it is gone.
+ * The directory of VMs and backend servers that each VM keeps. Records have three sources: this VM receives them
+ * directly, from VMs below it in the sync tree, or from its parent. Direct records and records from below expire when
+ * they are not refreshed; records from the parent stay until the parent reports that they are gone.
  */
 import { canTake, nextState } from '@lynxcourse/base'
 import type { Chart, Millis, VmId } from '@lynxcourse/base'
 import type { DirectoryRecord, ServerRecord, VmRecord } from '../types/records.js'
-import { differs, isNewer, isTombstone } from '../types/records.js'
+import { hasDifferentContent, isNewer, isTombstone } from '../types/records.js'
 import type { MembershipTimes } from '../types/sync.js'
 
-/** Most records held; announcements over it are refused, so that memory stays bounded. */
+/** Maximum number of records; further new records are rejected, so that memory stays bounded. */
 export const maxRecords = 100_000
 
-/** Which side a record came from. */
+/** Where a record came from: this VM itself, a VM below it in the sync tree, or its parent. */
 export type RecordSource = 'direct' | 'below' | 'parent'
 
-export interface HeldRecord {
+/** A record with the state that its expiry and distribution depend on. */
+export interface StoredRecord {
   record: DirectoryRecord
   source: RecordSource
-  heardAt: Millis
-  /** Number of this directory's change that last touched the record. */
+  lastSeenAt: Millis
+  /** Sequence number of the last change to this record in this directory. */
   changeSeq: number
 }
 
@@ -28,148 +29,152 @@
   readonly epoch: string
   readonly times: MembershipTimes
   readonly vmChart: Chart
-  /** Insertion order is change order, so that deltas need no sort. */
-  records: Map<string, HeldRecord>
+  /** In the order of the last change, so that deltas need no sorting. */
+  records: Map<string, StoredRecord>
   seq: number
-  /** Requests that stand below this number need all records: tombstones are gone by now. */
-  purgedBelow: number
+  /** Requests with a lower `seq` get all records, because tombstones that they lack have been deleted. */
+  minDeltaSeq: number
 }
 
 export function createDirectory (self: VmId, epoch: string, times: MembershipTimes, vmChart: Chart): Directory {
-  return { self, epoch, times, vmChart, records: new Map(), seq: 0, purgedBelow: 0 }
+  return { self, epoch, times, vmChart, records: new Map(), seq: 0, minDeltaSeq: 0 }
 }
 
-export function keyOf (record: DirectoryRecord): string {
+export function getRecordKey (record: DirectoryRecord): string {
   return `${record.kind} ${record.key}`
 }
 
 /**
- * Takes a record over if it is newer than the held one.
+ * Stores a record if it is new or newer than the stored one.
  *
- * @returns whether anything but its numbers changed
+ * @returns whether anything but the sequence number changed
  */
 export function putRecord (directory: Directory, record: DirectoryRecord, source: RecordSource, now: Millis): boolean {
-  const key = keyOf(record)
-  const held = directory.records.get(key)
-  if (held === undefined) {
+  const key = getRecordKey(record)
+  const stored = directory.records.get(key)
+  if (stored === undefined) {
     if (directory.records.size >= maxRecords) return false
-    touch(directory, key, { record, source, heardAt: now, changeSeq: 0 })
+    recordChange(directory, key, { record, source, lastSeenAt: now, changeSeq: 0 })
     return true
   }
-  if (!isNewer(record, held.record)) return false
-  const changed = differs(record, held.record)
-  held.record = record
-  held.source = source
-  held.heardAt = now
-  if (changed) touch(directory, key, held)
+  if (!isNewer(record, stored.record)) return false
+  const changed = hasDifferentContent(record, stored.record)
+  stored.record = record
+  stored.source = source
+  stored.lastSeenAt = now
+  if (changed) recordChange(directory, key, stored)
   return changed
 }
 
-function touch (directory: Directory, key: string, held: HeldRecord): void {
+function recordChange (directory: Directory, key: string, stored: StoredRecord): void {
   directory.seq += 1
-  held.changeSeq = directory.seq
+  stored.changeSeq = directory.seq
   directory.records.delete(key)
-  directory.records.set(key, held)
+  directory.records.set(key, stored)
 }
 
-/** Marks what was not heard in time as suspected, lost or gone, and drops old tombstones. */
+/**
+ * Marks records that were not refreshed in time as suspected, lost or gone, and deletes old tombstones.
+ *
+ * @returns the records that changed
+ */
 export function expireRecords (directory: Directory, now: Millis): DirectoryRecord[] {
   const changed: DirectoryRecord[] = []
-  for (const [key, held] of [...directory.records]) {
-    const quietMs = now - held.heardAt
-    if (isTombstone(held.record)) {
-      if (quietMs > directory.times.tombstoneMs) purge(directory, key, held)
+  for (const [key, stored] of [...directory.records]) {
+    const silentMs = now - stored.lastSeenAt
+    if (isTombstone(stored.record)) {
+      if (silentMs > directory.times.tombstoneMs) purgeTombstone(directory, key, stored)
       continue
     }
-    if (held.source === 'parent' || held.record.key === directory.self) continue
-    const judged = judge(directory, held, quietMs)
-    if (judged === undefined) continue
-    held.record = judged
-    if (isTombstone(judged)) held.heardAt = now
-    touch(directory, key, held)
-    changed.push(judged)
+    if (stored.source === 'parent' || stored.record.key === directory.self) continue
+    const expired = expireRecord(directory, stored, silentMs)
+    if (expired === undefined) continue
+    stored.record = expired
+    if (isTombstone(expired)) stored.lastSeenAt = now
+    recordChange(directory, key, stored)
+    changed.push(expired)
   }
   return changed
 }
 
-function judge (directory: Directory, held: HeldRecord, quietMs: Millis): DirectoryRecord | undefined {
-  return held.record.kind === 'vm'
-    ? judgeVm(directory, held.record, held.source, quietMs)
-    : judgeServer(directory, held.record, held.source, quietMs)
+function expireRecord (directory: Directory, stored: StoredRecord, silentMs: Millis): DirectoryRecord | undefined {
+  return stored.record.kind === 'vm'
+    ? expireVm(directory, stored.record, stored.source, silentMs)
+    : expireServer(directory, stored.record, stored.source, silentMs)
 }
 
-function judgeVm (directory: Directory, record: VmRecord, source: RecordSource, quietMs: Millis): VmRecord | undefined {
+function expireVm (directory: Directory, record: VmRecord, source: RecordSource, silentMs: Millis): VmRecord | undefined {
   const { times, vmChart } = directory
   const extraMs = source === 'below' ? times.relayedMs : 0
-  if (quietMs > times.lostMs + extraMs && canTake(vmChart, record.state, 'timedOut')) {
+  if (silentMs > times.lostMs + extraMs && canTake(vmChart, record.state, 'timedOut')) {
     return { ...record, state: nextState(vmChart, record.state, 'timedOut') }
   }
-  if (quietMs > times.suspectMs + extraMs && canTake(vmChart, record.state, 'missed')) {
+  if (silentMs > times.suspectMs + extraMs && canTake(vmChart, record.state, 'missed')) {
     return { ...record, state: nextState(vmChart, record.state, 'missed') }
   }
   return undefined
 }
 
-function judgeServer (directory: Directory, record: ServerRecord, source: RecordSource, quietMs: Millis): ServerRecord | undefined {
+function expireServer (directory: Directory, record: ServerRecord, source: RecordSource, silentMs: Millis): ServerRecord | undefined {
   const { announceMs, relayedMs } = directory.times
   const lifetimeMs = source === 'below' ? announceMs + relayedMs : announceMs
-  return quietMs > lifetimeMs ? { ...record, state: 'gone' } : undefined
+  return silentMs > lifetimeMs ? { ...record, state: 'gone' } : undefined
 }
 
-function purge (directory: Directory, key: string, held: HeldRecord): void {
+function purgeTombstone (directory: Directory, key: string, stored: StoredRecord): void {
   directory.records.delete(key)
-  directory.purgedBelow = Math.max(directory.purgedBelow, held.changeSeq)
+  directory.minDeltaSeq = Math.max(directory.minDeltaSeq, stored.changeSeq)
 }
 
-/** What a VM that stands at `seq` of this directory lacks; undefined asks for all of it. */
+/** Returns the records changed after `seq`; undefined if the requester needs the full list instead. */
 export function changesSince (directory: Directory, seq: number): DirectoryRecord[] | undefined {
-  if (seq < directory.purgedBelow || seq > directory.seq) return undefined
+  if (seq < directory.minDeltaSeq || seq > directory.seq) return undefined
   const changes: DirectoryRecord[] = []
   if (seq === directory.seq) return changes
-  for (const held of directory.records.values()) {
-    if (held.changeSeq > seq) changes.push(held.record)
+  for (const stored of directory.records.values()) {
+    if (stored.changeSeq > seq) changes.push(stored.record)
   }
   return changes
 }
 
-/** All records, tombstones left out. */
-export function liveRecords (directory: Directory): DirectoryRecord[] {
+/** Returns all records except tombstones. */
+export function listLiveRecords (directory: Directory): DirectoryRecord[] {
   const live: DirectoryRecord[] = []
-  for (const held of directory.records.values()) {
-    if (!isTombstone(held.record)) live.push(held.record)
+  for (const stored of directory.records.values()) {
+    if (!isTombstone(stored.record)) live.push(stored.record)
   }
   return live
 }
 
-/** Drops what came from the parent and is not in its full list. */
-export function keepOnly (directory: Directory, records: readonly DirectoryRecord[]): void {
-  const named = new Set(records.map(keyOf))
-  for (const [key, held] of [...directory.records]) {
-    if (held.source !== 'parent' || named.has(key)) continue
+/** Deletes records from the parent that are missing from its full list. */
+export function removeUnlistedRecords (directory: Directory, records: readonly DirectoryRecord[]): void {
+  const listedKeys = new Set(records.map(getRecordKey))
+  for (const [key, stored] of [...directory.records]) {
+    if (stored.source !== 'parent' || listedKeys.has(key)) continue
     directory.records.delete(key)
     directory.seq += 1
-    directory.purgedBelow = directory.seq
+    directory.minDeltaSeq = directory.seq
   }
 }
 
-/** The record of a VM. */
+/** Returns the record of a VM. */
 export function findVm (directory: Directory, vm: VmId): VmRecord | undefined {
   const record = directory.records.get(`vm ${vm}`)?.record
   return record?.kind === 'vm' ? record : undefined
 }
 
-/** The record of a backend server. */
+/** Returns the record of a backend server. */
 export function findServer (directory: Directory, server: string): ServerRecord | undefined {
   const record = directory.records.get(`server ${server}`)?.record
   return record?.kind === 'server' ? record : undefined
 }
 
-/** All VMs, also suspected and lost ones. */
+/** Returns all VMs, including suspected and lost ones. */
 export function listVms (directory: Directory): VmRecord[] {
-  return [...directory.records.values()].map(held => held.record).filter((record): record is VmRecord => record.kind === 'vm')
+  return [...directory.records.values()].map(stored => stored.record).filter((record): record is VmRecord => record.kind === 'vm')
 }
 
-/** All backend servers, also those gone. */
+/** Returns all backend servers, including those that are gone. */
 export function listServers (directory: Directory): ServerRecord[] {
-  return [...directory.records.values()].map(held => held.record).filter((record): record is ServerRecord => record.kind === 'server')
+  return [...directory.records.values()].map(stored => stored.record).filter((record): record is ServerRecord => record.kind === 'server')
 }
--- a/packages/membership/src/core/tree.ts
+++ b/packages/membership/src/core/tree.ts
@@ -1,16 +1,16 @@
 /**
- * The tree that spreads configuration and directory: control VMs ask the leader, all others ask a
- * control VM, of their own region if it has one. A VM has one parent, so what it sends and gets
- * depends on what changes and not on how many VMs there are.
+ * The sync tree that distributes the configuration and the directory. Control VMs sync with the leader, all other VMs
+ * with a control VM, in their own region if there is one. Each VM has a single parent, so its traffic depends on the
+ * number of changes and not on the number of VMs.
  */
 import { rankByHash } from '@lynxcourse/base'
 import type { Millis, RegionId, VmId } from '@lynxcourse/base'
 import type { DirectoryRecord, VmRecord } from '../types/records.js'
 import type { SyncAnswer, SyncRequest } from '../types/sync.js'
-import { changesSince, keepOnly, keyOf, liveRecords, putRecord } from './directory.js'
+import { changesSince, removeUnlistedRecords, getRecordKey, listLiveRecords, putRecord } from './directory.js'
 import type { Directory } from './directory.js'
 
-/** A VM that may be asked. */
+/** A VM that may become the parent of this VM. */
 export interface ParentCandidate {
   readonly vm: VmId
   readonly region: RegionId
@@ -21,13 +21,13 @@
   readonly at: Millis
 }
 
-/** What this VM knows of its standing with its parent. */
+/** State of this VM's synchronization with its parent. */
 export interface Uplink {
   parent: VmId | undefined
   epoch: string
   seq: number
   sent: Map<string, SentRecord>
-  /** Parents that failed, and until when they are passed over. */
+  /** Parents that failed or had no valid lease, and until when they are skipped. */
   avoidUntil: Map<VmId, Millis>
 }
 
@@ -35,13 +35,13 @@
   return { parent: undefined, epoch: '', seq: 0, sent: new Map(), avoidUntil: new Map() }
 }
 
-/** The parent to ask now; undefined when no candidate is left. */
+/** Chooses the parent for the next sync and resets the uplink if the parent changes; undefined if no candidate is usable. */
 export function chooseParent (
   uplink: Uplink, self: ParentCandidate, candidates: readonly ParentCandidate[], now: Millis
 ): VmId | undefined {
   const usable = candidates.filter(candidate => (uplink.avoidUntil.get(candidate.vm) ?? 0) <= now)
-  const near = usable.filter(candidate => candidate.region === self.region)
-  const chosen = rankByHash(self.vm, (near.length > 0 ? near : usable).map(candidate => candidate.vm))[0]
+  const localCandidates = usable.filter(candidate => candidate.region === self.region)
+  const chosen = rankByHash(self.vm, (localCandidates.length > 0 ? localCandidates : usable).map(candidate => candidate.vm))[0]
   if (chosen !== uplink.parent) resetUplink(uplink, chosen)
   return chosen
 }
@@ -53,27 +53,27 @@
   uplink.sent = new Map()
 }
 
-/** Passes over a parent that failed or is not current itself. */
+/** Skips a parent that failed or has no valid lease, until the given time. */
 export function avoidParent (uplink: Uplink, parent: VmId, untilMs: Millis): void {
   uplink.avoidUntil.set(parent, untilMs)
 }
 
-/** Builds the next request to the parent. */
+/** Builds the next request to the parent, with all records that are new, have changed state or are due for a refresh. */
 export function buildRequest (
   uplink: Uplink, directory: Directory, self: VmRecord, configVersion: number, now: Millis
 ): SyncRequest {
   const vouched: DirectoryRecord[] = []
-  for (const [key, held] of directory.records) {
-    if (held.source === 'parent' || held.record.key === self.key) continue
+  for (const [key, stored] of directory.records) {
+    if (stored.source === 'parent' || stored.record.key === self.key) continue
     const sent = uplink.sent.get(key)
-    const isDue = sent === undefined || sent.record.state !== held.record.state ||
-      (sent.record !== held.record && now - sent.at >= directory.times.refreshMs)
-    if (isDue) vouched.push(held.record)
+    const isDue = sent === undefined || sent.record.state !== stored.record.state ||
+      (sent.record !== stored.record && now - sent.at >= directory.times.refreshMs)
+    if (isDue) vouched.push(stored.record)
   }
   return { self, epoch: uplink.epoch, seq: uplink.seq, vouched, configVersion }
 }
 
-/** Answers a request from a VM below. */
+/** Stores the records of a request from a VM below and answers with the records that it lacks. */
 export function answerRequest (
   directory: Directory, request: SyncRequest, confirmedAgeMs: Millis | undefined, leader: string, now: Millis
 ): SyncAnswer {
@@ -84,22 +84,22 @@
     epoch: directory.epoch,
     seq: directory.seq,
     full: changes === undefined,
-    records: changes ?? liveRecords(directory),
+    records: changes ?? listLiveRecords(directory),
     confirmedAgeMs,
     leader
   }
 }
 
-/** Takes the parent's answer over. */
+/** Applies the parent's answer to the directory and the uplink. */
 export function takeAnswer (uplink: Uplink, directory: Directory, request: SyncRequest, answer: SyncAnswer, now: Millis): void {
-  for (const record of request.vouched) uplink.sent.set(keyOf(record), { record, at: now })
+  for (const record of request.vouched) uplink.sent.set(getRecordKey(record), { record, at: now })
   for (const key of uplink.sent.keys()) {
     if (!directory.records.has(key)) uplink.sent.delete(key)
   }
   for (const record of answer.records) {
     if (record.key !== directory.self) putRecord(directory, record, 'parent', now)
   }
-  if (answer.full) keepOnly(directory, answer.records)
+  if (answer.full) removeUnlistedRecords(directory, answer.records)
   uplink.epoch = answer.epoch
   uplink.seq = answer.seq
 }
--- a/packages/membership/src/internal.ts
+++ b/packages/membership/src/internal.ts
@@ -1,4 +1,4 @@
-/** Fixes the order in which the modules of this package load. */
+/** Re-exports the modules of this package in a fixed load order. */
 export * from './types/records.js'
 export * from './types/sync.js'
 export * from './core/directory.js'
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,4 +1,4 @@
 /**
- * Membership of VMs and backend servers, the tree that spreads it, and the lease on being current.
+ * Membership of VMs and backend servers, the sync tree that distributes it, and the configuration lease.
  */
 export * from './internal.js'
--- a/packages/membership/src/types/records.ts
+++ b/packages/membership/src/types/records.ts
@@ -1,4 +1,4 @@
-/** What the directory knows of VMs of this system and of backend servers. */
+/** Directory records of VMs and backend servers. */
 import type { FailureDomainId, Incarnation, RegionId, ServerId, ServiceId, VmId } from '@lynxcourse/base'
 
 /** `IP:port`. */
@@ -10,23 +10,23 @@
 export interface VmRecord {
   readonly kind: 'vm'
   readonly key: VmId
-  /** Grows with each start of the process. */
+  /** Increases with each start of the process. */
   readonly incarnation: number
-  /** Grows with each report within one incarnation. */
+  /** Increases with each report within one incarnation. */
   readonly seq: number
-  /** By the `vm` chart. */
+  /** A state of the `vm` chart. */
   readonly state: string
   readonly region: RegionId
   readonly failureDomain: FailureDomainId
   readonly roles: readonly VmRole[]
-  /** Where callers and backend servers reach it. */
+  /** Where callers and backend servers reach the VM. */
   readonly http: Address
-  /** Where other VMs reach it. */
+  /** Where other VMs reach the VM. */
   readonly rpc: Address
   readonly life: Incarnation
 }
 
-/** State that a backend server announces of itself; `gone` is set by who misses it. */
+/** State of a backend server: self-reported, except `gone`, which a VM sets when the server's announcement expires. */
 export type ServerState = 'starting' | 'serving' | 'leaving' | 'gone'
 
 /** A backend server. */
@@ -47,16 +47,16 @@
 export type DirectoryRecord = VmRecord | ServerRecord
 
 /**
- * Whether `a` is newer than `b`: by incarnation, then by number, and at equal numbers a judgement
- * that the record is lost goes before the record itself.
+ * Whether `a` is newer than `b`: by incarnation, then by sequence number. With equal numbers, a record marked as
+ * suspected, and next one marked as out of use, supersedes the self-reported record.
  */
 export function isNewer (a: DirectoryRecord, b: DirectoryRecord): boolean {
   if (a.incarnation !== b.incarnation) return a.incarnation > b.incarnation
   if (a.seq !== b.seq) return a.seq > b.seq
-  return rankOf(a) > rankOf(b)
+  return getStateRank(a) > getStateRank(b)
 }
 
-function rankOf (record: DirectoryRecord): number {
+function getStateRank (record: DirectoryRecord): number {
   switch (record.state) {
     case 'suspected': return 1
     case 'lost':
@@ -66,17 +66,17 @@
   }
 }
 
-/** Whether the record says that its subject is out of use for good. */
+/** Whether the record marks a VM or backend server as lost, left or gone. */
 export function isTombstone (record: DirectoryRecord): boolean {
-  return rankOf(record) === 2
+  return getStateRank(record) === 2
 }
 
-/** Whether two records differ in anything but their numbers. */
-export function differs (a: DirectoryRecord, b: DirectoryRecord): boolean {
-  return contentOf(a) !== contentOf(b)
+/** Whether two records differ in anything but their sequence numbers. */
+export function hasDifferentContent (a: DirectoryRecord, b: DirectoryRecord): boolean {
+  return serializeContent(a) !== serializeContent(b)
 }
 
-function contentOf (record: DirectoryRecord): string {
+function serializeContent (record: DirectoryRecord): string {
   return record.kind === 'vm'
     ? `${record.incarnation} ${record.state} ${record.region} ${record.failureDomain} ${record.http} ${record.rpc} ${record.roles.join()}`
     : `${record.incarnation} ${record.state} ${record.service} ${record.region} ${record.failureDomain} ${record.address} ${record.slots} ${record.maxConnections}`
--- a/packages/membership/src/types/sync.ts
+++ b/packages/membership/src/types/sync.ts
@@ -1,48 +1,48 @@
-/** Messages of the tree: a VM asks its parent, which answers with what the VM lacks. */
+/** Messages of the sync tree: a VM sends a request to its parent, which answers with the changes that the VM lacks. */
 import type { Millis } from '@lynxcourse/base'
 import type { DirectoryRecord, VmRecord } from './records.js'
 
-/** What a VM tells its parent and asks of it. */
+/** Request of a VM to its parent; also reports the VM's own records and those from below. */
 export interface SyncRequest {
   readonly self: VmRecord
-  /** The parent's life whose numbers `seq` counts in; empty at first. */
+  /** The directory epoch of the parent to which `seq` belongs; empty in the first request. */
   readonly epoch: string
   readonly seq: number
-  /** Records that this VM or VMs below it hear themselves. */
+  /** Records that this VM or VMs below it received directly. */
   readonly vouched: readonly DirectoryRecord[]
   readonly configVersion: number
 }
 
-/** What the parent answers about the directory and about being current. */
+/** Answer of the parent: directory changes and the age of the quorum confirmation. */
 export interface SyncAnswer {
   readonly epoch: string
   readonly seq: number
-  /** Whether `records` is all that the parent holds. */
+  /** Whether `records` is the parent's full list instead of a delta. */
   readonly full: boolean
   readonly records: readonly DirectoryRecord[]
-  /** Age of the leader's quorum confirmation when this answer left; undefined without one. */
+  /** Age of the leader's quorum confirmation when this answer was sent; undefined if the parent's lease is not valid. */
   readonly confirmedAgeMs: Millis | undefined
-  /** The VM that leads; empty if unknown. */
+  /** The VM that is the leader; empty if unknown. */
   readonly leader: string
 }
 
-/** Time constants of membership, in milliseconds. */
+/** Intervals and timeouts of membership, in milliseconds. */
 export interface MembershipTimes {
-  /** Between two requests to the parent. */
+  /** Interval between two requests to the parent. */
   readonly syncMs: Millis
-  /** A VM not heard for this long is suspected. */
+  /** A VM is suspected after this time without a report. */
   readonly suspectMs: Millis
-  /** A VM not heard for this long is lost. */
+  /** A VM is lost after this time without a report. */
   readonly lostMs: Millis
   /** Lifetime of a backend server's announcement. */
   readonly announceMs: Millis
-  /** Records passed up the tree are repeated after this. */
+  /** Interval after which records sent to the parent are repeated. */
   readonly refreshMs: Millis
-  /** How long a record counts at an ancestor without being repeated; over two refreshes. */
+  /** Extra time before a record from below expires; longer than two refresh intervals. */
   readonly relayedMs: Millis
-  /** How long a lost record is kept so that its loss reaches everyone. */
+  /** How long a tombstone is kept, so that it reaches all VMs. */
   readonly tombstoneMs: Millis
-  /** How long a VM is current after the leader's quorum confirmation. */
+  /** How long a configuration lease is valid after the leader's quorum confirmation. */
   readonly leaseMs: Millis
 }
 
