--- a/packages/base/src/base.ts
+++ b/packages/base/src/base.ts
@@ -1,5 +1,5 @@
 /**
- * What every package of lynxcourse shares: branded ids, the table of errors, state charts, request
- * ids, hashing and random numbers.
+ * Foundations shared by all packages of lynxcourse: branded ids, the error table, state charts, request ids, hashing and
+ * random numbers.
  */
 export * from './internal.js'
--- a/packages/base/src/core/chart.ts
+++ b/packages/base/src/core/chart.ts
@@ -1,7 +1,7 @@
 /**
- * State charts. A chart is a YAML file that `xstate` interprets. One transition by xstate costs
- * about 16 µs, too much on the request path, so a chart is walked once at start and becomes a table
- * (state, event) -> state that a look-up answers.
+ * State charts. A chart is a YAML file that `xstate` interprets. A transition by xstate takes about 16 µs, which is too
+ * slow for the request path. Therefore each chart is compiled at start into a table (state, event) -> state, and a
+ * transition is a table look-up.
  */
 import { createMachine, getInitialSnapshot, transition } from 'xstate'
 import { parse } from 'yaml'
@@ -19,39 +19,39 @@
   }))
 })
 
-/** A chart as its file spells it. */
+/** The validated content of a chart file. */
 export type ChartDefinition = z.infer<typeof chartSchema>
 
-/** A chart expanded for use on the request path. */
+/** A chart compiled for use on the request path. */
 export interface Chart {
   readonly id: string
   readonly initial: string
   readonly states: ReadonlySet<string>
-  readonly finals: ReadonlySet<string>
-  readonly table: ReadonlyMap<string, ReadonlyMap<string, string>>
+  readonly finalStates: ReadonlySet<string>
+  readonly transitions: ReadonlyMap<string, ReadonlyMap<string, string>>
 }
 
 /**
- * Reads and checks a chart.
+ * Parses and validates a chart.
  *
- * @param text the YAML
- * @param file its name, for the error
- * @throws LynxError `badChart` naming the file and the place
+ * @param text the YAML document
+ * @param file name of the file, for error messages
+ * @throws LynxError `badChart` with the file and the path of the invalid value
  */
 export function parseChart (text: string, file: string): ChartDefinition {
-  let raw: unknown
+  let document: unknown
   try {
-    raw = parse(text, { logLevel: 'error' })
+    document = parse(text, { logLevel: 'error' })
   } catch (err) {
     throw new LynxError('badChart', `${file}: ${messageOf(err)}`, { step: 'parse', cause: err })
   }
-  const checked = chartSchema.safeParse(raw)
-  if (!checked.success) {
-    const issue = checked.error.issues[0]
+  const result = chartSchema.safeParse(document)
+  if (!result.success) {
+    const issue = result.error.issues[0]
     throw new LynxError('badChart', `${file}: ${issue?.path.join('.')}: ${issue?.message}`, { step: 'check' })
   }
-  checkTargets(checked.data, file)
-  return checked.data
+  checkTargets(result.data, file)
+  return result.data
 }
 
 function checkTargets (definition: ChartDefinition, file: string): void {
@@ -68,8 +68,8 @@
   }
 }
 
-/** Walks every (state, event) of a chart with `xstate` and keeps the outcomes as a table. */
-export function expandChart (definition: ChartDefinition): Chart {
+/** Compiles a chart: runs each (state, event) pair through `xstate` and stores the next states in a table. */
+export function compileChart (definition: ChartDefinition): Chart {
   const states: Record<string, { type?: 'final', on?: Record<string, string> }> = {}
   for (const [name, node] of Object.entries(definition.states)) {
     states[name] = node.final === true ? { type: 'final' } : { on: node.on ?? {} }
@@ -90,31 +90,31 @@
     id: definition.id,
     initial: String(getInitialSnapshot(machine).value),
     states: new Set(Object.keys(definition.states)),
-    finals: new Set(finals),
-    table
+    finalStates: new Set(finals),
+    transitions: table
   }
 }
 
 /**
- * The state after an event.
+ * Returns the state after an event.
  *
- * @throws LynxError `badChart` when the chart has no such transition: the code and the chart
- * disagree, which is a fault in this program and must not pass in silence
+ * @throws LynxError `badChart` if the chart has no such transition: the code contradicts the chart, which is a bug that
+ * must not go unnoticed
  */
 export function nextState (chart: Chart, state: string, event: string): string {
-  const next = chart.table.get(state)?.get(event)
+  const next = chart.transitions.get(state)?.get(event)
   if (next === undefined) {
-    throw new LynxError('badChart', `${chart.id}: no event '${event}' in state '${state}'`, { step: 'transition' })
+    throw new LynxError('badChart', `${chart.id}: no transition for event '${event}' in state '${state}'`, { step: 'transition' })
   }
   return next
 }
 
 /** Whether the chart has a transition for this event in this state. */
 export function canTake (chart: Chart, state: string, event: string): boolean {
-  return chart.table.get(state)?.has(event) ?? false
+  return chart.transitions.get(state)?.has(event) ?? false
 }
 
-/** Whether nothing can follow this state. */
+/** Whether the chart defines this state as final. */
 export function isFinal (chart: Chart, state: string): boolean {
-  return chart.finals.has(state)
+  return chart.finalStates.has(state)
 }
--- a/packages/base/src/core/timeline.ts
+++ b/packages/base/src/core/timeline.ts
@@ -1,43 +1,44 @@
-/** Events in virtual time, for models of the system. */
+/** Discrete-event scheduler with virtual time, for models of the system. */
 import TinyQueue from 'tinyqueue'
 import type { Millis } from '../types/ids.js'
 
-interface Event {
+interface ScheduledEvent {
   readonly at: Millis
-  /** Events of one moment keep the order in which they were planned. */
+  /** Events at the same time run in the order in which they were scheduled. */
   readonly order: number
-  readonly act: () => void
+  readonly run: () => void
 }
 
+/** Virtual clock and the events scheduled on it. */
 export interface Timeline {
   now: Millis
-  planned: number
-  readonly events: TinyQueue<Event>
+  scheduledCount: number
+  readonly events: TinyQueue<ScheduledEvent>
 }
 
 export function createTimeline (startAt: Millis = 0): Timeline {
-  return { now: startAt, planned: 0, events: new TinyQueue<Event>([], (a, b) => a.at - b.at || a.order - b.order) }
+  return { now: startAt, scheduledCount: 0, events: new TinyQueue<ScheduledEvent>([], (a, b) => a.at - b.at || a.order - b.order) }
 }
 
-/** Plans an act for a time; one that is not wanted any more has to find out by itself. */
-export function plan (timeline: Timeline, at: Millis, act: () => void): void {
-  timeline.planned += 1
-  timeline.events.push({ at, order: timeline.planned, act })
+/** Schedules a callback at a time. It can't be cancelled: a callback that may become obsolete checks that itself. */
+export function plan (timeline: Timeline, at: Millis, run: () => void): void {
+  timeline.scheduledCount += 1
+  timeline.events.push({ at, order: timeline.scheduledCount, run })
 }
 
-/** Plans an act after a pause. */
-export function after (timeline: Timeline, pauseMs: Millis, act: () => void): void {
-  plan(timeline, timeline.now + Math.max(0, pauseMs), act)
+/** Schedules a callback after a delay; a negative delay counts as 0. */
+export function after (timeline: Timeline, delayMs: Millis, run: () => void): void {
+  plan(timeline, timeline.now + Math.max(0, delayMs), run)
 }
 
-/** Plays all events up to a time. */
-export function playUntil (timeline: Timeline, end: Millis): void {
+/** Runs all events up to and including a time and advances the clock to it. */
+export function playUntil (timeline: Timeline, endAt: Millis): void {
   for (;;) {
     const next = timeline.events.peek()
-    if (next === undefined || next.at > end) break
+    if (next === undefined || next.at > endAt) break
     timeline.events.pop()
     timeline.now = Math.max(timeline.now, next.at)
-    next.act()
+    next.run()
   }
-  timeline.now = Math.max(timeline.now, end)
+  timeline.now = Math.max(timeline.now, endAt)
 }
--- a/packages/base/src/internal.ts
+++ b/packages/base/src/internal.ts
@@ -1,4 +1,4 @@
-/** Fixes the order in which the modules of this package load. */
+/** Re-exports the modules of this package in a fixed load order. */
 export * from './types/ids.js'
 export * from './utils/errors.js'
 export * from './utils/random.js'
--- a/packages/base/src/utils/errors.ts
+++ b/packages/base/src/utils/errors.ts
@@ -1,48 +1,48 @@
 /**
- * Every error that crosses a module's border is a `LynxError`: a code from the one table below, the
- * step at which it arose, the peer that it concerns and, for bad input, the field at fault.
+ * Every error that crosses a module boundary is a `LynxError`: it has a code from the table below, the step that failed,
+ * the peer involved and, for invalid input, the path of the invalid field.
  */
 
-/** Texts of all errors, by code. `{detail}` is replaced by the error's detail. */
+/** Message templates by error code. `{detail}` is replaced by the detail of the error. */
 export const errorTexts = {
   badSettings: 'settings are not valid: {detail}',
   badRequest: 'request is not valid: {detail}',
-  badRequestId: 'request id is not usable: {detail}',
+  badRequestId: 'request id is not valid: {detail}',
   badChart: 'state chart is not valid: {detail}',
   badRpc: 'RPC message is not valid: {detail}',
-  notAllowed: 'peer may not do this: {detail}',
+  notAllowed: 'peer is not authorized: {detail}',
   unknownService: 'no profile serves this service: {detail}',
   versionConflict: 'version conflict: {detail}',
   notFound: 'not found: {detail}',
-  notLeader: 'this VM does not lead: {detail}',
+  notLeader: 'this VM is not the leader: {detail}',
   noQuorum: 'no quorum of control VMs answered: {detail}',
-  notCurrent: 'this VM does not hold a lease on being current: {detail}',
-  overCapacity: 'no capacity in time: {detail}',
+  notCurrent: 'this VM holds no valid configuration lease: {detail}',
+  overCapacity: 'no capacity became available in time: {detail}',
   tooLate: 'deadline passed: {detail}',
-  tooLarge: 'over the size limit: {detail}',
+  tooLarge: 'size limit exceeded: {detail}',
   peerFailed: 'peer failed: {detail}',
-  cancelled: 'no longer wanted: {detail}',
-  diskFailed: 'disk failed: {detail}',
+  cancelled: 'operation was cancelled: {detail}',
+  diskFailed: 'disk operation failed: {detail}',
   corruptLog: 'log file is damaged: {detail}',
   registerFull: 'the register of claims is full: {detail}'
 } as const
 
-/** Code of an error; the key of its text. */
+/** Code of an error; the key of its message template. */
 export type ErrorCode = keyof typeof errorTexts
 
-/** Where an error arose. */
+/** Context in which an error occurred. */
 export interface ErrorContext {
-  /** What was being done, for example `claim` or `publish`. */
+  /** The operation that failed, for example `claim` or `publish`. */
   readonly step?: string
   /** The VM or backend server at the other end. */
   readonly peer?: string
-  /** Path of the input field at fault. */
+  /** Path of the invalid input field. */
   readonly field?: string
-  /** The error that led to this one. */
+  /** The error that caused this one. */
   readonly cause?: unknown
 }
 
-/** The one error class that modules throw to each other. */
+/** The error class that all modules throw across their boundaries. */
 export class LynxError extends Error {
   readonly code: ErrorCode
   readonly step: string | undefined
@@ -59,13 +59,13 @@
   }
 }
 
-/** Whether a caught value is a `LynxError`, of the given code if one is given. */
+/** Whether a caught value is a `LynxError` and, if a code is given, has that code. */
 export function isLynxError (err: unknown, code?: ErrorCode): err is LynxError {
   if (!(err instanceof LynxError)) return false
   return code === undefined || err.code === code
 }
 
-/** The message of any caught value. */
+/** Returns the message of a caught value of any type. */
 export function messageOf (err: unknown): string {
   return err instanceof Error ? err.message : String(err)
 }
--- a/packages/base/src/utils/hash.ts
+++ b/packages/base/src/utils/hash.ts
@@ -1,14 +1,15 @@
 /** Rendezvous hashing (highest random weight) over xxHash. */
 import { xxHash32 } from 'js-xxhash'
 
-/** 32-bit xxHash of a text. */
+/** Returns the 32-bit xxHash of a text. */
 export function hashText (text: string): number {
   return xxHash32(text, 0) >>> 0
 }
 
 /**
- * Mixes two 32-bit hashes into a third (the finalizer of MurmurHash3 over both): rendezvous scores of many pairs for the
- * price of two hashes of text. Finding the first of 270 servers takes 3.2 microseconds in place of 176, the mean of 20,000 objects.
+ * Combines two 32-bit hashes with the finalizer of MurmurHash3. Rendezvous scores from hashes that are computed once per
+ * name cost far less than a text hash per pair: finding the first of 270 servers takes 3.2 µs on average instead of
+ * 176 µs.
  */
 export function mixHashes (a: number, b: number): number {
   let mixed = Math.imul(a ^ Math.imul(b, 0x9e3779b1), 0x85ebca6b)
@@ -17,11 +18,11 @@
 }
 
 /**
- * Orders candidates for a key so that each key spreads evenly and the loss of one candidate moves
- * only the keys that it held.
+ * Orders the candidates for a key so that keys are spread evenly over the candidates and the loss of a candidate moves
+ * only the keys that it owned.
  *
- * @param key what is to be placed
- * @param candidates names of the places
+ * @param key the key to assign
+ * @param candidates names of the possible owners
  * @returns the candidates, the owner first
  */
 export function rankByHash<Name extends string> (key: string, candidates: readonly Name[]): Name[] {
@@ -30,15 +31,15 @@
   return scored.map(entry => entry.name)
 }
 
-/** The first of `rankByHash`, without sorting; undefined without candidates. */
+/** Returns the first candidate of `rankByHash` without sorting; undefined if there are no candidates. */
 export function ownerByHash<Name extends string> (key: string, candidates: readonly Name[]): Name | undefined {
   let owner: Name | undefined
-  let best = -1
+  let maxScore = -1
   for (const name of candidates) {
     const score = hashText(`${key}|${name}`)
-    if (score > best || (score === best && owner !== undefined && name < owner)) {
+    if (score > maxScore || (score === maxScore && owner !== undefined && name < owner)) {
       owner = name
-      best = score
+      maxScore = score
     }
   }
   return owner
--- a/packages/base/src/utils/random.ts
+++ b/packages/base/src/utils/random.ts
@@ -1,18 +1,18 @@
-/** Random source with a seed, so that a run can be repeated; by `pure-rand`. */
+/** Seeded random source for reproducible runs, based on `pure-rand`. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
 
 /** Draws a number in [0, 1). */
 export type Random = () => number
 
-const steps = 0x7fffffff
+const resolution = 0x7fffffff
 
 /**
- * Makes a random source.
+ * Creates a random source.
  *
  * @param seed any integer; equal seeds give equal sequences
  */
 export function makeRandom (seed: number): Random {
   const generator = xoroshiro128plus(seed | 0)
-  return () => uniformInt(generator, 0, steps - 1) / steps
+  return () => uniformInt(generator, 0, resolution - 1) / resolution
 }
--- a/packages/base/src/utils/requestId.ts
+++ b/packages/base/src/utils/requestId.ts
@@ -1,7 +1,6 @@
 /**
- * Request ids are UUID v7 (RFC 9562, section 5.7): the first 48 bits are the issue time in
- * milliseconds of the Unix epoch. The register of claims needs that time to refuse ids that are
- * older than the records it keeps.
+ * Request ids are UUID v7 (RFC 9562, section 5.7): the first 48 bits are the issue time in milliseconds of the Unix
+ * epoch. The register of claims uses that time to reject ids that are older than the records it keeps.
  */
 import { LynxError } from './errors.js'
 import type { RequestId } from '../types/ids.js'
@@ -14,9 +13,9 @@
 }
 
 /**
- * Checks the text of a request id; upper case is taken as lower case.
+ * Parses a request id; upper case is converted to lower case.
  *
- * @throws LynxError `badRequestId` when it is no UUID v7
+ * @throws LynxError `badRequestId` if the text is not a UUID v7
  */
 export function parseRequestId (text: string): RequestId {
   const id = text.trim().toLowerCase()
@@ -26,13 +25,13 @@
   return id
 }
 
-/** Issue time of a request id, in milliseconds of the Unix epoch. */
+/** Returns the issue time of a request id, in milliseconds of the Unix epoch. */
 export function issueTimeOf (id: RequestId): number {
   return parseInt(id.slice(0, 8) + id.slice(9, 13), 16)
 }
 
 /**
- * Makes a request id.
+ * Creates a request id.
  *
  * @param now Unix time in milliseconds
  * @param random draws a number in [0, 1)
