--- a/packages/agreement/__tests__/agreement.test.ts
+++ b/packages/agreement/__tests__/agreement.test.ts
@@ -231,14 +231,14 @@
   runRounds(group, 30)
   for (const name of ['new-1', 'new-2']) {
     const leader = findLeader(group)
-    const gone = group.copies.find(copy => copy !== leader) as Copy
+    const lost = group.copies.find(copy => copy !== leader) as Copy
     const fresh: Copy = { id: brandId<HolderId>(`${name}/i1`), disk: { hardState: { term: 0, votedFor: undefined }, snapshot: firstSnapshot([], ''), entries: [] }, replica: undefined }
-    group.copies = group.copies.map(copy => copy === gone ? fresh : copy)
+    group.copies = group.copies.map(copy => copy === lost ? fresh : copy)
     start(group, fresh)
     step(group, leader, { type: 'join', id: fresh.id })
     runRounds(group, 160)
     const names = voters(findLeader(group).replica as Replica)
-    assert.deepEqual([names.length, names.includes(fresh.id), names.includes(gone.id)], [5, true, false])
+    assert.deepEqual([names.length, names.includes(fresh.id), names.includes(lost.id)], [5, true, false])
   }
 })
 
--- a/packages/agreement/src/core/following.ts
+++ b/packages/agreement/src/core/following.ts
@@ -15,8 +15,8 @@
   recordLeaderContact(replica, from, now)
   const isMatching = matchesPreviousEntry(replica, request)
   if (!isMatching) {
-    const hint = Math.min(lastIndex(replica), request.prevIndex - 1)
-    sendAppendAnswer(replica, from, false, hint, request.round, out)
+    const lastPossibleMatch = Math.min(lastIndex(replica), request.prevIndex - 1)
+    sendAppendAnswer(replica, from, false, lastPossibleMatch, request.round, out)
     return
   }
   for (const entry of request.entries) storeEntry(replica, entry, out)
@@ -48,7 +48,7 @@
   if (storedTerm !== undefined || entry.body.type === 'members') refreshMembers(replica)
 }
 
-/** Replaces the log up to the snapshot's index by the leader's snapshot, if that is ahead of the commit index. */
+/** Installs the leader's snapshot if it is ahead of the commit index; keeps later entries only if the log matches it. */
 export function handleSnapshot (replica: Replica, from: HolderId, request: SnapshotRequest, now: Millis, out: Output): void {
   if (request.term < replica.term) {
     sendAppendAnswer(replica, from, false, lastIndex(replica), request.round, out)
--- a/packages/agreement/src/core/repair.ts
+++ b/packages/agreement/src/core/repair.ts
@@ -2,8 +2,8 @@
  * Membership changes, one member at a time. The leader derives each change from the member list alone, so that a new
  * leader continues where the previous one stopped.
  *
- * A VM that lost its disk no longer has the votes that it gave and the entries that it acknowledged. If it counted as
- * the same voter again, a quorum without a committed entry could form. Therefore the VM returns under a new incarnation,
+ * A VM that lost its disk has lost the record of its votes and the entries that it acknowledged. If it counted as the
+ * same voter again, a quorum that lacks a committed entry could form. Therefore the VM returns under a new incarnation,
  * first as a learner. Its old copy is removed before the new one becomes a voter, because a swap in one step allows
  * quorums that don't overlap.
  */
@@ -15,7 +15,7 @@
 import { isSettledLeader, lastIndex } from './replica.js'
 import type { Replica } from './replica.js'
 
-/** More voters would slow down commits and tolerate more failures than there are failure domains planned for. */
+/** More voters would slow down commits and tolerate the loss of more failure domains than deployments plan for. */
 const maxVoters = 7
 
 /** Proposes the next membership change, if one is due and no other is in progress. */
--- a/packages/agreement/src/core/replication.ts
+++ b/packages/agreement/src/core/replication.ts
@@ -122,9 +122,9 @@
 
 /** Records the newest round that a quorum answered and completes the reads that this round confirms. */
 export function confirmRounds (replica: Replica, out: Output): void {
-  const ackedRound = (id: HolderId): number =>
+  const getAckedRound = (id: HolderId): number =>
     id === replica.id ? replica.round : replica.progress.get(id)?.ackedRound ?? 0
-  const round = maxReachedByQuorum(replica, ackedRound)
+  const round = maxReachedByQuorum(replica, getAckedRound)
   if (round > replica.confirmedRound) {
     const sentAt = replica.unconfirmedRoundSentAt[round - replica.firstUnconfirmedRound]
     if (sentAt !== undefined) replica.confirmedAt = sentAt
--- a/packages/membership/__tests__/membership.test.ts
+++ b/packages/membership/__tests__/membership.test.ts
@@ -79,7 +79,7 @@
   const [first, second, child] = ['p1', 'p2', 'child'].map(createTestNode) as [TestNode, TestNode, TestNode]
   sync(child, first, 0)
   sync(first, root, 0)
-  for (let now = 500; now <= times.lostMs + times.relayedMs + 3000; now += 500) {
+  for (let now = 500; now <= times.lostMs + times.relayGraceMs + 3000; now += 500) {
     child.uplink.parent = undefined
     sync(child, second, now)
     sync(second, root, now)
--- a/packages/membership/src/core/directory.ts
+++ b/packages/membership/src/core/directory.ts
@@ -12,7 +12,7 @@
 /** Maximum number of records; further new records are rejected, so that memory stays bounded. */
 export const maxRecords = 100_000
 
-/** Where a record came from: this VM itself, a VM below it in the sync tree, or its parent. */
+/** Source of a record: received directly by this VM, reported by a VM below it in the sync tree, or sent by its parent. */
 export type RecordSource = 'direct' | 'below' | 'parent'
 
 /** A record with the state that its expiry and distribution depend on. */
@@ -32,7 +32,7 @@
   /** In the order of the last change, so that deltas need no sorting. */
   records: Map<string, StoredRecord>
   seq: number
-  /** Requests with a lower `seq` get all records, because tombstones that they lack have been deleted. */
+  /** Requests with a lower `seq` get all records, because the changes don't contain records deleted since then. */
   minDeltaSeq: number
 }
 
@@ -105,7 +105,7 @@
 
 function expireVm (directory: Directory, record: VmRecord, source: RecordSource, silentMs: Millis): VmRecord | undefined {
   const { times, vmChart } = directory
-  const extraMs = source === 'below' ? times.relayedMs : 0
+  const extraMs = source === 'below' ? times.relayGraceMs : 0
   if (silentMs > times.lostMs + extraMs && canTake(vmChart, record.state, 'timedOut')) {
     return { ...record, state: nextState(vmChart, record.state, 'timedOut') }
   }
@@ -116,8 +116,8 @@
 }
 
 function expireServer (directory: Directory, record: ServerRecord, source: RecordSource, silentMs: Millis): ServerRecord | undefined {
-  const { announceMs, relayedMs } = directory.times
-  const lifetimeMs = source === 'below' ? announceMs + relayedMs : announceMs
+  const { announceMs, relayGraceMs } = directory.times
+  const lifetimeMs = source === 'below' ? announceMs + relayGraceMs : announceMs
   return silentMs > lifetimeMs ? { ...record, state: 'gone' } : undefined
 }
 
--- a/packages/membership/src/core/tree.ts
+++ b/packages/membership/src/core/tree.ts
@@ -73,7 +73,7 @@
   return { self, epoch: uplink.epoch, seq: uplink.seq, vouched, configVersion }
 }
 
-/** Stores the records of a request from a VM below and answers with the records that it lacks. */
+/** Stores the records of a request from a VM below and answers with the changes that this VM lacks. */
 export function answerRequest (
   directory: Directory, request: SyncRequest, confirmedAgeMs: Millis | undefined, leader: string, now: Millis
 ): SyncAnswer {
--- a/packages/membership/src/types/records.ts
+++ b/packages/membership/src/types/records.ts
@@ -47,8 +47,8 @@
 export type DirectoryRecord = VmRecord | ServerRecord
 
 /**
- * Whether `a` is newer than `b`: by incarnation, then by sequence number. With equal numbers, a record marked as
- * suspected, and next one marked as out of use, supersedes the self-reported record.
+ * Whether `a` is newer than `b`: by incarnation, then by sequence number. With equal numbers, a record in state lost,
+ * left or gone takes precedence over a suspected one, and both take precedence over all other states.
  */
 export function isNewer (a: DirectoryRecord, b: DirectoryRecord): boolean {
   if (a.incarnation !== b.incarnation) return a.incarnation > b.incarnation
--- a/packages/membership/src/types/sync.ts
+++ b/packages/membership/src/types/sync.ts
@@ -39,7 +39,7 @@
   /** Interval after which records sent to the parent are repeated. */
   readonly refreshMs: Millis
   /** Extra time before a record from below expires; longer than two refresh intervals. */
-  readonly relayedMs: Millis
+  readonly relayGraceMs: Millis
   /** How long a tombstone is kept, so that it reaches all VMs. */
   readonly tombstoneMs: Millis
   /** How long a configuration lease is valid after the leader's quorum confirmation. */
@@ -52,7 +52,7 @@
   lostMs: 5000,
   announceMs: 6000,
   refreshMs: 5000,
-  relayedMs: 15_000,
+  relayGraceMs: 15_000,
   tombstoneMs: 60_000,
   leaseMs: 4000
 }
