--- a/packages/daemon/src/core/control/controlHost.ts
+++ b/packages/daemon/src/core/control/controlHost.ts
@@ -6,7 +6,7 @@
 import type { Incarnation } from '@lynxcourse/base'
 import { stepReplica } from '@lynxcourse/agreement'
 import type { Envelope, Output, Replica, ReplicaEvent } from '@lynxcourse/agreement'
-import { applyEntry, createMachine, readMachine, writeMachine } from '@lynxcourse/state'
+import { applyEntry, createStateMachine, deserializeStateMachine, serializeStateMachine } from '@lynxcourse/state'
 import { randomUUID } from 'node:crypto'
 import { openStorage, readIdentity, rewriteLog, saveOutput, writeIdentity } from '../../plugins/logStorage.js'
 import { presentTime } from '../../utils/clock.js'
@@ -34,7 +34,7 @@
     incarnation,
     cluster: identity?.cluster,
     replica: undefined,
-    machine: createMachine(charts),
+    machine: createStateMachine(charts),
     appliedFreshAt: -Infinity,
     events: [],
     proposals: [],
@@ -155,7 +155,7 @@
     host.env.metrics.diskSyncs.inc()
   }
   sendAll(host, out.messages)
-  if (out.install && out.snapshot !== undefined) host.machine = readMachine(host.charts, out.snapshot.data)
+  if (out.install && out.snapshot !== undefined) host.machine = deserializeStateMachine(host.charts, out.snapshot.data)
   applyAll(host, out)
   const isFirstFresh = host.appliedFreshAt === -Infinity && freshAt > -Infinity
   host.appliedFreshAt = freshAt
@@ -187,7 +187,7 @@
 
 async function compactIfLong (host: ControlHost, replica: Replica): Promise<void> {
   if (host.machine.applied - replica.snapshot.index < snapshotEvery) return
-  const out = stepReplica(replica, { type: 'compact', index: host.machine.applied, data: writeMachine(host.machine) }, presentTime())
+  const out = stepReplica(replica, { type: 'compact', index: host.machine.applied, data: serializeStateMachine(host.machine) }, presentTime())
   if (out.snapshot === undefined) return
   await saveOutput(host.storage, out, replica.entries)
   log(host.env.logs, 'agree', 'info', 'Snapshot written.', { index: out.snapshot.index, bytes: out.snapshot.data.length })
--- a/packages/daemon/src/core/control/hostState.ts
+++ b/packages/daemon/src/core/control/hostState.ts
@@ -3,7 +3,7 @@
 import type { HolderId, Incarnation, Millis, Random, VmId } from '@lynxcourse/base'
 import { isSettledLeader } from '@lynxcourse/agreement'
 import type { Entry, Replica, ReplicaEvent } from '@lynxcourse/agreement'
-import type { Answer, Command, Machine, MachineCharts } from '@lynxcourse/state'
+import type { CommandAnswer, Command, StateMachine, StateMachineCharts } from '@lynxcourse/state'
 import type { LogStorage } from '../../plugins/logStorage.js'
 import type { Logs } from '../../utils/logging.js'
 import type { Metrics } from '../../utils/metrics.js'
@@ -30,7 +30,7 @@
 /** A command that waits for its entry to be applied. */
 export interface Pending {
   readonly command: Command
-  readonly resolve: (answer: Answer) => void
+  readonly resolve: (answer: CommandAnswer) => void
   readonly reject: (err: LynxError) => void
 }
 
@@ -42,13 +42,13 @@
 export interface ControlHost extends AsyncDisposable {
   readonly env: ControlEnv
   storage: LogStorage
-  readonly charts: MachineCharts
+  readonly charts: StateMachineCharts
   /** Id of this disk's copy. */
   readonly id: HolderId
   incarnation: Incarnation
   cluster: string | undefined
   replica: Replica | undefined
-  machine: Machine
+  machine: StateMachine
   /**
    * When this follower had last applied all that the leader knew to be committed. The log's own moment is earlier: its
    * entries wait for the disk first, and a VM that answered by it would vouch for a state that it does not hold yet.
@@ -80,7 +80,7 @@
   host.readers.clear()
 }
 
-export function answerPlaced (host: ControlHost, entry: Entry, answer: Answer): void {
+export function answerPlaced (host: ControlHost, entry: Entry, answer: CommandAnswer): void {
   const placed = host.placed.get(entry.index)
   if (placed === undefined) return
   host.placed.delete(entry.index)
--- a/packages/daemon/src/core/control/leaderDuties.ts
+++ b/packages/daemon/src/core/control/leaderDuties.ts
@@ -46,7 +46,7 @@
     return
   }
   duties.leadingSince ??= now
-  duties.grantor = { ...duties.grantor, holdMs: longestRequestMs(duties) }
+  duties.grantor = { ...duties.grantor, maxRequestMs: longestRequestMs(duties) }
   dropOldReports(duties, now)
   await planLimits(duties, now)
   for (const drain of listItems(duties.host.machine.config, 'drain')) await moveDrain(duties, drain, now)
--- a/packages/daemon/src/core/control/leaderState.ts
+++ b/packages/daemon/src/core/control/leaderState.ts
@@ -3,7 +3,7 @@
 import type { DrainId, HolderId, Millis, ShiftId } from '@lynxcourse/base'
 import type { Grantor } from '@lynxcourse/limits'
 import { listItems } from '@lynxcourse/state'
-import type { Reading, StepRule, VmProgress } from '@lynxcourse/steering'
+import type { LoadReading, StepRule, VmProgress } from '@lynxcourse/steering'
 import type { Node } from '../node/node.js'
 import type { VmReport } from '../node/reporting.js'
 import { leads } from './hostState.js'
@@ -28,7 +28,7 @@
   versions: Array<{ readonly version: number, readonly at: Millis }>
   leadingSince: Millis | undefined
   /** Readings of each shift's two ends over the last while. */
-  readings: Map<ShiftId, Reading[]>
+  readings: Map<ShiftId, LoadReading[]>
 }
 
 /**
--- a/packages/daemon/src/core/control/membership.ts
+++ b/packages/daemon/src/core/control/membership.ts
@@ -3,7 +3,7 @@
 import type { HolderId } from '@lynxcourse/base'
 import { createReplica, firstSnapshot } from '@lynxcourse/agreement'
 import type { Entry, HardState, Snapshot } from '@lynxcourse/agreement'
-import { readMachine } from '@lynxcourse/state'
+import { deserializeStateMachine } from '@lynxcourse/state'
 import { writeIdentity, writeSnapshot } from '../../plugins/logStorage.js'
 import { presentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
@@ -11,7 +11,7 @@
 
 export function startReplica (host: ControlHost, snapshot: Snapshot, hardState: HardState, entries: readonly Entry[]): void {
   const { heartbeatMs, electionMs } = host.env.times
-  host.machine = readMachine(host.charts, snapshot.data)
+  host.machine = deserializeStateMachine(host.charts, snapshot.data)
   host.replica = createReplica({
     id: host.id,
     cluster: host.cluster ?? '',
--- a/packages/daemon/src/core/control/reports.ts
+++ b/packages/daemon/src/core/control/reports.ts
@@ -1,7 +1,7 @@
 /** Takes VMs' reports at the leader and answers with their grants. */
 import { LynxError, vmOfHolder } from '@lynxcourse/base'
 import type { Millis } from '@lynxcourse/base'
-import { grantsFor, noteReport } from '@lynxcourse/limits'
+import { getGrants, recordUsageReport } from '@lynxcourse/limits'
 import * as z from 'zod'
 import type { ReportReply, VmReport } from '../node/reporting.js'
 import { presentTime } from '../../utils/clock.js'
@@ -40,6 +40,6 @@
     throw new LynxError('overCapacity', `${maxReports} VMs report`, { step: 'report' })
   }
   reports.set(report.holder, { at: now, report })
-  noteReport(grantor, report.holder, report.serial, report.usages, now)
-  return { serial: host.machine.applied, grants: grantsFor(grantor, host.machine.allocations.byResource, report.holder) }
+  recordUsageReport(grantor, report.holder, report.serial, report.usages, now)
+  return { serial: host.machine.applied, grants: getGrants(grantor, host.machine.allocations.byResource, report.holder) }
 }
--- a/packages/daemon/src/core/entry/announcements.ts
+++ b/packages/daemon/src/core/entry/announcements.ts
@@ -4,8 +4,8 @@
 import type { FailureDomainId, Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { findServer, putRecord } from '@lynxcourse/membership'
 import type { ServerRecord } from '@lynxcourse/membership'
-import { noteReportedLoad } from '@lynxcourse/routing'
-import { nameSchema } from '@lynxcourse/state'
+import { recordReportedLoad } from '@lynxcourse/routing'
+import { createNameSchema } from '@lynxcourse/state'
 import * as z from 'zod'
 import { addressSchema } from '../../types/settings.js'
 import { checkBody } from '../../utils/checkedBody.js'
@@ -26,11 +26,11 @@
 const announcementsPerLifetime = 3
 
 const announcementSchema = z.strictObject({
-  server: nameSchema<ServerId>(),
-  service: nameSchema<ServiceId>(),
+  server: createNameSchema<ServerId>(),
+  service: createNameSchema<ServiceId>(),
   /** Where this system reaches the server. */
   address: addressSchema,
-  failureDomain: nameSchema<FailureDomainId>(),
+  failureDomain: createNameSchema<FailureDomainId>(),
   slots: z.number().int().min(1).max(10_000),
   connections: z.number().int().min(1).max(1_000_000),
   /** Requests that the server works on now. */
@@ -125,7 +125,7 @@
   }
   const changed = putRecord(node.directory, record, 'direct', presentTime())
   const observed = entry.router.backends.byId.get(record.key)
-  if (observed !== undefined) noteReportedLoad(observed, announcement.load, presentTime())
+  if (observed !== undefined) recordReportedLoad(observed, announcement.load, presentTime())
   if (!changed) return
   log(node.logs, 'announce', 'info', 'Server announced itself.', { server: record.key, service: record.service, state: record.state, address: record.address, slots: record.slots })
   notifyChange(node)
--- a/packages/daemon/src/core/entry/attempts.ts
+++ b/packages/daemon/src/core/entry/attempts.ts
@@ -3,7 +3,7 @@
 import type { Dispatcher } from 'undici'
 import { messageOf } from '@lynxcourse/base'
 import type { Millis } from '@lynxcourse/base'
-import { isSilent, noteReportedLoad } from '@lynxcourse/routing'
+import { isSilent, recordReportedLoad } from '@lynxcourse/routing'
 import { Cancel } from '../../utils/cancel.js'
 import { presentTime } from '../../utils/clock.js'
 import { afterLook } from '../../utils/socketLooks.js'
@@ -44,7 +44,7 @@
     watch.gotHeaders()
     progressConnection(entry.pool, connection, presentTime())
     const load = Number(res.headers[loadHeader])
-    if (res.headers[loadHeader] !== undefined) noteReportedLoad(slot.observed, load, presentTime())
+    if (res.headers[loadHeader] !== undefined) recordReportedLoad(slot.observed, load, presentTime())
     if (isShed(res)) {
       await res.body.dump()
       watch.stop()
--- a/packages/daemon/src/core/entry/claiming.ts
+++ b/packages/daemon/src/core/entry/claiming.ts
@@ -5,7 +5,7 @@
  */
 import { LynxError, isLynxError, messageOf } from '@lynxcourse/base'
 import type { Millis, RequestId } from '@lynxcourse/base'
-import type { ClaimAnswer, ClaimCommand, ClaimOutcome, KeptAnswer, SettleAnswer, SettleCommand } from '@lynxcourse/state'
+import type { ClaimAnswer, ClaimCommand, ClaimOutcome, StoredAnswer, SettleAnswer, SettleCommand } from '@lynxcourse/state'
 import { presentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
 import { maxClaimBatch } from '../node/claimService.js'
@@ -60,7 +60,7 @@
  *
  * @returns whether the register now says so in this holder's name
  */
-export async function settleId (claiming: Claiming, id: RequestId, token: string, outcome: ClaimOutcome, answer: KeptAnswer | undefined, until: Millis): Promise<boolean> {
+export async function settleId (claiming: Claiming, id: RequestId, token: string, outcome: ClaimOutcome, answer: StoredAnswer | undefined, until: Millis): Promise<boolean> {
   const command: SettleCommand = { type: 'settle', id, holder: claiming.node.holder, token, outcome, answer }
   try {
     const settled = await submit(claiming, command, until) as SettleAnswer
@@ -72,7 +72,7 @@
 }
 
 /** Records an end for which no caller waits. */
-export function settleLater (claiming: Claiming, id: RequestId, token: string, outcome: ClaimOutcome, answer: KeptAnswer | undefined): void {
+export function settleLater (claiming: Claiming, id: RequestId, token: string, outcome: ClaimOutcome, answer: StoredAnswer | undefined): void {
   settleId(claiming, id, token, outcome, answer, presentTime() + settleForMs).catch(() => undefined)
 }
 
--- a/packages/daemon/src/core/entry/finalAnswers.ts
+++ b/packages/daemon/src/core/entry/finalAnswers.ts
@@ -3,7 +3,7 @@
 import { pipeline } from 'node:stream/promises'
 import { isLynxError, messageOf } from '@lynxcourse/base'
 import type { LynxError, Millis } from '@lynxcourse/base'
-import type { KeptAnswer } from '@lynxcourse/state'
+import type { StoredAnswer } from '@lynxcourse/state'
 import { outcomeHeader, serverHeader, vmHeader } from '../../types/answers.js'
 import type { FinalAnswer, Outcome } from '../../types/answers.js'
 import type { Node } from '../node/node.js'
@@ -22,7 +22,7 @@
 }
 
 /** The answer kept from a request that was done before. */
-export function keptAnswer (answer: KeptAnswer | undefined): FinalAnswer {
+export function keptAnswer (answer: StoredAnswer | undefined): FinalAnswer {
   if (answer?.body === undefined) {
     const body = Buffer.from(`${JSON.stringify({ outcome: 'done', detail: 'done before; its answer was too large to be kept' })}\n`)
     return { outcome: 'done', status: answer?.status ?? 200, headers: { 'content-type': 'application/json' }, body, retryAfterMs: undefined, server: undefined, detail: 'done before' }
--- a/packages/daemon/src/core/fleet/presenceLoop.ts
+++ b/packages/daemon/src/core/fleet/presenceLoop.ts
@@ -1,7 +1,7 @@
 /** Exchanges presence with the leader, and at the leader notes servers that fell silent. */
 import { messageOf } from '@lynxcourse/base'
 import type { Millis } from '@lynxcourse/base'
-import { presentBackends } from '@lynxcourse/state'
+import { listPresentBackends } from '@lynxcourse/state'
 import { readPlacement, writePlacement } from '../../plugins/placementFile.js'
 import { presentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
@@ -129,6 +129,6 @@
     presence.leadingSince = now
     presence.heardAt.clear()
   }
-  const missed = missedServers(presence, presentBackends(host.machine.config), node.cfg.times.missMs, now)
+  const missed = missedServers(presence, listPresentBackends(host.machine.config), node.cfg.times.missMs, now)
   if (missed.length > 0) await submitRouteCommand(control, { type: 'miss', ids: missed })
 }
--- a/packages/daemon/src/core/fleet/watching.ts
+++ b/packages/daemon/src/core/fleet/watching.ts
@@ -1,7 +1,7 @@
 /** An entry VM follows the control VMs' state by watches that stay open until there is news. */
 import { messageOf, rankByHash } from '@lynxcourse/base'
 import type { Millis } from '@lynxcourse/base'
-import { takeDelta } from '@lynxcourse/state'
+import { applyDelta } from '@lynxcourse/state'
 import { takeLoadReport } from '@lynxcourse/placement'
 import type { EntryPresence } from '@lynxcourse/placement'
 import { presentTime } from '../../utils/clock.js'
@@ -120,7 +120,7 @@
     return
   }
   const before = node.config.version
-  const isWhole = reply.delta === undefined || takeDelta(node.config, reply.delta)
+  const isWhole = reply.delta === undefined || applyDelta(node.config, reply.delta)
   if (isStale) avoid(watching, parent, now)
   else if (isWhole) node.freshAt = now - (reply.ageMs ?? 0)
   if (node.config.version !== before) {
--- a/packages/daemon/src/core/gateway/callerFront.ts
+++ b/packages/daemon/src/core/gateway/callerFront.ts
@@ -6,7 +6,7 @@
 import type { Millis, ServiceId } from '@lynxcourse/base'
 import { createCallerView, mayTakeUp, noteLook, noteMoreRead, turnSpent } from '@lynxcourse/placement'
 import type { RoutedService, TurnSpent } from '@lynxcourse/placement'
-import { matchRoute, pickService } from '@lynxcourse/routing'
+import { matchRoute, selectService } from '@lynxcourse/routing'
 import type { HeaderMap } from '../../types/answers.js'
 import type { Cancel } from '../../utils/cancel.js'
 import { presentTime } from '../../utils/clock.js'
@@ -150,7 +150,7 @@
 /** The route of a request, and the service that its split gives it; undefined without a route. */
 function targetOf (gateway: Gateway, req: IncomingMessage): RoutedService | undefined {
   const route = matchRoute(gateway.table, req.headers.host ?? '', req.url ?? '/')
-  return route === undefined ? undefined : { route, service: pickService(gateway.splits, route) }
+  return route === undefined ? undefined : { route, service: selectService(gateway.splits, route) }
 }
 
 async function serveRequest (gateway: Gateway, { req, body: coming, gone, arrival }: Taken, { route, service }: RoutedService): Promise<CallAnswer | undefined> {
--- a/packages/daemon/src/core/node/queries.ts
+++ b/packages/daemon/src/core/node/queries.ts
@@ -3,7 +3,7 @@
 import type { ServiceId } from '@lynxcourse/base'
 import { isCurrent, listServers, listVms } from '@lynxcourse/membership'
 import { refreshBackend, routeRequest } from '@lynxcourse/routing'
-import { listItems, profileOf } from '@lynxcourse/state'
+import { listItems, findServiceProfile } from '@lynxcourse/state'
 import * as z from 'zod'
 import { confirmRead } from '../control/proposing.js'
 import { leads } from '../control/hostState.js'
@@ -140,11 +140,11 @@
 function explainRoute (entry: Entry, service: ServiceId, client: string): object {
   const now = presentTime()
   refreshView(entry, now)
-  const profile = profileOf(entry.node.config, service)
+  const profile = findServiceProfile(entry.node.config, service)
   if (profile === undefined) throw new LynxError('unknownService', `'${service}'`, { step: 'explain', field: 'service' })
   const caller = callerInfo(entry, client)
   const places = placesFor(entry, service, profile, caller)
-  const decision = routeRequest(entry.router, { service, places, tried: new Set() }, limitGate(entry, service, profile, presentTime), now)
+  const decision = routeRequest(entry.router, { service, places, triedServers: new Set() }, limitGate(entry, service, profile, presentTime), now)
   const servers = (entry.router.backends.byService.get(service) ?? []).map(observed => {
     refreshBackend(entry.router.backends, observed, now)
     const { backend, state, inFlight, latencyMs } = observed
--- a/packages/daemon/src/core/node/syncing.ts
+++ b/packages/daemon/src/core/node/syncing.ts
@@ -6,7 +6,7 @@
   putRecord, takeAnswer
 } from '@lynxcourse/membership'
 import type { SyncAnswer, SyncRequest, VmRecord } from '@lynxcourse/membership'
-import { deltaSince, takeDelta } from '@lynxcourse/state'
+import { getDeltaSince, applyDelta } from '@lynxcourse/state'
 import type { ConfigDelta } from '@lynxcourse/state'
 import * as z from 'zod'
 import { leads } from '../control/hostState.js'
@@ -97,7 +97,7 @@
     notifyChange(node)
     syncing.urge()
   }
-  const delta = request.configVersion === node.config.version ? undefined : deltaSince(node.config, request.configVersion)
+  const delta = request.configVersion === node.config.version ? undefined : getDeltaSince(node.config, request.configVersion)
   return { answer, delta }
 }
 
@@ -165,7 +165,7 @@
   node.leader = node.cfg.vm
   const { machine, replica } = control
   if (machine.config.version > node.config.version) {
-    takeDelta(node.config, deltaSince(machine.config, node.config.version))
+    applyDelta(node.config, getDeltaSince(machine.config, node.config.version))
     logVersion(node)
     notifyChange(node)
   }
@@ -226,7 +226,7 @@
   const { delta } = reply
   if (delta === undefined) return true
   const before = node.config.version
-  const isWhole = takeDelta(node.config, delta)
+  const isWhole = applyDelta(node.config, delta)
   if (node.config.version > before) {
     logVersion(node)
     notifyChange(node)
--- a/packages/faults/src/core/controlDuties.ts
+++ b/packages/faults/src/core/controlDuties.ts
@@ -1,12 +1,12 @@
 /** What a control VM of the model does besides agreeing: grants, syncs, and plans for drains and shifts. */
 import { vmOfHolder } from '@lynxcourse/base'
 import type { HolderId, Millis } from '@lynxcourse/base'
-import { createGrantor, grantsFor, noteReport, planShares } from '@lynxcourse/limits'
+import { createGrantor, getGrants, recordUsageReport, planShares } from '@lynxcourse/limits'
 import type { Grant, Grantor, Usage } from '@lynxcourse/limits'
 import { isCurrent, noteConfirmed } from '@lynxcourse/membership'
-import { deltaSince, listCaps, listItems, takeDelta } from '@lynxcourse/state'
+import { getDeltaSince, listCaps, listItems, applyDelta } from '@lynxcourse/state'
 import type { ConfigDelta } from '@lynxcourse/state'
-import { FixedStepRule, judgeDrain, planShift } from '@lynxcourse/steering'
+import { FixedStepRule, evaluateDrain, planShift } from '@lynxcourse/steering'
 import type { VmProgress } from '@lynxcourse/steering'
 import { send } from './network.js'
 import { passStep } from './checks.js'
@@ -36,10 +36,10 @@
 export function answerReport (world: World, control: ControlModel, report: Report): { serial: number, grants: Grant[] } | undefined {
   const { now } = world.network
   if (!mayGrant(control, now)) return undefined
-  noteReport(control.grantor, report.holder, report.serial, report.usages, now)
+  recordUsageReport(control.grantor, report.holder, report.serial, report.usages, now)
   control.progress.set(report.holder, { ...report.progress, at: now, loads: report.load })
   passStep(world, 'grant', control.host)
-  return { serial: control.machine.applied, grants: grantsFor(control.grantor, control.machine.allocations.byResource, report.holder) }
+  return { serial: control.machine.applied, grants: getGrants(control.grantor, control.machine.allocations.byResource, report.holder) }
 }
 
 /** Answers a VM that syncs: what it lacks, and how old the quorum's confirmation is. */
@@ -48,12 +48,12 @@
   refreshView(control, now)
   const ageMs = isCurrent(control.currency, now) ? now - control.currency.confirmedAt : undefined
   const leader = control.replica?.leader
-  return { delta: deltaSince(control.view, version), ageMs, leader: leader === undefined ? undefined : vmOfHolder(leader) }
+  return { delta: getDeltaSince(control.view, version), ageMs, leader: leader === undefined ? undefined : vmOfHolder(leader) }
 }
 
 function refreshView (control: ControlModel, now: Millis): void {
   if (!leadsNow(control) || control.replica === undefined) return
-  takeDelta(control.view, deltaSince(control.machine.config, control.view.version))
+  applyDelta(control.view, getDeltaSince(control.machine.config, control.view.version))
   noteConfirmed(control.currency, Math.min(now, control.replica.confirmedAt), 0)
 }
 
@@ -83,7 +83,7 @@
   send(world.network, control.host, target.host, () => {
     const reply = answerSync(world, target, version)
     send(world.network, target.host, control.host, () => {
-      const isWhole = takeDelta(control.view, reply.delta)
+      const isWhole = applyDelta(control.view, reply.delta)
       if (isWhole && reply.ageMs !== undefined) noteConfirmed(control.currency, askedAt, reply.ageMs)
     })
   })
@@ -102,8 +102,8 @@
     if (drain.state !== 'scheduled' && drain.state !== 'draining') continue
     if (drain.state === 'draining' && !control.drainsSeen.has(drain.key)) control.drainsSeen.set(drain.key, now)
     const version = control.machine.config.items.get(`drain ${drain.key}`)?.version ?? 0
-    const view = { id: drain.key, state: drain.state, at: drain.at, version, seenAt: control.drainsSeen.get(drain.key) ?? now }
-    const { event } = judgeDrain(view, control.progress.values(), times.leaseMs, times.deadlineMs, now)
+    const view = { id: drain.key, state: drain.state, at: drain.at, version, firstSeenAt: control.drainsSeen.get(drain.key) ?? now }
+    const { event } = evaluateDrain(view, control.progress.values(), times.leaseMs, times.deadlineMs, now)
     if (event === undefined) continue
     passStep(world, 'drainStep', control.host)
     propose(world, control, { type: 'advanceDrain', drain: drain.key, event }, () => undefined)
--- a/packages/faults/src/core/controlLog.ts
+++ b/packages/faults/src/core/controlLog.ts
@@ -2,8 +2,8 @@
 import { isSettledLeader, stepReplica } from '@lynxcourse/agreement'
 import type { HardState, Output, ReplicaEvent, Snapshot } from '@lynxcourse/agreement'
 import { vmOfHolder } from '@lynxcourse/base'
-import { applyEntry, listCaps, listItems, readMachine, writeMachine } from '@lynxcourse/state'
-import type { Answer, Command } from '@lynxcourse/state'
+import { applyEntry, listCaps, listItems, deserializeStateMachine, serializeStateMachine } from '@lynxcourse/state'
+import type { CommandAnswer, Command } from '@lynxcourse/state'
 import { send } from './network.js'
 import { checkCommitted, passStep } from './checks.js'
 import type { ControlModel, World } from '../types/world.js'
@@ -48,7 +48,7 @@
 }
 
 function applyOutput (world: World, control: ControlModel, out: Output): void {
-  if (out.install && out.snapshot !== undefined) control.machine = readMachine(world.charts, out.snapshot.data)
+  if (out.install && out.snapshot !== undefined) control.machine = deserializeStateMachine(world.charts, out.snapshot.data)
   for (const entry of out.committed) {
     checkCommitted(world, control.vm, entry)
     const before = control.machine.config.version
@@ -78,7 +78,7 @@
 function compact (world: World, control: ControlModel): void {
   const { replica, machine } = control
   if (replica === undefined || machine.applied - replica.snapshot.index < compactEvery) return
-  const out = stepReplica(replica, { type: 'compact', index: machine.applied, data: writeMachine(machine) }, world.network.now)
+  const out = stepReplica(replica, { type: 'compact', index: machine.applied, data: serializeStateMachine(machine) }, world.network.now)
   save(world, control, out)
 }
 
@@ -87,7 +87,7 @@
 }
 
 /** Proposes a command; `done` is called only if it is committed while this life lasts. */
-export function propose (world: World, control: ControlModel, command: Command, done: (answer: Answer) => void): boolean {
+export function propose (world: World, control: ControlModel, command: Command, done: (answer: CommandAnswer) => void): boolean {
   const { replica } = control
   if (replica === undefined || !leadsNow(control)) return false
   const index = replica.snapshot.index + replica.entries.length + 1
--- a/packages/faults/src/core/controlModel.ts
+++ b/packages/faults/src/core/controlModel.ts
@@ -4,7 +4,7 @@
 import { holderOf } from '@lynxcourse/base'
 import type { HolderId, Incarnation, Millis, VmId } from '@lynxcourse/base'
 import { createCurrency } from '@lynxcourse/membership'
-import { createConfig, createMachine, readMachine } from '@lynxcourse/state'
+import { createConfig, createStateMachine, deserializeStateMachine } from '@lynxcourse/state'
 import { addHost, planAt, send } from './network.js'
 import type { Host } from './network.js'
 import { times } from './times.js'
@@ -25,7 +25,7 @@
     vm: vm as VmId,
     disk: { incarnation: 'i1', cluster: false, stored: undefined },
     replica: undefined,
-    machine: createMachine(world.charts),
+    machine: createStateMachine(world.charts),
     placed: new Map(),
     grantor: newGrantor(),
     progress: new Map(),
@@ -65,7 +65,7 @@
   control.drainsSeen = new Map()
   control.view = createConfig()
   control.currency = createCurrency(times.leaseMs)
-  control.machine = readMachine(world.charts, control.disk.stored?.snapshot.data ?? '')
+  control.machine = deserializeStateMachine(world.charts, control.disk.stored?.snapshot.data ?? '')
   startReplica(world, control)
   repeatAt(world, control.host, tickMs, () => feed(world, control, { type: 'tick' }))
   repeatAt(world, control.host, dutyMs, () => doDuties(world, control))
--- a/packages/faults/src/core/entryModel.ts
+++ b/packages/faults/src/core/entryModel.ts
@@ -1,9 +1,9 @@
 /** An entry VM of the model: its lease, its reports and its look-ups. */
 import { holderOf } from '@lynxcourse/base'
 import type { DrainId, Incarnation, VmId } from '@lynxcourse/base'
-import { createHolderLimits, reportUsage, takeGrants } from '@lynxcourse/limits'
+import { createHolderLimits, collectUsages, applyGrants } from '@lynxcourse/limits'
 import { createCurrency, isCurrent, noteConfirmed } from '@lynxcourse/membership'
-import { activeDrains, createConfig, listCaps, takeDelta } from '@lynxcourse/state'
+import { listActiveDrains, createConfig, listCaps, applyDelta } from '@lynxcourse/state'
 import { checkCurrent, checkVersion, passStep } from './checks.js'
 import { answerReport, answerSync } from './controlDuties.js'
 import type { Report } from './controlDuties.js'
@@ -74,7 +74,7 @@
       if (entry.host.life !== life) return
       entry.syncing = false
       const before = entry.config.version
-      const isWhole = takeDelta(entry.config, reply.delta)
+      const isWhole = applyDelta(entry.config, reply.delta)
       checkVersion(world, entry.vm, before, entry.config.version)
       entry.leader = reply.leader ?? entry.leader
       if (reply.ageMs === undefined) entry.asked += 1
@@ -91,7 +91,7 @@
   const report: Report = {
     holder: entry.holder,
     serial: entry.limits.serial,
-    usages: reportUsage(entry.limits, listCaps(entry.config).keys()),
+    usages: collectUsages(entry.limits, listCaps(entry.config).keys()),
     progress: { vm: entry.vm, version: entry.config.version, remaining: remainingOf(world, entry) },
     load: [...entry.inFlight.values()].reduce((sum, count) => sum + count, 0)
   }
@@ -99,13 +99,13 @@
     const reply = answerReport(world, leader, report)
     if (reply === undefined) return
     send(world.network, leader.host, entry.host, () => {
-      if (entry.host.life === life) takeGrants(entry.limits, reply.serial, reply.grants, askedAt)
+      if (entry.host.life === life) applyGrants(entry.limits, reply.serial, reply.grants, askedAt)
     })
   })
 }
 
 function remainingOf (world: World, entry: EntryModel): Map<DrainId, number> {
-  return new Map(activeDrains(entry.config).map(drain => {
+  return new Map(listActiveDrains(entry.config).map(drain => {
     const servers = world.servers.filter(server => isCovered(drain.target.kind, drain.target.name, server))
     return [drain.key, servers.reduce((sum, server) => sum + (entry.inFlight.get(server.host.name) ?? 0), 0)]
   }))
@@ -126,7 +126,7 @@
 
 /** Servers that this VM would give new work to. */
 export function openServers (world: World, entry: EntryModel): ServerModel[] {
-  const drains = activeDrains(entry.config)
+  const drains = listActiveDrains(entry.config)
   return world.servers.filter(server => !drains.some(drain => isCovered(drain.target.kind, drain.target.name, server)))
 }
 
--- a/packages/state/src/core/changes.ts
+++ b/packages/state/src/core/changes.ts
@@ -3,7 +3,7 @@
 import type { Chart } from '@lynxcourse/base'
 import type { AdvanceDrainCommand, AdvanceShiftCommand, Change, ChangeAnswer, Winner } from '../types/commands.js'
 import type { DrainItem, Origin, ProfileItem, ShiftItem } from '../types/items.js'
-import { findItem, isPicked, profileOf, setItem } from './config.js'
+import { findItem, isPicked, findServiceProfile, setItem } from './config.js'
 import type { Config } from './config.js'
 
 /** The charts that changes follow. */
@@ -99,7 +99,7 @@
 function startShift (config: Config, charts: ChangeCharts, change: ChangeOf<'startShift'>, version: number, origin: Origin): ChangeAnswer {
   const { shift, service, from, to } = change
   if (findItem(config, 'shift', shift) !== undefined) return refuse('badRequest', `shift '${shift}' exists`)
-  const profile = profileOf(config, service)
+  const profile = findServiceProfile(config, service)
   if (profile === undefined) return refuse('notFound', `service '${service}' with a profile`)
   for (const region of [from, to]) {
     if (!profile.places.includes(region)) return refuse('badRequest', `region '${region}' is not among the profile's places`)
--- a/packages/state/src/core/claims.ts
+++ b/packages/state/src/core/claims.ts
@@ -8,7 +8,7 @@
  */
 import { issueTimeOf, nextState } from '@lynxcourse/base'
 import type { Chart, HolderId, Millis, RequestId } from '@lynxcourse/base'
-import type { ClaimAnswer, ClaimCommand, ClaimOutcome, KeptAnswer, SettleAnswer, SettleCommand } from '../types/commands.js'
+import type { ClaimAnswer, ClaimCommand, ClaimOutcome, StoredAnswer, SettleAnswer, SettleCommand } from '../types/commands.js'
 
 /** How long an id is good for after its issue, and so how long its record is kept. */
 export const claimLifetimeMs = 600_000
@@ -25,7 +25,7 @@
   readonly holder: HolderId
   readonly token: string
   state: string
-  answer: KeptAnswer | undefined
+  answer: StoredAnswer | undefined
 }
 
 export interface Claims {
--- a/scripts/bench/capacityModules.ts
+++ b/scripts/bench/capacityModules.ts
@@ -2,9 +2,9 @@
 import { brandId, loadChart, makeRandom, makeRequestId } from '@lynxcourse/base'
 import { answerRequest, buildRequest, createDirectory, createUplink, defaultMembershipTimes, putRecord, takeAnswer } from '@lynxcourse/membership'
 import type { ServerRecord, VmRecord } from '@lynxcourse/membership'
-import { buildBlockTable, tableBytes } from '@lynxcourse/routing'
-import { applyEntry, createMachine, writeMachine } from '@lynxcourse/state'
-import type { Machine } from '@lynxcourse/state'
+import { buildBlockTable, getTableBytes } from '@lynxcourse/routing'
+import { applyEntry, createStateMachine, serializeStateMachine } from '@lynxcourse/state'
+import type { StateMachine } from '@lynxcourse/state'
 import { targetBlocks } from './path.js'
 import { slope } from './capacityFigures.js'
 import type { CapacityFigures } from './capacityFigures.js'
@@ -32,7 +32,7 @@
     const startedAt = performance.now()
     const table = buildBlockTable(blocks)
     build.push([size, performance.now() - startedAt])
-    bytes.push([size, tableBytes(table)])
+    bytes.push([size, getTableBytes(table)])
   }
   slope(figures, 'look-up table memory', 'bytes', 'block', bytes)
   slope(figures, 'look-up table build time', 'ms', 'block', build)
@@ -88,13 +88,13 @@
   for (const size of sizes) {
     let applyMs = 0
     const { thing: machine, bytes } = measureHeap(() => {
-      const built = createMachine(charts)
+      const built = createStateMachine(charts)
       applyMs = fillClaims(built, size, random)
       return built
     })
     apply.push([size, applyMs * 1000])
     memory.push([size, bytes])
-    snapshot.push([size, writeMachine(machine).length])
+    snapshot.push([size, serializeStateMachine(machine).length])
   }
   slope(figures, 'register memory', 'bytes', 'claim kept', memory)
   slope(figures, 'snapshot size', 'bytes', 'claim kept', snapshot)
@@ -102,7 +102,7 @@
 }
 
 /** Claims and ends so many requests; gives the time that applying took, in milliseconds. */
-function fillClaims (machine: Machine, size: number, random: () => number): number {
+function fillClaims (machine: StateMachine, size: number, random: () => number): number {
   const at = 1_800_000_000_000
   let ms = 0
   for (let number = 0; number < size; number++) {
