--- a/packages/agreement/__tests__/agreement.test.ts
+++ b/packages/agreement/__tests__/agreement.test.ts
@@ -2,10 +2,10 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { brandId, hashText, loadChart, makeRandom } from '@lynxcourse/base'
+import { brandId, hashText, loadChart, createRandom } from '@lynxcourse/base'
 import type { HolderId } from '@lynxcourse/base'
-import { createReplica, firstSnapshot, isLeader, isSettledLeader, stepReplica, voters } from '@lynxcourse/agreement'
-import type { Entry, Envelope, Output, Replica, ReplicaEvent, StoredLog } from '@lynxcourse/agreement'
+import { createReplica, createInitialSnapshot, isLeader, isEstablishedLeader, stepReplica, voters } from '@lynxcourse/agreement'
+import type { Entry, Envelope, ReplicaOutput, Replica, ReplicaEvent, StoredLog } from '@lynxcourse/agreement'
 
 const seed = 11
 console.log(`seed ${seed}`)
@@ -31,7 +31,7 @@
 }
 
 function start (group: Group, copy: Copy): void {
-  const random = makeRandom(hashText(copy.id) + group.now)
+  const random = createRandom(hashText(copy.id) + group.now)
   copy.replica = createReplica({ id: copy.id, cluster: 'c', chart, times, random, stored: copy.disk }, group.now)
 }
 
@@ -39,7 +39,7 @@
   const ids = Array.from({ length: size }, (_, number) => brandId<HolderId>(`v${number}/i1`))
   const group: Group = { now: 1000, copies: [], inFlight: [], committed: new Map(), leaders: new Map(), commands: 0 }
   for (const id of ids) {
-    const copy: Copy = { id, disk: { hardState: { term: 0, votedFor: undefined }, snapshot: firstSnapshot(ids, ''), entries: [] }, replica: undefined }
+    const copy: Copy = { id, disk: { hardState: { term: 0, votedFor: undefined }, snapshot: createInitialSnapshot(ids, ''), entries: [] }, replica: undefined }
     group.copies.push(copy)
     start(group, copy)
   }
@@ -59,7 +59,7 @@
   group.leaders.set(replica.term, replica.id)
 }
 
-function applyOutput (group: Group, copy: Copy, out: Output): void {
+function applyOutput (group: Group, copy: Copy, out: ReplicaOutput): void {
   const replica = copy.replica as Replica
   copy.disk = { hardState: out.hardState ?? copy.disk.hardState, snapshot: out.snapshot ?? copy.disk.snapshot, entries: [...replica.entries] }
   group.inFlight.push(...out.messages)
@@ -89,7 +89,7 @@
 }
 
 function findLeader (group: Group): Copy {
-  const leader = group.copies.find(copy => copy.replica !== undefined && isSettledLeader(copy.replica))
+  const leader = group.copies.find(copy => copy.replica !== undefined && isEstablishedLeader(copy.replica))
   assert.ok(leader, 'no leader with a committed entry of its own term')
   return leader
 }
@@ -174,12 +174,12 @@
   runRounds(group, 30)
   const old = findLeader(group)
   const out = stepReplica(old.replica as Replica, { type: 'read', token: 5 }, group.now)
-  assert.deepEqual(out.reads, [])
+  assert.deepEqual(out.confirmedReads, [])
   runWithIsolatedCopy(group, old, 40)
   const reads: number[] = []
   group.now += tickMs
   const failed = stepReplica(old.replica as Replica, { type: 'read', token: 6 }, group.now)
-  reads.push(...failed.reads)
+  reads.push(...failed.confirmedReads)
   assert.deepEqual(reads, [])
   assert.deepEqual(failed.failedReads, [6])
 })
@@ -193,7 +193,7 @@
   runRounds(group, 10)
   step(group, leader, { type: 'compact', index: (leader.replica as Replica).commit, data: 'state' })
   const lost = group.copies.find(copy => copy !== leader) as Copy
-  const fresh: Copy = { id: brandId<HolderId>(lost.id.replace('i1', 'i2')), disk: { hardState: { term: 0, votedFor: undefined }, snapshot: firstSnapshot([], ''), entries: [] }, replica: undefined }
+  const fresh: Copy = { id: brandId<HolderId>(lost.id.replace('i1', 'i2')), disk: { hardState: { term: 0, votedFor: undefined }, snapshot: createInitialSnapshot([], ''), entries: [] }, replica: undefined }
   group.copies = group.copies.map(copy => copy === lost ? fresh : copy)
   start(group, fresh)
   step(group, leader, { type: 'join', id: fresh.id })
@@ -232,7 +232,7 @@
   for (const name of ['new-1', 'new-2']) {
     const leader = findLeader(group)
     const lost = group.copies.find(copy => copy !== leader) as Copy
-    const fresh: Copy = { id: brandId<HolderId>(`${name}/i1`), disk: { hardState: { term: 0, votedFor: undefined }, snapshot: firstSnapshot([], ''), entries: [] }, replica: undefined }
+    const fresh: Copy = { id: brandId<HolderId>(`${name}/i1`), disk: { hardState: { term: 0, votedFor: undefined }, snapshot: createInitialSnapshot([], ''), entries: [] }, replica: undefined }
     group.copies = group.copies.map(copy => copy === lost ? fresh : copy)
     start(group, fresh)
     step(group, leader, { type: 'join', id: fresh.id })
@@ -264,10 +264,10 @@
     for (let left = 500; group.inFlight.length > 0 && left > 0; left--) {
       deliver(group, 0)
       for (const { replica } of group.copies) {
-        if (replica === undefined || replica.freshAt === -Infinity) continue
+        if (replica === undefined || replica.upToDateAt === -Infinity) continue
         assert.ok(replica.commit >= committed, `counts as up to date at index ${replica.commit}, committed index ${committed}`)
       }
     }
   }
-  assert.ok(group.copies.some(({ replica }) => replica !== undefined && replica.freshAt > -Infinity))
+  assert.ok(group.copies.some(({ replica }) => replica !== undefined && replica.upToDateAt > -Infinity))
 })
--- a/packages/agreement/__tests__/start.test.ts
+++ b/packages/agreement/__tests__/simultaneousStart.test.ts
@@ -1,10 +1,10 @@
 /** Time until a leader is elected after all copies start at the same time. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { brandId, loadChart, makeRandom } from '@lynxcourse/base'
+import { brandId, loadChart, createRandom } from '@lynxcourse/base'
 import type { HolderId, Random } from '@lynxcourse/base'
-import { createReplica, firstSnapshot, isSettledLeader, stepReplica } from '@lynxcourse/agreement'
-import type { Envelope, Output, Replica } from '@lynxcourse/agreement'
+import { createReplica, createInitialSnapshot, isEstablishedLeader, stepReplica } from '@lynxcourse/agreement'
+import type { Envelope, ReplicaOutput, Replica } from '@lynxcourse/agreement'
 
 const chart = loadChart('agreementRole')
 /** The settings of the control VMs of a fleet. */
@@ -24,7 +24,7 @@
   readonly inFlight: Array<{ readonly at: number, readonly envelope: Envelope }>
 }
 
-function sendMessages (startup: Startup, out: Output, now: number): void {
+function sendMessages (startup: Startup, out: ReplicaOutput, now: number): void {
   for (const envelope of out.messages) {
     startup.inFlight.push({ at: now + minOneWayDelayMs + startup.random() * (maxOneWayDelayMs - minOneWayDelayMs), envelope })
   }
@@ -49,19 +49,19 @@
 /** Returns the milliseconds from the start of the run to a leader with a committed entry of its own term. */
 function measureTimeToLeader (size: number, seed: number, isFirstDown = false): number {
   const ids = Array.from({ length: size }, (_, position) => brandId<HolderId>(`v${position}/i1`))
-  const random = makeRandom(seed)
+  const random = createRandom(seed)
   const startup: Startup = { random, startTimes: ids.map((_, position) => isFirstDown && position === 0 ? Infinity : random() * startSpreadMs), copies: ids.map(() => undefined), inFlight: [] }
   for (let now = 0; now < 5000; now++) {
     ids.forEach((id, position) => {
       const startedAt = startup.startTimes[position] ?? 0
       if (startup.copies[position] === undefined && now >= startedAt) {
-        const stored = { hardState: { term: 1, votedFor: undefined }, snapshot: firstSnapshot(ids, ''), entries: [] }
+        const stored = { hardState: { term: 1, votedFor: undefined }, snapshot: createInitialSnapshot(ids, ''), entries: [] }
         startup.copies[position] = createReplica({ id, cluster: 'c', chart, times, random, stored }, now)
       }
       if (Math.floor(now - startedAt) % tickMs === 0) step(startup, position, { type: 'tick' }, now)
     })
     deliver(startup, ids, now)
-    if (startup.copies.some(replica => replica !== undefined && isSettledLeader(replica))) return now
+    if (startup.copies.some(replica => replica !== undefined && isEstablishedLeader(replica))) return now
   }
   return Infinity
 }
--- a/packages/agreement/src/core/election.ts
+++ b/packages/agreement/src/core/election.ts
@@ -1,7 +1,7 @@
 /** Elections: pre-votes, votes and stepping down. */
 import type { HolderId, Millis } from '@lynxcourse/base'
-import type { Output, VoteAnswer, VoteRequest } from '../types/messages.js'
-import { appendEntry, broadcast } from './replication.js'
+import type { ReplicaOutput, VoteAnswer, VoteRequest } from '../types/messages.js'
+import { appendEntry, broadcast } from './leaderReplication.js'
 import {
   startVoteTimeout, isLeader, isVoter, lastIndex, lastTerm, quorumSize, resetElectionTimer, saveHardState, send, applyRoleEvent, voters
 } from './replica.js'
@@ -20,7 +20,7 @@
  * Starts a pre-vote. Without it, a copy that returns from a network partition would have a high term and force a
  * working leader to step down; with it, the copy raises its term only after a quorum has granted its pre-vote.
  */
-export function startPreVote (replica: Replica, now: Millis, out: Output): void {
+export function startPreVote (replica: Replica, now: Millis, out: ReplicaOutput): void {
   applyRoleEvent(replica, 'electionDue')
   resetElectionTimer(replica, now)
   replica.leader = undefined
@@ -30,7 +30,7 @@
   countVotes(replica, now, out)
 }
 
-function startVote (replica: Replica, now: Millis, out: Output): void {
+function startVote (replica: Replica, now: Millis, out: ReplicaOutput): void {
   applyRoleEvent(replica, 'preVotesWon')
   replica.term += 1
   replica.votedFor = replica.id
@@ -41,7 +41,7 @@
   countVotes(replica, now, out)
 }
 
-function requestVotes (replica: Replica, pre: boolean, out: Output): void {
+function requestVotes (replica: Replica, pre: boolean, out: ReplicaOutput): void {
   const message: VoteRequest = {
     type: 'vote',
     pre,
@@ -54,14 +54,14 @@
   }
 }
 
-function countVotes (replica: Replica, now: Millis, out: Output): void {
+function countVotes (replica: Replica, now: Millis, out: ReplicaOutput): void {
   const hasQuorum = voters(replica).filter(voter => replica.votes.has(voter)).length >= quorumSize(replica)
   if (!hasQuorum) return
   if (replica.role === 'preCandidate') startVote(replica, now, out)
   else if (replica.role === 'candidate') becomeLeader(replica, now, out)
 }
 
-function becomeLeader (replica: Replica, now: Millis, out: Output): void {
+function becomeLeader (replica: Replica, now: Millis, out: ReplicaOutput): void {
   applyRoleEvent(replica, 'votesWon')
   replica.leader = replica.id
   replica.progress = new Map()
@@ -69,7 +69,7 @@
   replica.firstUnconfirmedRound = 1
   replica.unconfirmedRoundSentAt = []
   replica.confirmedRound = 0
-  replica.confirmedAt = now
+  replica.quorumConfirmedAt = now
   replica.pendingReads = []
   replica.joinRequests = new Set()
   // An entry of an older term counts as committed only once an entry of the leader's own term after it is committed.
@@ -80,7 +80,7 @@
 }
 
 /** Grants or denies a vote or a pre-vote and answers the request. */
-export function handleVoteRequest (replica: Replica, from: HolderId, request: VoteRequest, now: Millis, out: Output): void {
+export function handleVoteRequest (replica: Replica, from: HolderId, request: VoteRequest, now: Millis, out: ReplicaOutput): void {
   const granted = request.pre ? tryGrantPreVote(replica, from, request, now) : tryGrantVote(replica, from, request, now, out)
   const term = request.pre && granted ? request.term : replica.term
   send(replica, out, from, { type: 'voteAnswer', pre: request.pre, term, granted })
@@ -113,7 +113,7 @@
   return request.term > replica.term && isUpToDate(replica, request)
 }
 
-function tryGrantVote (replica: Replica, from: HolderId, request: VoteRequest, now: Millis, out: Output): boolean {
+function tryGrantVote (replica: Replica, from: HolderId, request: VoteRequest, now: Millis, out: ReplicaOutput): boolean {
   if (request.term < replica.term) return false
   if (replica.votedFor !== undefined && replica.votedFor !== from) return false
   if (!isUpToDate(replica, request)) return false
@@ -129,7 +129,7 @@
 }
 
 /** Counts an answer to this copy's own request for votes or pre-votes. */
-export function handleVoteAnswer (replica: Replica, from: HolderId, answer: VoteAnswer, now: Millis, out: Output): void {
+export function handleVoteAnswer (replica: Replica, from: HolderId, answer: VoteAnswer, now: Millis, out: ReplicaOutput): void {
   if (!answer.granted) return
   const expected = answer.pre ? 'preCandidate' : 'candidate'
   if (replica.role !== expected) return
@@ -140,7 +140,7 @@
 }
 
 /** Adopts a higher term and becomes a follower whose leader is not known yet. */
-export function adoptTerm (replica: Replica, term: number, now: Millis, out: Output): void {
+export function adoptTerm (replica: Replica, term: number, now: Millis, out: ReplicaOutput): void {
   if (isLeader(replica)) stepDown(replica, 'higherTerm', now, out)
   else applyRoleEvent(replica, 'higherTerm')
   replica.term = term
@@ -150,7 +150,7 @@
 }
 
 /** Ends this copy's leadership and fails its pending reads. */
-export function stepDown (replica: Replica, event: 'quorumLost' | 'higherTerm' | 'removed', now: Millis, out: Output): void {
+export function stepDown (replica: Replica, event: 'quorumLost' | 'higherTerm' | 'removed', now: Millis, out: ReplicaOutput): void {
   applyRoleEvent(replica, event)
   replica.leader = undefined
   out.failedReads.push(...replica.pendingReads.map(read => read.token))
--- a/packages/agreement/src/core/following.ts
+++ b/packages/agreement/src/core/followerReplication.ts
@@ -1,13 +1,13 @@
 /** The follower's side of replication: stores entries and snapshots from the leader. */
 import type { HolderId, Millis } from '@lynxcourse/base'
 import type { Entry } from '../types/log.js'
-import type { AppendRequest, Output, SnapshotRequest } from '../types/messages.js'
-import { canTake } from '@lynxcourse/base'
+import type { AppendRequest, ReplicaOutput, SnapshotRequest } from '../types/messages.js'
+import { hasTransition } from '@lynxcourse/base'
 import { commitUpTo, lastIndex, refreshMembers, resetElectionTimer, send, applyRoleEvent, termAt } from './replica.js'
 import type { Replica } from './replica.js'
 
 /** Stores the leader's entries, or answers with the last index at which the two logs may match. */
-export function handleAppend (replica: Replica, from: HolderId, request: AppendRequest, now: Millis, out: Output): void {
+export function handleAppend (replica: Replica, from: HolderId, request: AppendRequest, now: Millis, out: ReplicaOutput): void {
   if (request.term < replica.term) {
     sendAppendAnswer(replica, from, false, lastIndex(replica), request.round, out)
     return
@@ -24,7 +24,7 @@
   commitUpTo(replica, Math.min(request.commit, matchIndex), out)
   // A heartbeat in place of a snapshot, or from a leader without a committed entry of its own term, has commit index 0
   // and doesn't show whether this follower is up to date.
-  if (request.commit > 0 && replica.commit >= request.commit) replica.freshAt = now
+  if (request.commit > 0 && replica.commit >= request.commit) replica.upToDateAt = now
   sendAppendAnswer(replica, from, true, matchIndex, request.round, out)
 }
 
@@ -34,7 +34,7 @@
   return termAt(replica, request.prevIndex) === request.prevTerm
 }
 
-function storeEntry (replica: Replica, entry: Entry, out: Output): void {
+function storeEntry (replica: Replica, entry: Entry, out: ReplicaOutput): void {
   if (entry.index <= replica.snapshot.index) return
   const storedTerm = termAt(replica, entry.index)
   if (storedTerm === entry.term) return
@@ -49,7 +49,7 @@
 }
 
 /** Installs the leader's snapshot if it is ahead of the commit index; keeps later entries only if the log matches it. */
-export function handleSnapshot (replica: Replica, from: HolderId, request: SnapshotRequest, now: Millis, out: Output): void {
+export function handleSnapshot (replica: Replica, from: HolderId, request: SnapshotRequest, now: Millis, out: ReplicaOutput): void {
   if (request.term < replica.term) {
     sendAppendAnswer(replica, from, false, lastIndex(replica), request.round, out)
     return
@@ -64,18 +64,18 @@
     replica.syncedIndex = lastIndex(replica)
     refreshMembers(replica)
     out.snapshot = snapshot
-    out.install = true
+    out.installSnapshot = true
   }
   sendAppendAnswer(replica, from, true, snapshot.index, request.round, out)
 }
 
 function recordLeaderContact (replica: Replica, leader: HolderId, now: Millis): void {
-  if (canTake(replica.chart, replica.role, 'leaderHeard')) applyRoleEvent(replica, 'leaderHeard')
+  if (hasTransition(replica.chart, replica.role, 'leaderHeard')) applyRoleEvent(replica, 'leaderHeard')
   replica.leader = leader
   replica.leaderLastSeenAt = now
   resetElectionTimer(replica, now)
 }
 
-function sendAppendAnswer (replica: Replica, to: HolderId, ok: boolean, index: number, round: number, out: Output): void {
+function sendAppendAnswer (replica: Replica, to: HolderId, ok: boolean, index: number, round: number, out: ReplicaOutput): void {
   send(replica, out, to, { type: 'appendAnswer', term: replica.term, ok, index, round })
 }
--- a/packages/agreement/src/core/replication.ts
+++ b/packages/agreement/src/core/leaderReplication.ts
@@ -1,9 +1,9 @@
 /** The leader's side of replication: appends entries, sends them and processes answers. */
 import type { HolderId, Millis } from '@lynxcourse/base'
 import type { EntryBody } from '../types/log.js'
-import type { AppendAnswer, Output } from '../types/messages.js'
+import type { AppendAnswer, ReplicaOutput } from '../types/messages.js'
 import {
-  commitUpTo, entryAt, isSettledLeader, lastEntryAt, lastIndex, maxReachedByQuorum, send, termAt
+  commitUpTo, entryAt, isEstablishedLeader, lastEntryAt, lastIndex, maxReachedByQuorum, send, termAt
 } from './replica.js'
 import type { Progress, Replica } from './replica.js'
 
@@ -14,7 +14,7 @@
 const snapshotResendElectionTimeouts = 3
 
 /** Appends an entry to the leader's log. Its timestamp is never lower than that of the entry before it. */
-export function appendEntry (replica: Replica, body: EntryBody, now: Millis, out: Output): number {
+export function appendEntry (replica: Replica, body: EntryBody, now: Millis, out: ReplicaOutput): number {
   const index = lastIndex(replica) + 1
   const entry = { index, term: replica.term, at: Math.max(now, lastEntryAt(replica)), body }
   replica.entries.push(entry)
@@ -27,7 +27,7 @@
 }
 
 /** Starts a new round: sends each other member its missing entries, or a heartbeat if it lacks none. */
-export function broadcast (replica: Replica, now: Millis, out: Output): void {
+export function broadcast (replica: Replica, now: Millis, out: ReplicaOutput): void {
   replica.round += 1
   replica.unconfirmedRoundSentAt.push(now)
   replica.nextHeartbeatAt = now + replica.times.heartbeatMs
@@ -47,7 +47,7 @@
   return progress
 }
 
-function replicateTo (replica: Replica, to: HolderId, now: Millis, out: Output): void {
+function replicateTo (replica: Replica, to: HolderId, now: Millis, out: ReplicaOutput): void {
   const progress = getProgress(replica, to, now)
   const prevIndex = progress.next - 1
   const prevTerm = termAt(replica, prevIndex)
@@ -68,10 +68,10 @@
  * this index would count as up to date with an outdated state, and a starting entry VM would serve removed routes.
  */
 function getAdvertisedCommit (replica: Replica): number {
-  return isSettledLeader(replica) ? replica.commit : 0
+  return isEstablishedLeader(replica) ? replica.commit : 0
 }
 
-function sendSnapshot (replica: Replica, to: HolderId, progress: Progress, now: Millis, out: Output): void {
+function sendSnapshot (replica: Replica, to: HolderId, progress: Progress, now: Millis, out: ReplicaOutput): void {
   const { term, round, snapshot } = replica
   if (now - progress.snapshotSentAt < replica.times.electionMs * snapshotResendElectionTimeouts) {
     // The heartbeat prevents the copy from starting an election while the snapshot is in flight.
@@ -85,7 +85,7 @@
 }
 
 /** Updates a member's progress by its answer and sends the entries that it still lacks. */
-export function handleAppendAnswer (replica: Replica, from: HolderId, answer: AppendAnswer, now: Millis, out: Output): void {
+export function handleAppendAnswer (replica: Replica, from: HolderId, answer: AppendAnswer, now: Millis, out: ReplicaOutput): void {
   const progress = getProgress(replica, from, now)
   progress.lastSeenAt = now
   progress.ackedRound = Math.max(progress.ackedRound, answer.round)
@@ -102,16 +102,16 @@
 }
 
 /** Commits the entries that a quorum has synced, if the last of them is of the current term. */
-export function advanceCommit (replica: Replica, out: Output): void {
+export function advanceCommit (replica: Replica, out: ReplicaOutput): void {
   const quorumIndex = maxReachedByQuorum(replica, id => getMatchIndex(replica, id))
   const index = Math.min(quorumIndex, lastIndex(replica))
   if (index <= replica.commit) return
   if (entryAt(replica, index)?.term !== replica.term) return
-  const wasEstablished = isSettledLeader(replica)
+  const wasEstablished = isEstablishedLeader(replica)
   commitUpTo(replica, index, out)
   // Followers count as up to date once they receive a commit index. An immediate broadcast saves them the wait for the
   // next regular heartbeat, 120 ms at the usual interval.
-  if (!wasEstablished && isSettledLeader(replica)) replica.nextHeartbeatAt = -Infinity
+  if (!wasEstablished && isEstablishedLeader(replica)) replica.nextHeartbeatAt = -Infinity
   confirmRounds(replica, out)
 }
 
@@ -121,20 +121,20 @@
 }
 
 /** Records the newest round that a quorum answered and completes the reads that this round confirms. */
-export function confirmRounds (replica: Replica, out: Output): void {
+export function confirmRounds (replica: Replica, out: ReplicaOutput): void {
   const getAckedRound = (id: HolderId): number =>
     id === replica.id ? replica.round : replica.progress.get(id)?.ackedRound ?? 0
   const round = maxReachedByQuorum(replica, getAckedRound)
   if (round > replica.confirmedRound) {
     const sentAt = replica.unconfirmedRoundSentAt[round - replica.firstUnconfirmedRound]
-    if (sentAt !== undefined) replica.confirmedAt = sentAt
+    if (sentAt !== undefined) replica.quorumConfirmedAt = sentAt
     replica.confirmedRound = round
     replica.unconfirmedRoundSentAt = replica.unconfirmedRoundSentAt.slice(round - replica.firstUnconfirmedRound + 1)
     replica.firstUnconfirmedRound = round + 1
   }
-  if (!isSettledLeader(replica)) return
+  if (!isEstablishedLeader(replica)) return
   const confirmedReads = replica.pendingReads.filter(read => read.round <= replica.confirmedRound)
   if (confirmedReads.length === 0) return
-  out.reads.push(...confirmedReads.map(read => read.token))
+  out.confirmedReads.push(...confirmedReads.map(read => read.token))
   replica.pendingReads = replica.pendingReads.filter(read => read.round > replica.confirmedRound)
 }
--- a/packages/agreement/src/core/repair.ts
+++ b/packages/agreement/src/core/memberChanges.ts
@@ -7,20 +7,20 @@
  * first as a learner. Its old copy is removed before the new one becomes a voter, because a swap in one step allows
  * quorums that don't overlap.
  */
-import { vmOfHolder } from '@lynxcourse/base'
+import { getHolderVm } from '@lynxcourse/base'
 import type { HolderId, Millis } from '@lynxcourse/base'
 import type { Member } from '../types/log.js'
-import type { Output } from '../types/messages.js'
-import { appendEntry, broadcast } from './replication.js'
-import { isSettledLeader, lastIndex } from './replica.js'
+import type { ReplicaOutput } from '../types/messages.js'
+import { appendEntry, broadcast } from './leaderReplication.js'
+import { isEstablishedLeader, lastIndex } from './replica.js'
 import type { Replica } from './replica.js'
 
 /** More voters would slow down commits and tolerate the loss of more failure domains than deployments plan for. */
 const maxVoters = 7
 
 /** Proposes the next membership change, if one is due and no other is in progress. */
-export function proposeMemberChange (replica: Replica, now: Millis, out: Output): void {
-  if (!isSettledLeader(replica)) return
+export function proposeMemberChange (replica: Replica, now: Millis, out: ReplicaOutput): void {
+  if (!isEstablishedLeader(replica)) return
   const isChangeInProgress = replica.membersIndex > replica.commit
   if (isChangeInProgress) return
   const members = planMemberChange(replica, now)
@@ -61,9 +61,9 @@
   for (const id of replica.joinRequests) {
     replica.joinRequests.delete(id)
     if (replica.members.some(member => member.id === id)) continue
-    const vm = vmOfHolder(id)
+    const vm = getHolderVm(id)
     // Learners don't count towards quorums, so an outdated learner of the same VM can be removed in the same step.
-    const remaining = replica.members.filter(member => member.voter || vmOfHolder(member.id) !== vm)
+    const remaining = replica.members.filter(member => member.voter || getHolderVm(member.id) !== vm)
     return [...remaining, { id, voter: false }]
   }
   return undefined
@@ -72,8 +72,8 @@
 function planPromotion (replica: Replica, now: Millis): readonly Member[] | undefined {
   for (const learner of replica.members) {
     if (learner.voter || !isCaughtUp(replica, learner.id, now)) continue
-    const vm = vmOfHolder(learner.id)
-    const outdated = replica.members.find(member => member.voter && vmOfHolder(member.id) === vm)
+    const vm = getHolderVm(learner.id)
+    const outdated = replica.members.find(member => member.voter && getHolderVm(member.id) === vm)
     if (outdated !== undefined) return replica.members.filter(member => member !== outdated)
     if (replica.members.filter(member => member.voter).length >= maxVoters) continue
     return replica.members.map(member => member === learner ? { id: member.id, voter: true } : member)
--- a/packages/agreement/src/core/replica.ts
+++ b/packages/agreement/src/core/replica.ts
@@ -2,7 +2,7 @@
 import type { Chart, HolderId, Millis, Random } from '@lynxcourse/base'
 import { nextState } from '@lynxcourse/base'
 import type { Entry, Member, Snapshot, StoredLog } from '../types/log.js'
-import type { Envelope, Message, Output, ReplicaTimes } from '../types/messages.js'
+import type { Envelope, Message, ReplicaOutput, ReplicaTimes } from '../types/messages.js'
 
 /** Replication progress of one other member, as the leader tracks it. */
 export interface Progress {
@@ -47,7 +47,7 @@
   preVotedFor: HolderId | undefined
   preVotedAt: Millis
   /** When this follower last had every entry that the leader reported as committed. */
-  freshAt: Millis
+  upToDateAt: Millis
   votes: Set<HolderId>
   progress: Map<HolderId, Progress>
   nextHeartbeatAt: Millis
@@ -56,7 +56,7 @@
   unconfirmedRoundSentAt: Millis[]
   firstUnconfirmedRound: number
   /** Send time of the newest round that a quorum confirmed. */
-  confirmedAt: Millis
+  quorumConfirmedAt: Millis
   confirmedRound: number
   /** Index of this term's first entry: once it is committed, all earlier entries are known to be committed. */
   termStartIndex: number
@@ -106,14 +106,14 @@
     leaderLastSeenAt: -Infinity,
     preVotedFor: undefined,
     preVotedAt: -Infinity,
-    freshAt: -Infinity,
+    upToDateAt: -Infinity,
     votes: new Set(),
     progress: new Map(),
     nextHeartbeatAt: 0,
     round: 0,
     unconfirmedRoundSentAt: [],
     firstUnconfirmedRound: 1,
-    confirmedAt: -Infinity,
+    quorumConfirmedAt: -Infinity,
     confirmedRound: 0,
     termStartIndex: 0,
     pendingReads: [],
@@ -151,7 +151,7 @@
  * Whether this copy is the leader and has committed an entry of its own term. Before that, it may not know which older
  * entries are committed, so it must neither answer reads nor change members.
  */
-export function isSettledLeader (replica: Replica): boolean {
+export function isEstablishedLeader (replica: Replica): boolean {
   return isLeader(replica) && replica.commit >= replica.termStartIndex
 }
 
@@ -227,32 +227,32 @@
   replica.electionDueAt = now + Math.floor(replica.times.electionMs * (0.5 + replica.random() / 2))
 }
 
-export function createOutput (): Output {
+export function createOutput (): ReplicaOutput {
   return {
     hardState: undefined,
     entries: [],
     snapshot: undefined,
-    install: false,
+    installSnapshot: false,
     messages: [],
     committed: [],
-    reads: [],
+    confirmedReads: [],
     failedReads: [],
     proposed: []
   }
 }
 
-export function send (replica: Replica, out: Output, to: HolderId, message: Message): void {
+export function send (replica: Replica, out: ReplicaOutput, to: HolderId, message: Message): void {
   const envelope: Envelope = { cluster: replica.cluster, from: replica.id, to, message }
   out.messages.push(envelope)
 }
 
 /** Asks the host to save term and vote, and to sync them before it sends any message. */
-export function saveHardState (replica: Replica, out: Output): void {
+export function saveHardState (replica: Replica, out: ReplicaOutput): void {
   out.hardState = { term: replica.term, votedFor: replica.votedFor }
 }
 
 /** Raises the commit index to `commit` and hands the newly committed entries to the host. */
-export function commitUpTo (replica: Replica, commit: number, out: Output): void {
+export function commitUpTo (replica: Replica, commit: number, out: ReplicaOutput): void {
   for (let index = replica.commit + 1; index <= commit; index++) {
     const entry = entryAt(replica, index)
     if (entry !== undefined) out.committed.push(entry)
--- a/packages/agreement/src/types/messages.ts
+++ b/packages/agreement/src/types/messages.ts
@@ -74,17 +74,17 @@
  * Work that a step hands to its host, in this order: save and sync, then send, then apply. If the host sent
  * first, a crash before the sync would lose state that a vote or an acknowledgement has already promised.
  */
-export interface Output {
+export interface ReplicaOutput {
   hardState: HardState | undefined
   /** Entries to write at their indexes; they replace all stored entries from the first index on. */
   entries: Entry[]
   /** Replaces the snapshot on disk; with `install`, the state machine is reset to the snapshot. */
   snapshot: Snapshot | undefined
-  install: boolean
+  installSnapshot: boolean
   messages: Envelope[]
   committed: Entry[]
   /** Tokens of reads that a quorum confirmed; they may now be answered from the applied state. */
-  reads: number[]
+  confirmedReads: number[]
   /** Tokens of reads that this copy can't answer because it is not the leader. */
   failedReads: number[]
   /** Index and term assigned to each proposed command; empty if this copy is not the leader. */
--- a/packages/base/__tests__/base.test.ts
+++ b/packages/base/__tests__/base.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test'
 import fc from 'fast-check'
 import {
-  compileChart, isFinal, isLynxError, issueTimeOf, loadChart, makeRandom, makeRequestId, nextState, ownerByHash,
+  compileChart, isFinal, isLynxError, getIssueTime, loadChart, createRandom, createRequestId, nextState, findOwnerByHash,
   parseChart, parseRequestId, rankByHash
 } from '@lynxcourse/base'
 import type { ChartName } from '@lynxcourse/base'
@@ -45,8 +45,8 @@
 
 test('a request id contains its issue time', () => {
   fc.assert(fc.property(fc.integer({ min: 0, max: 2 ** 47 }), fc.integer(), (time, source) => {
-    const id = parseRequestId(makeRequestId(time, makeRandom(source)).toUpperCase())
-    assert.equal(issueTimeOf(id), time)
+    const id = parseRequestId(createRequestId(time, createRandom(source)).toUpperCase())
+    assert.equal(getIssueTime(id), time)
   }), propertyParameters)
 })
 
@@ -59,9 +59,9 @@
 test('the loss of a candidate moves only the keys that it owned', () => {
   fc.assert(fc.property(fc.uniqueArray(fc.stringMatching(/^[a-z]{1,8}$/), { minLength: 2, maxLength: 12 }), fc.string(), (candidates, key) => {
     const ranked = rankByHash(key, candidates)
-    assert.equal(ownerByHash(key, candidates), ranked[0])
+    assert.equal(findOwnerByHash(key, candidates), ranked[0])
     const lost = candidates[0] as string
     const remaining = candidates.filter(candidate => candidate !== lost)
-    assert.equal(ownerByHash(key, remaining), ranked.find(candidate => candidate !== lost))
+    assert.equal(findOwnerByHash(key, remaining), ranked.find(candidate => candidate !== lost))
   }), propertyParameters)
 })
--- a/packages/base/src/core/timeline.ts
+++ b/packages/base/src/core/timeline.ts
@@ -21,18 +21,18 @@
 }
 
 /** Schedules a callback at a time. It can't be cancelled: a callback that may become obsolete checks that itself. */
-export function plan (timeline: Timeline, at: Millis, run: () => void): void {
+export function scheduleAt (timeline: Timeline, at: Millis, run: () => void): void {
   timeline.scheduledCount += 1
   timeline.events.push({ at, order: timeline.scheduledCount, run })
 }
 
 /** Schedules a callback after a delay; a negative delay counts as 0. */
-export function after (timeline: Timeline, delayMs: Millis, run: () => void): void {
-  plan(timeline, timeline.now + Math.max(0, delayMs), run)
+export function scheduleAfter (timeline: Timeline, delayMs: Millis, run: () => void): void {
+  scheduleAt(timeline, timeline.now + Math.max(0, delayMs), run)
 }
 
 /** Runs all events up to and including a time and advances the clock to it. */
-export function playUntil (timeline: Timeline, endAt: Millis): void {
+export function runUntil (timeline: Timeline, endAt: Millis): void {
   for (;;) {
     const next = timeline.events.peek()
     if (next === undefined || next.at > endAt) break
--- a/packages/base/src/types/ids.ts
+++ b/packages/base/src/types/ids.ts
@@ -44,11 +44,11 @@
 }
 
 /** Builds the holder id of a VM and its incarnation. */
-export function holderOf (vm: VmId, incarnation: Incarnation): HolderId {
+export function createHolderId (vm: VmId, incarnation: Incarnation): HolderId {
   return `${vm}/${incarnation}` as HolderId
 }
 
 /** Returns the VM of a holder id. */
-export function vmOfHolder (holder: HolderId): VmId {
+export function getHolderVm (holder: HolderId): VmId {
   return holder.slice(0, holder.lastIndexOf('/')) as VmId
 }
--- a/packages/base/src/utils/hash.ts
+++ b/packages/base/src/utils/hash.ts
@@ -11,7 +11,7 @@
  * name cost far less than a text hash per pair: finding the first of 270 servers takes 3.2 µs on average instead of
  * 176 µs.
  */
-export function mixHashes (a: number, b: number): number {
+export function combineHashes (a: number, b: number): number {
   let mixed = Math.imul(a ^ Math.imul(b, 0x9e3779b1), 0x85ebca6b)
   mixed = Math.imul(mixed ^ (mixed >>> 13), 0xc2b2ae35)
   return (mixed ^ (mixed >>> 16)) >>> 0
@@ -32,7 +32,7 @@
 }
 
 /** Returns the first candidate of `rankByHash` without sorting; undefined if there are no candidates. */
-export function ownerByHash<Name extends string> (key: string, candidates: readonly Name[]): Name | undefined {
+export function findOwnerByHash<Name extends string> (key: string, candidates: readonly Name[]): Name | undefined {
   let owner: Name | undefined
   let maxScore = -1
   for (const name of candidates) {
--- a/packages/daemon/src/core/control/hostState.ts
+++ b/packages/daemon/src/core/control/hostState.ts
@@ -1,7 +1,7 @@
 /** The state of the host of one copy of the log, and the small steps on it that need no running host. */
 import { LynxError } from '@lynxcourse/base'
 import type { HolderId, Incarnation, Millis, Random, VmId } from '@lynxcourse/base'
-import { isSettledLeader } from '@lynxcourse/agreement'
+import { isEstablishedLeader } from '@lynxcourse/agreement'
 import type { Entry, Replica, ReplicaEvent } from '@lynxcourse/agreement'
 import type { CommandAnswer, Command, StateMachine, StateMachineCharts } from '@lynxcourse/state'
 import type { LogStorage } from '../../plugins/logStorage.js'
@@ -69,7 +69,7 @@
 
 /** Whether this VM leads and knows all that is committed. */
 export function leads (host: ControlHost | undefined): boolean {
-  return host?.replica !== undefined && isSettledLeader(host.replica)
+  return host?.replica !== undefined && isEstablishedLeader(host.replica)
 }
 
 export function failAll (host: ControlHost, err: LynxError): void {
--- a/packages/daemon/src/core/control/membership.ts
+++ b/packages/daemon/src/core/control/membership.ts
@@ -1,7 +1,7 @@
 /** How a disk comes to belong to a cluster, and how its copy of the log starts. */
 import { LynxError, loadChart } from '@lynxcourse/base'
 import type { HolderId } from '@lynxcourse/base'
-import { createReplica, firstSnapshot } from '@lynxcourse/agreement'
+import { createReplica, createInitialSnapshot } from '@lynxcourse/agreement'
 import type { Entry, HardState, Snapshot } from '@lynxcourse/agreement'
 import { deserializeStateMachine } from '@lynxcourse/state'
 import { writeIdentity, writeSnapshot } from '../../plugins/logStorage.js'
@@ -36,12 +36,12 @@
 export async function initCluster (host: ControlHost, cluster: string, voters: readonly HolderId[]): Promise<void> {
   if (!isBlank(host)) throw new LynxError('badRequest', `this VM belongs to cluster ${host.cluster}`, { step: 'init', field: 'cluster' })
   if (!voters.includes(host.id)) throw new LynxError('badRequest', `voters do not name ${host.id}`, { step: 'init', field: 'voters' })
-  await adoptCluster(host, cluster, firstSnapshot(voters, ''))
+  await adoptCluster(host, cluster, createInitialSnapshot(voters, ''))
 }
 
 /** Makes this blank disk a copy of a running cluster; the leader adds it as a learner. */
 export async function joinCluster (host: ControlHost, cluster: string): Promise<void> {
-  await adoptCluster(host, cluster, firstSnapshot([], ''))
+  await adoptCluster(host, cluster, createInitialSnapshot([], ''))
 }
 
 async function adoptCluster (host: ControlHost, cluster: string, snapshot: Snapshot): Promise<void> {
--- a/packages/daemon/src/core/control/reports.ts
+++ b/packages/daemon/src/core/control/reports.ts
@@ -1,5 +1,5 @@
 /** Takes VMs' reports at the leader and answers with their grants. */
-import { LynxError, vmOfHolder } from '@lynxcourse/base'
+import { LynxError, getHolderVm } from '@lynxcourse/base'
 import type { Millis } from '@lynxcourse/base'
 import { getGrants, recordUsageReport } from '@lynxcourse/limits'
 import * as z from 'zod'
@@ -16,7 +16,7 @@
 export function addReportMethod (rpc: RpcServer, duties: LeaderDuties): void {
   addMethod(rpc, 'leader.report', ['vm'], reportSchema, (params, caller) => {
     const report = params as unknown as VmReport
-    if (caller.role === 'vm' && caller.name !== vmOfHolder(report.holder)) {
+    if (caller.role === 'vm' && caller.name !== getHolderVm(report.holder)) {
       throw new LynxError('notAllowed', `vm:${caller.name} reports as ${report.holder}`, { step: 'report', field: 'holder' })
     }
     return takeReport(duties, report, presentTime())
--- a/packages/daemon/src/core/entry/announcements.ts
+++ b/packages/daemon/src/core/entry/announcements.ts
@@ -1,6 +1,6 @@
 /** Takes backend servers' announcements of themselves. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
-import { LynxError, isLynxError, messageOf } from '@lynxcourse/base'
+import { LynxError, isLynxError, getErrorMessage } from '@lynxcourse/base'
 import type { FailureDomainId, Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { findServer, putRecord } from '@lynxcourse/membership'
 import type { ServerRecord } from '@lynxcourse/membership'
@@ -63,9 +63,9 @@
   } catch (err) {
     const status = isLynxError(err, 'notAllowed') ? 403 : isLynxError(err, 'tooLarge') ? 413 : isLynxError(err, 'overCapacity') ? 429 : 400
     node.metrics.refusals.inc({ reason: isLynxError(err) ? err.code : 'badRequest' })
-    log(node.logs, 'announce', 'warn', 'Announcement refused.', { peer: req.socket.remoteAddress, error: messageOf(err) })
+    log(node.logs, 'announce', 'warn', 'Announcement refused.', { peer: req.socket.remoteAddress, error: getErrorMessage(err) })
     const field = isLynxError(err) ? err.field : undefined
-    res.writeHead(status, { 'content-type': 'application/json', connection: 'close' }).end(`${JSON.stringify({ detail: messageOf(err), field })}\n`)
+    res.writeHead(status, { 'content-type': 'application/json', connection: 'close' }).end(`${JSON.stringify({ detail: getErrorMessage(err), field })}\n`)
   }
 }
 
--- a/packages/daemon/src/core/entry/attemptSteps.ts
+++ b/packages/daemon/src/core/entry/attemptSteps.ts
@@ -1,6 +1,6 @@
 /** Steps that repeatable and once-only requests share: getting a slot, running an attempt, logging. */
 import { isFinal, nextState } from '@lynxcourse/base'
-import { isCurrent } from '@lynxcourse/membership'
+import { isLeaseValid } from '@lynxcourse/membership'
 import { mustLook, noteLook } from '@lynxcourse/placement'
 import type { Millis } from '@lynxcourse/base'
 import type { AttemptOutcome } from '@lynxcourse/routing'
@@ -58,7 +58,7 @@
 function mayStillSend (serving: Serving): boolean {
   const { entry, request } = serving
   const isLocalRead = request.profile.whenIsolated === 'local' && request.isIdempotent
-  return isLocalRead || isCurrent(entry.node.currency, presentTime())
+  return isLocalRead || isLeaseValid(entry.node.currency, presentTime())
 }
 
 /** Runs an attempt in a slot and gives the slot back. */
--- a/packages/daemon/src/core/entry/finalAnswers.ts
+++ b/packages/daemon/src/core/entry/finalAnswers.ts
@@ -1,7 +1,7 @@
 /** Makes and writes final answers. */
 import type { ServerResponse } from 'node:http'
 import { pipeline } from 'node:stream/promises'
-import { isLynxError, messageOf } from '@lynxcourse/base'
+import { isLynxError, getErrorMessage } from '@lynxcourse/base'
 import type { LynxError, Millis } from '@lynxcourse/base'
 import type { StoredAnswer } from '@lynxcourse/state'
 import { outcomeHeader, serverHeader, vmHeader } from '../../types/answers.js'
@@ -52,7 +52,7 @@
 /** The answer to a request that could not be taken. */
 export function refusalAnswer (err: unknown): FinalAnswer {
   const status = isLynxError(err) ? refusalStatus[err.code] ?? 500 : 500
-  return ownAnswer('refused', messageOf(err), undefined, status)
+  return ownAnswer('refused', getErrorMessage(err), undefined, status)
 }
 
 function headersOf (node: Node, answer: FinalAnswer): Record<string, string | string[] | number> {
--- a/packages/daemon/src/core/entry/forwarding.ts
+++ b/packages/daemon/src/core/entry/forwarding.ts
@@ -1,6 +1,6 @@
 /** Serves a caller's request to a service, from its head to its one final answer. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
-import { isCurrent } from '@lynxcourse/membership'
+import { isLeaseValid } from '@lynxcourse/membership'
 import { createCallerView } from '@lynxcourse/placement'
 import { earnRetry, getRoundTripMs, getMeanServiceMs, countAvailableSlots } from '@lynxcourse/routing'
 import type { AdmissionInput, CandidateRegion } from '@lynxcourse/routing'
@@ -75,7 +75,7 @@
  */
 function openPlaces (entry: Entry, request: ForwardRequest, address: string, now: Millis): readonly CandidateRegion[] {
   const places = placesFor(entry, request.service, request.profile, callerInfo(entry, address))
-  if (isCurrent(entry.node.currency, now)) return places
+  if (isLeaseValid(entry.node.currency, now)) return places
   const mayServeLocally = request.profile.whenIsolated === 'local' && request.isIdempotent
   return mayServeLocally ? places.filter(place => place.region === entry.node.cfg.region && place.shift === undefined) : []
 }
--- a/packages/daemon/src/core/entry/lookups.ts
+++ b/packages/daemon/src/core/entry/lookups.ts
@@ -1,7 +1,7 @@
 /** Look-ups: tells callers which entry VMs to use. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { ServiceId } from '@lynxcourse/base'
-import { isCurrent } from '@lynxcourse/membership'
+import { isLeaseValid } from '@lynxcourse/membership'
 import { callerBucketCount, selectEntryVms } from '@lynxcourse/routing'
 import type { Profile } from '@lynxcourse/state'
 import { splitAddress } from '../../utils/httpServer.js'
@@ -48,7 +48,7 @@
   refreshView(entry, now)
   const profile = profileFor(entry, service)
   // Without a lease this VM may name VMs that are gone or drained; another VM knows better.
-  if (!isCurrent(entry.node.currency, now) && profile?.whenIsolated !== 'local') {
+  if (!isLeaseValid(entry.node.currency, now) && profile?.whenIsolated !== 'local') {
     refuseLookup(entry, res, 503, 'this VM can not learn the present state; ask another')
     return
   }
--- a/packages/daemon/src/core/fleet/fleetControl.ts
+++ b/packages/daemon/src/core/fleet/fleetControl.ts
@@ -1,6 +1,6 @@
 /** A control VM of a fleet: its copy of the log, and changes and reads that any control VM takes. */
 import { join } from 'node:path'
-import { LynxError, brandId, hashText, holderOf, isLynxError, vmOfHolder } from '@lynxcourse/base'
+import { LynxError, brandId, hashText, createHolderId, isLynxError, getHolderVm } from '@lynxcourse/base'
 import type { HolderId, Incarnation, Millis, ServerId, VmId } from '@lynxcourse/base'
 import { createKnownVersions, findItem, acceptsAnnouncement, hasBackendChanged, recordKnownVersion, findRouteSet, getRoutesVersion, getKnownVersionAt } from '@lynxcourse/state'
 import type { BackendAnnouncement, ChangeAnswer, KnownVersions, RouteCommand, RouteSet } from '@lynxcourse/state'
@@ -51,7 +51,7 @@
   const isFounder = cfg.isFirstStart && cfg.seeds.includes(cfg.rpc)
   const host = await openControl(envOf(node, isFounder))
   if (isFounder && isBlank(host)) {
-    const voters: HolderId[] = cfg.seeds.map(seed => holderOf(brandId<VmId>(seed), founding))
+    const voters: HolderId[] = cfg.seeds.map(seed => createHolderId(brandId<VmId>(seed), founding))
     const cluster = `fleet-${hashText([...cfg.seeds].sort().join()).toString(16)}`
     await initCluster(host, cluster, [...voters].sort())
   }
@@ -82,7 +82,7 @@
 /** RPC address of the leader, if this VM knows one. */
 export function leaderOf (control: FleetControl): string | undefined {
   const leader = control.host.replica?.leader
-  return leader === undefined ? undefined : vmOfHolder(leader)
+  return leader === undefined ? undefined : getHolderVm(leader)
 }
 
 /**
@@ -187,7 +187,7 @@
 export function stateAge (control: FleetControl, now: Millis): Millis {
   const { replica, appliedFreshAt } = control.host
   if (replica === undefined) return Infinity
-  return now - (leads(control.host) ? replica.confirmedAt : appliedFreshAt)
+  return now - (leads(control.host) ? replica.quorumConfirmedAt : appliedFreshAt)
 }
 
 /** Whether an error says only that another VM should be asked. */
--- a/packages/daemon/src/core/fleet/fleetMethods.ts
+++ b/packages/daemon/src/core/fleet/fleetMethods.ts
@@ -1,7 +1,7 @@
 /** The RPC methods of a fleet's control VMs. */
 import { getDeltaSince } from '@lynxcourse/state'
 import type { BackendAnnouncement, ChangeAnswer, ConfigDelta, RouteCommand } from '@lynxcourse/state'
-import { LynxError, brandId, messageOf } from '@lynxcourse/base'
+import { LynxError, brandId, getErrorMessage } from '@lynxcourse/base'
 import type { Millis, RegionId, ServerId } from '@lynxcourse/base'
 import { chooseEntries, isGathering, newsFor, noteDigest, noteLoadReport } from '@lynxcourse/placement'
 import type { EntryPresence, LoadNews, LoadReport } from '@lynxcourse/placement'
@@ -131,7 +131,7 @@
   try {
     await call.look()
   } catch (err) {
-    log(node.logs, 'rpc', 'info', 'Call not taken up.', { method, peer: call.address, error: messageOf(err) })
+    log(node.logs, 'rpc', 'info', 'Call not taken up.', { method, peer: call.address, error: getErrorMessage(err) })
     throw err
   }
 }
--- a/packages/daemon/src/core/gateway/callerFront.ts
+++ b/packages/daemon/src/core/gateway/callerFront.ts
@@ -2,7 +2,7 @@
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
-import { LynxError, messageOf } from '@lynxcourse/base'
+import { LynxError, getErrorMessage } from '@lynxcourse/base'
 import type { Millis, ServiceId } from '@lynxcourse/base'
 import { createCallerView, mayTakeUp, noteLook, noteMoreRead, turnSpent } from '@lynxcourse/placement'
 import type { RoutedService, TurnSpent } from '@lynxcourse/placement'
@@ -38,7 +38,7 @@
 export function createCallerFront (gateway: Gateway): Server {
   const server = createServer({ maxHeaderSize: maxHeaderBytes, requestTimeout: 0 }, (req, res) => {
     answerCall(gateway, req, res).catch((err: unknown) => {
-      log(gateway.node.logs, 'route', 'error', 'Request not served.', { error: messageOf(err) })
+      log(gateway.node.logs, 'route', 'error', 'Request not served.', { error: getErrorMessage(err) })
       res.destroy()
     })
   })
@@ -221,7 +221,7 @@
   switch (end.type) {
     case 'tooMany': return refusal(gateway, 'too many bodies are held', notReadyRetryMs)
     case 'tooLarge': return ownAnswer(413, `body over ${gateway.limits.maxBodyBytes} bytes`)
-    case 'failed': throw new LynxError('badRequest', messageOf(end.err), { step: 'read body', cause: end.err })
+    case 'failed': throw new LynxError('badRequest', getErrorMessage(end.err), { step: 'read body', cause: end.err })
     case 'gone': return undefined
   }
 }
--- a/packages/daemon/src/core/node/queries.ts
+++ b/packages/daemon/src/core/node/queries.ts
@@ -1,7 +1,7 @@
 /** What operators may ask: any VM answers from its own view, or passes the question to the leader. */
-import { LynxError, vmOfHolder } from '@lynxcourse/base'
+import { LynxError, getHolderVm } from '@lynxcourse/base'
 import type { ServiceId } from '@lynxcourse/base'
-import { isCurrent, listServers, listVms } from '@lynxcourse/membership'
+import { isLeaseValid, listServers, listVms } from '@lynxcourse/membership'
 import { refreshBackend, routeRequest } from '@lynxcourse/routing'
 import { listItems, findServiceProfile } from '@lynxcourse/state'
 import * as z from 'zod'
@@ -113,7 +113,7 @@
     region: node.cfg.region,
     failureDomain: node.cfg.failureDomain,
     roles: node.cfg.roles,
-    current: isCurrent(node.currency, now),
+    current: isLeaseValid(node.currency, now),
     confirmedAgeMs: Number.isFinite(node.currency.confirmedAt) ? Math.round(now - node.currency.confirmedAt) : null,
     version: node.config.version,
     leader: node.leader,
@@ -129,7 +129,7 @@
     id: replica.id,
     role: replica.role,
     term: replica.term,
-    leader: replica.leader === undefined ? null : vmOfHolder(replica.leader),
+    leader: replica.leader === undefined ? null : getHolderVm(replica.leader),
     commit: replica.commit,
     members: replica.members,
     claims: control.machine.claims.records.size
@@ -155,7 +155,7 @@
     profile: profile.name,
     client,
     clientRegion: caller.region ?? null,
-    current: isCurrent(entry.node.currency, now),
+    current: isLeaseValid(entry.node.currency, now),
     places,
     decision: decision.type === 'send' ? { server: decision.observed.backend.id, region: decision.place.region } : 'wait',
     passedOver: decision.passedOver,
--- a/packages/daemon/src/core/node/reporting.ts
+++ b/packages/daemon/src/core/node/reporting.ts
@@ -1,5 +1,5 @@
 /** Reports to the leader what this VM uses, holds and has in flight, and takes its grants over. */
-import { messageOf } from '@lynxcourse/base'
+import { getErrorMessage } from '@lynxcourse/base'
 import type { DrainId, HolderId, RegionId, ServiceId } from '@lynxcourse/base'
 import { collectUsages, applyGrants } from '@lynxcourse/limits'
 import type { Grant, Usage } from '@lynxcourse/limits'
@@ -50,7 +50,7 @@
 /** Starts to report. */
 export function startReporting (node: Node, source: ReportSource): AsyncDisposable {
   return repeat(node.cfg.times.reportMs, async () => await reportOnce(node, source), err => {
-    log(node.logs, 'limit', 'warn', 'Report failed.', { peer: node.leader, error: messageOf(err) })
+    log(node.logs, 'limit', 'warn', 'Report failed.', { peer: node.leader, error: getErrorMessage(err) })
   })
 }
 
--- a/packages/faults/src/core/controlDuties.ts
+++ b/packages/faults/src/core/controlDuties.ts
@@ -1,9 +1,9 @@
 /** What a control VM of the model does besides agreeing: grants, syncs, and plans for drains and shifts. */
-import { vmOfHolder } from '@lynxcourse/base'
+import { getHolderVm } from '@lynxcourse/base'
 import type { HolderId, Millis } from '@lynxcourse/base'
 import { createGrantor, getGrants, recordUsageReport, planShares } from '@lynxcourse/limits'
 import type { Grant, Grantor, Usage } from '@lynxcourse/limits'
-import { isCurrent, noteConfirmed } from '@lynxcourse/membership'
+import { isLeaseValid, renewConfigLease } from '@lynxcourse/membership'
 import { getDeltaSince, listCaps, listItems, applyDelta } from '@lynxcourse/state'
 import type { ConfigDelta } from '@lynxcourse/state'
 import { FixedStepRule, evaluateDrain, planShift } from '@lynxcourse/steering'
@@ -15,7 +15,7 @@
 import { leadsNow, propose } from './controlLog.js'
 
 function mayGrant (control: ControlModel, now: Millis): boolean {
-  return leadsNow(control) && control.replica !== undefined && now - control.replica.confirmedAt < times.electionMs
+  return leadsNow(control) && control.replica !== undefined && now - control.replica.quorumConfirmedAt < times.electionMs
 }
 
 /** What a control VM knows of grants that has heard of none yet. */
@@ -46,15 +46,15 @@
 export function answerSync (world: World, control: ControlModel, version: number): { delta: ConfigDelta, ageMs: Millis | undefined, leader: string | undefined } {
   const { now } = world.network
   refreshView(control, now)
-  const ageMs = isCurrent(control.currency, now) ? now - control.currency.confirmedAt : undefined
+  const ageMs = isLeaseValid(control.currency, now) ? now - control.currency.confirmedAt : undefined
   const leader = control.replica?.leader
-  return { delta: getDeltaSince(control.view, version), ageMs, leader: leader === undefined ? undefined : vmOfHolder(leader) }
+  return { delta: getDeltaSince(control.view, version), ageMs, leader: leader === undefined ? undefined : getHolderVm(leader) }
 }
 
 function refreshView (control: ControlModel, now: Millis): void {
   if (!leadsNow(control) || control.replica === undefined) return
   applyDelta(control.view, getDeltaSince(control.machine.config, control.view.version))
-  noteConfirmed(control.currency, Math.min(now, control.replica.confirmedAt), 0)
+  renewConfigLease(control.currency, Math.min(now, control.replica.quorumConfirmedAt), 0)
 }
 
 export function doDuties (world: World, control: ControlModel): void {
@@ -76,7 +76,7 @@
 function syncFromLeader (world: World, control: ControlModel): void {
   const leader = control.replica?.leader
   if (leader === undefined || leadsNow(control)) return
-  const target = world.controls.find(other => other.vm === vmOfHolder(leader))
+  const target = world.controls.find(other => other.vm === getHolderVm(leader))
   if (target === undefined || target === control) return
   const askedAt = world.network.now
   const { version } = control.view
@@ -84,7 +84,7 @@
     const reply = answerSync(world, target, version)
     send(world.network, target.host, control.host, () => {
       const isWhole = applyDelta(control.view, reply.delta)
-      if (isWhole && reply.ageMs !== undefined) noteConfirmed(control.currency, askedAt, reply.ageMs)
+      if (isWhole && reply.ageMs !== undefined) renewConfigLease(control.currency, askedAt, reply.ageMs)
     })
   })
 }
--- a/packages/faults/src/core/controlLog.ts
+++ b/packages/faults/src/core/controlLog.ts
@@ -1,7 +1,7 @@
 /** A control VM's copy of the log in the model: feeding it, and carrying out what it says. */
-import { isSettledLeader, stepReplica } from '@lynxcourse/agreement'
-import type { HardState, Output, ReplicaEvent, Snapshot } from '@lynxcourse/agreement'
-import { vmOfHolder } from '@lynxcourse/base'
+import { isEstablishedLeader, stepReplica } from '@lynxcourse/agreement'
+import type { HardState, ReplicaOutput, ReplicaEvent, Snapshot } from '@lynxcourse/agreement'
+import { getHolderVm } from '@lynxcourse/base'
 import { applyEntry, listCaps, listItems, deserializeStateMachine, serializeStateMachine } from '@lynxcourse/state'
 import type { CommandAnswer, Command } from '@lynxcourse/state'
 import { send } from './network.js'
@@ -30,7 +30,7 @@
   compact(world, control)
 }
 
-function save (world: World, control: ControlModel, out: Output): void {
+function save (world: World, control: ControlModel, out: ReplicaOutput): void {
   const { replica, disk } = control
   if (replica === undefined || disk.stored === undefined) return
   if (world.without.has('preSync')) return
@@ -39,16 +39,16 @@
   disk.stored = { hardState, snapshot, entries: [...replica.entries] }
 }
 
-function sendMessages (world: World, control: ControlModel, out: Output): void {
+function sendMessages (world: World, control: ControlModel, out: ReplicaOutput): void {
   for (const envelope of out.messages) {
-    const target = world.controls.find(other => other.vm === vmOfHolder(envelope.to))
+    const target = world.controls.find(other => other.vm === getHolderVm(envelope.to))
     if (target === undefined) continue
     send(world.network, control.host, target.host, () => feed(world, target, { type: 'receive', envelope }))
   }
 }
 
-function applyOutput (world: World, control: ControlModel, out: Output): void {
-  if (out.install && out.snapshot !== undefined) control.machine = deserializeStateMachine(world.charts, out.snapshot.data)
+function applyOutput (world: World, control: ControlModel, out: ReplicaOutput): void {
+  if (out.installSnapshot && out.snapshot !== undefined) control.machine = deserializeStateMachine(world.charts, out.snapshot.data)
   for (const entry of out.committed) {
     checkCommitted(world, control.vm, entry)
     const before = control.machine.config.version
@@ -83,7 +83,7 @@
 }
 
 export function leadsNow (control: ControlModel): boolean {
-  return control.replica !== undefined && isSettledLeader(control.replica)
+  return control.replica !== undefined && isEstablishedLeader(control.replica)
 }
 
 /** Proposes a command; `done` is called only if it is committed while this life lasts. */
--- a/packages/faults/src/core/entryModel.ts
+++ b/packages/faults/src/core/entryModel.ts
@@ -1,8 +1,8 @@
 /** An entry VM of the model: its lease, its reports and its look-ups. */
-import { holderOf } from '@lynxcourse/base'
+import { createHolderId } from '@lynxcourse/base'
 import type { DrainId, Incarnation, VmId } from '@lynxcourse/base'
 import { createHolderLimits, collectUsages, applyGrants } from '@lynxcourse/limits'
-import { createCurrency, isCurrent, noteConfirmed } from '@lynxcourse/membership'
+import { createConfigLease, isLeaseValid, renewConfigLease } from '@lynxcourse/membership'
 import { listActiveDrains, createConfig, listCaps, applyDelta } from '@lynxcourse/state'
 import { checkCurrent, checkVersion, passStep } from './checks.js'
 import { answerReport, answerSync } from './controlDuties.js'
@@ -19,9 +19,9 @@
     kind: 'entry',
     host,
     vm: vm as VmId,
-    holder: holderOf(vm as VmId, '1' as Incarnation),
+    holder: createHolderId(vm as VmId, '1' as Incarnation),
     config: createConfig(),
-    currency: createCurrency(times.leaseMs),
+    currency: createConfigLease(times.leaseMs),
     limits: createHolderLimits(),
     leader: undefined,
     asked: world.entries.length,
@@ -38,9 +38,9 @@
 
 /** Starts the process; it remembers nothing. */
 export function startEntry (world: World, entry: EntryModel): void {
-  entry.holder = holderOf(entry.vm, String(entry.host.life) as Incarnation)
+  entry.holder = createHolderId(entry.vm, String(entry.host.life) as Incarnation)
   entry.config = createConfig()
-  entry.currency = createCurrency(times.leaseMs)
+  entry.currency = createConfigLease(times.leaseMs)
   entry.limits = createHolderLimits()
   entry.leader = undefined
   entry.inFlight = new Map()
@@ -78,7 +78,7 @@
       checkVersion(world, entry.vm, before, entry.config.version)
       entry.leader = reply.leader ?? entry.leader
       if (reply.ageMs === undefined) entry.asked += 1
-      else if (isWhole) noteConfirmed(entry.currency, askedAt, reply.ageMs)
+      else if (isWhole) renewConfigLease(entry.currency, askedAt, reply.ageMs)
     })
   })
 }
@@ -119,7 +119,7 @@
 /** Whether this VM may act on its configuration now. */
 export function mayAct (world: World, entry: EntryModel): boolean {
   const now = world.network.now
-  const current = world.without.has('lease') ? entry.config.version > 0 : isCurrent(entry.currency, now)
+  const current = world.without.has('lease') ? entry.config.version > 0 : isLeaseValid(entry.currency, now)
   if (current) checkCurrent(world, entry.vm, entry.config.version, times.leaseMs)
   return current
 }
--- a/packages/faults/src/core/requestModel.ts
+++ b/packages/faults/src/core/requestModel.ts
@@ -3,7 +3,7 @@
 import type { AttemptEvent, OnceEffect, OnceFlow } from '@lynxcourse/routing'
 import { brandId } from '@lynxcourse/base'
 import type { Millis, RequestId, ResourceId } from '@lynxcourse/base'
-import { plan } from '@lynxcourse/base/timeline'
+import { scheduleAt } from '@lynxcourse/base/timeline'
 import { acquireCapacity, releaseCapacity, hasCapacity, recordDemand } from '@lynxcourse/limits'
 import { listCaps } from '@lynxcourse/state'
 import type { CommandAnswer, ClaimCommand, SettleCommand } from '@lynxcourse/state'
@@ -202,7 +202,7 @@
   // Whatever becomes of this VM, its work at the server is over by the deadline.
   const left = Math.max(1, deadline - network.now)
   planAt(network, entry.host, left, () => finish('lost'))
-  plan(network, network.now + left, release)
+  scheduleAt(network, network.now + left, release)
   if (!server.host.alive) planAt(network, entry.host, 2, () => finish('notSent'))
   else if (!server.silentFrom.has(entry.vm)) sendOverStream(network, entry.host, server.host, () => serve(world, entry, server, deadline, finish, onRun))
 }
--- a/packages/faults/src/types/world.ts
+++ b/packages/faults/src/types/world.ts
@@ -1,7 +1,7 @@
 /** The small system that the fault matrix drives: hosts made of the project's own decision modules. */
 import type { Entry, Replica, StoredLog } from '@lynxcourse/agreement'
 import type { Chart, DrainId, HolderId, Millis, RequestId, ResourceId, VmId } from '@lynxcourse/base'
-import type { Currency } from '@lynxcourse/membership'
+import type { ConfigLease } from '@lynxcourse/membership'
 import type { Grantor, HolderLimits } from '@lynxcourse/limits'
 import type { CommandAnswer, ChangeAnswer, Config, StateMachine, StateMachineCharts } from '@lynxcourse/state'
 import type { VmProgress } from '@lynxcourse/steering'
@@ -40,7 +40,7 @@
   progress: Map<HolderId, VmProgress & { readonly loads: number }>
   drainsSeen: Map<DrainId, Millis>
   view: Config
-  currency: Currency
+  currency: ConfigLease
 }
 
 export interface EntryModel {
@@ -49,7 +49,7 @@
   readonly vm: VmId
   holder: HolderId
   config: Config
-  currency: Currency
+  currency: ConfigLease
   limits: HolderLimits
   leader: string | undefined
   /** Control VM asked last. */
--- a/packages/membership/__tests__/membership.test.ts
+++ b/packages/membership/__tests__/membership.test.ts
@@ -4,8 +4,8 @@
 import { brandId, loadChart } from '@lynxcourse/base'
 import type { VmId } from '@lynxcourse/base'
 import {
-  answerRequest, buildRequest, chooseParent, createCurrency, createDirectory, createUplink, defaultMembershipTimes, expireRecords,
-  findServer, findVm, isCurrent, noteConfirmed, putRecord, takeAnswer
+  answerSyncRequest, buildSyncRequest, chooseParent, createConfigLease, createDirectory, createUplink, defaultMembershipTimes, expireRecords,
+  findServer, findVm, isLeaseValid, renewConfigLease, putRecord, applySyncAnswer
 } from '@lynxcourse/membership'
 import type { Directory, ServerRecord, Uplink, VmRecord } from '@lynxcourse/membership'
 
@@ -40,8 +40,8 @@
   expireRecords(child.directory, now)
   expireRecords(parent.directory, now)
   chooseParent(child.uplink, { vm: child.self.key, region: child.self.region }, [{ vm: parent.self.key, region: parent.self.region }], now)
-  const request = buildRequest(child.uplink, child.directory, child.self, 0, now)
-  takeAnswer(child.uplink, child.directory, request, answerRequest(parent.directory, request, 0, '', now), now)
+  const request = buildSyncRequest(child.uplink, child.directory, child.self, 0, now)
+  applySyncAnswer(child.uplink, child.directory, request, answerSyncRequest(parent.directory, request, 0, '', now), now)
 }
 
 test('a backend server that one VM sees becomes known in another branch of the tree, and so does its expiry', () => {
@@ -93,8 +93,8 @@
   const children = Array.from({ length: 50 }, (_, number) => createTestNode(`c${number}`))
   for (let now = 0; now < 3000; now += 500) for (const child of children) sync(child, root, now)
   const child = children[0] as TestNode
-  const request = buildRequest(child.uplink, child.directory, child.self, 0, 3000)
-  const answer = answerRequest(root.directory, request, 0, '', 3000)
+  const request = buildSyncRequest(child.uplink, child.directory, child.self, 0, 3000)
+  const answer = answerSyncRequest(root.directory, request, 0, '', 3000)
   assert.deepEqual([request.vouched.length, answer.records.length, answer.full], [0, 0, false])
 })
 
@@ -110,13 +110,13 @@
 })
 
 test('a lease starts at the request time minus the age of the confirmation, and never moves back', () => {
-  const lease = createCurrency(1000)
-  assert.equal(isCurrent(lease, 0), false, 'a restarted VM holds no lease')
-  noteConfirmed(lease, 5000, 400)
-  assert.equal(isCurrent(lease, 5599), true)
-  assert.equal(isCurrent(lease, 5600), false)
-  noteConfirmed(lease, 4000, 0)
+  const lease = createConfigLease(1000)
+  assert.equal(isLeaseValid(lease, 0), false, 'a restarted VM holds no lease')
+  renewConfigLease(lease, 5000, 400)
+  assert.equal(isLeaseValid(lease, 5599), true)
+  assert.equal(isLeaseValid(lease, 5600), false)
+  renewConfigLease(lease, 4000, 0)
   assert.equal(lease.confirmedAt, 4600)
-  noteConfirmed(lease, 6000, -50)
+  renewConfigLease(lease, 6000, -50)
   assert.equal(lease.confirmedAt, 6000, 'a confirmation must not be dated after its request')
 })
--- a/packages/membership/src/core/currency.ts
+++ b/packages/membership/src/core/configLease.ts
@@ -11,14 +11,14 @@
 import type { Millis } from '@lynxcourse/base'
 
 /** State of one VM's configuration lease. */
-export interface Currency {
+export interface ConfigLease {
   readonly leaseMs: Millis
   /** When a quorum last confirmed the leader, by this VM's clock; never decreases. */
   confirmedAt: Millis
 }
 
 /** Creates a lease that is not valid until its first renewal. */
-export function createCurrency (leaseMs: Millis): Currency {
+export function createConfigLease (leaseMs: Millis): ConfigLease {
   return { leaseMs, confirmedAt: -Infinity }
 }
 
@@ -28,16 +28,16 @@
  * @param requestedAt when this VM sent the request that was answered
  * @param ageMs age of the confirmation when the answer was sent
  */
-export function noteConfirmed (lease: Currency, requestedAt: Millis, ageMs: Millis): void {
+export function renewConfigLease (lease: ConfigLease, requestedAt: Millis, ageMs: Millis): void {
   lease.confirmedAt = Math.max(lease.confirmedAt, requestedAt - Math.max(0, ageMs))
 }
 
 /** Whether the lease is valid, so that this VM may act on its configuration. */
-export function isCurrent (lease: Currency, now: Millis): boolean {
+export function isLeaseValid (lease: ConfigLease, now: Millis): boolean {
   return now - lease.confirmedAt < lease.leaseMs
 }
 
 /** Returns the age of the confirmation, for the VMs below; undefined if the lease is not valid. */
-export function confirmedAge (lease: Currency, now: Millis): Millis | undefined {
-  return isCurrent(lease, now) ? now - lease.confirmedAt : undefined
+export function getConfirmationAge (lease: ConfigLease, now: Millis): Millis | undefined {
+  return isLeaseValid(lease, now) ? now - lease.confirmedAt : undefined
 }
--- a/packages/membership/src/core/directory.ts
+++ b/packages/membership/src/core/directory.ts
@@ -3,7 +3,7 @@
  * directly, from VMs below it in the sync tree, or from its parent. Direct records and records from below expire when
  * they are not refreshed; records from the parent stay until the parent reports that they are gone.
  */
-import { canTake, nextState } from '@lynxcourse/base'
+import { hasTransition, nextState } from '@lynxcourse/base'
 import type { Chart, Millis, VmId } from '@lynxcourse/base'
 import type { DirectoryRecord, ServerRecord, VmRecord } from '../types/records.js'
 import { hasDifferentContent, isNewer, isTombstone } from '../types/records.js'
@@ -106,10 +106,10 @@
 function expireVm (directory: Directory, record: VmRecord, source: RecordSource, silentMs: Millis): VmRecord | undefined {
   const { times, vmChart } = directory
   const extraMs = source === 'below' ? times.relayGraceMs : 0
-  if (silentMs > times.lostMs + extraMs && canTake(vmChart, record.state, 'timedOut')) {
+  if (silentMs > times.lostMs + extraMs && hasTransition(vmChart, record.state, 'timedOut')) {
     return { ...record, state: nextState(vmChart, record.state, 'timedOut') }
   }
-  if (silentMs > times.suspectMs + extraMs && canTake(vmChart, record.state, 'missed')) {
+  if (silentMs > times.suspectMs + extraMs && hasTransition(vmChart, record.state, 'missed')) {
     return { ...record, state: nextState(vmChart, record.state, 'missed') }
   }
   return undefined
--- a/packages/membership/src/core/tree.ts
+++ b/packages/membership/src/core/syncTree.ts
@@ -59,7 +59,7 @@
 }
 
 /** Builds the next request to the parent, with all records that are new, have changed state or are due for a refresh. */
-export function buildRequest (
+export function buildSyncRequest (
   uplink: Uplink, directory: Directory, self: VmRecord, configVersion: number, now: Millis
 ): SyncRequest {
   const vouched: DirectoryRecord[] = []
@@ -74,7 +74,7 @@
 }
 
 /** Stores the records of a request from a VM below and answers with the changes that this VM lacks. */
-export function answerRequest (
+export function answerSyncRequest (
   directory: Directory, request: SyncRequest, confirmedAgeMs: Millis | undefined, leader: string, now: Millis
 ): SyncAnswer {
   putRecord(directory, request.self, 'direct', now)
@@ -91,7 +91,7 @@
 }
 
 /** Applies the parent's answer to the directory and the uplink. */
-export function takeAnswer (uplink: Uplink, directory: Directory, request: SyncRequest, answer: SyncAnswer, now: Millis): void {
+export function applySyncAnswer (uplink: Uplink, directory: Directory, request: SyncRequest, answer: SyncAnswer, now: Millis): void {
   for (const record of request.vouched) uplink.sent.set(getRecordKey(record), { record, at: now })
   for (const key of uplink.sent.keys()) {
     if (!directory.records.has(key)) uplink.sent.delete(key)
--- a/packages/placement/__tests__/support/fleet.ts
+++ b/packages/placement/__tests__/support/fleet.ts
@@ -1,5 +1,5 @@
 /** A small fleet as one entry VM knows it, and requests to it. */
-import { brandId, makeRandom } from '@lynxcourse/base'
+import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { createFleet, createFleetServer, placeRequest } from '@lynxcourse/placement'
 import type { Fleet, FleetServer, PlaceRequest, ServerFacts } from '@lynxcourse/placement'
@@ -21,7 +21,7 @@
 
 /** The fleet of one VM in Kochi that has learned the route's times and knows no plan. */
 export function fleetOf (...servers: FleetServer[]): Fleet {
-  const fleet = createFleet({ self: 'vm-1', region: kochi, random: makeRandom(seed), without: new Set() }, ['vm-1'])
+  const fleet = createFleet({ self: 'vm-1', region: kochi, random: createRandom(seed), without: new Set() }, ['vm-1'])
   for (const held of servers) fleet.byId.set(held.facts.id, held)
   fleet.byService.set(desk, servers)
   fleet.work.set('read desk', { coldMs: 240, warmMs: 72, longestMs: 240 })
--- a/packages/routing/__tests__/routing.test.ts
+++ b/packages/routing/__tests__/routing.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { brandId, isLynxError, loadChart, makeRandom } from '@lynxcourse/base'
+import { brandId, isLynxError, loadChart, createRandom } from '@lynxcourse/base'
 import type { RegionId, ServerId, ShiftId, VmId } from '@lynxcourse/base'
 import {
   continueAfterAttempt, continueAfterClaim, continueAfterRecord, continueAfterSlot, buildBlockTable, buildLookupIndex, canCompleteInTime, createBackends, createRetryBudget,
@@ -82,7 +82,7 @@
     if (observed === undefined) throw new Error('no server')
     for (const policy of ['slots', 'owner'] as const) {
       const sum: number = peers.reduce((total: number, self): number => {
-        const ctx: PolicyContext = { cfg: { ...defaultObservation, slowStartMs: 0.001 }, self, peers, random: makeRandom(1), now: 1000 }
+        const ctx: PolicyContext = { cfg: { ...defaultObservation, slowStartMs: 0.001 }, self, peers, random: createRandom(1), now: 1000 }
         return total + createServerPolicy(policy).countUsableSlots(observed, ctx)
       }, 0)
       assert.equal(sum, slots, policy)
@@ -96,7 +96,7 @@
   setBackends(backends, [backend('a')], 0)
   const observed = backends.byId.get(brandId<ServerId>('a'))
   if (observed === undefined) throw new Error('no server')
-  const ctx: PolicyContext = { cfg: defaultObservation, self: brandId('far'), peers: [brandId<VmId>('near')], random: makeRandom(1), now: 60_000 }
+  const ctx: PolicyContext = { cfg: defaultObservation, self: brandId('far'), peers: [brandId<VmId>('near')], random: createRandom(1), now: 60_000 }
   for (const policy of ['alone', 'slots', 'owner'] as const) assert.ok(createServerPolicy(policy).countUsableSlots(observed, ctx) > 0, policy)
 })
 
@@ -137,7 +137,7 @@
 test('a server gets no more requests than it has slots, none after it is leaving, and none beyond a limit', () => {
   const choices = fc.array(fc.record({ send: fc.boolean(), leave: fc.nat(3), pick: fc.nat(20), open: fc.boolean() }), { maxLength: 80 })
   fc.assert(fc.property(choices, list => {
-    const router = createRouter({ self: brandId('v'), region: kochi, policy: createServerPolicy('alone'), observation: defaultObservation, chart, random: makeRandom(3), latencies: new Map() })
+    const router = createRouter({ self: brandId('v'), region: kochi, policy: createServerPolicy('alone'), observation: defaultObservation, chart, random: createRandom(3), latencies: new Map() })
     router.peers = new Map([[kochi, [brandId<VmId>('v')]]])
     const leavingIds = new Set<string>()
     const inFlight: Array<Parameters<typeof endAttempt>[1]> = []
--- a/packages/routing/src/core/backends.ts
+++ b/packages/routing/src/core/backends.ts
@@ -2,7 +2,7 @@
  * The state of backend servers as observed by one entry VM: requests in flight, latency, failures and sheds. Loads that
  * servers announce or report are delayed and can be wrong, so the VM's own observations take precedence.
  */
-import { canTake, nextState } from '@lynxcourse/base'
+import { hasTransition, nextState } from '@lynxcourse/base'
 import type { Chart, Millis, ServerId, ServiceId } from '@lynxcourse/base'
 import type { Backend } from '../types/view.js'
 
@@ -87,7 +87,7 @@
   observed.backend = backend
   if (backend.leaving) {
     applyServerEvent(backends, observed, 'leaving')
-  } else if (canTake(backends.chart, observed.state, 'returned')) {
+  } else if (hasTransition(backends.chart, observed.state, 'returned')) {
     applyServerEvent(backends, observed, 'returned')
     observed.freshSince = now
   }
@@ -121,7 +121,7 @@
 }
 
 function applyServerEvent (backends: Backends, observed: ObservedServer, event: string): void {
-  if (canTake(backends.chart, observed.state, event)) observed.state = nextState(backends.chart, observed.state, event)
+  if (hasTransition(backends.chart, observed.state, event)) observed.state = nextState(backends.chart, observed.state, event)
 }
 
 /** Ends a server's ejection or slow start when its time is over. */
@@ -201,7 +201,7 @@
 function recordFailure (backends: Backends, observed: ObservedServer, now: Millis): void {
   const { cfg } = backends
   observed.failuresInRow += 1
-  if (observed.failuresInRow < cfg.ejectAfter || !canTake(backends.chart, observed.state, 'ejected')) return
+  if (observed.failuresInRow < cfg.ejectAfter || !hasTransition(backends.chart, observed.state, 'ejected')) return
   applyServerEvent(backends, observed, 'ejected')
   observed.ejectedUntil = now + Math.min(cfg.maxEjectMs, cfg.ejectMs * 2 ** observed.ejections)
   observed.ejections += 1
--- a/packages/routing/src/core/serverPolicy.ts
+++ b/packages/routing/src/core/serverPolicy.ts
@@ -1,5 +1,5 @@
 /** Policies by which an entry VM selects a backend server without consulting the other VMs. */
-import { ownerByHash } from '@lynxcourse/base'
+import { findOwnerByHash } from '@lynxcourse/base'
 import type { Millis, Random, VmId } from '@lynxcourse/base'
 import { countOpenSlots, estimateReportedLoad } from './backends.js'
 import type { ObservationCfg, ObservedServer } from './backends.js'
@@ -82,7 +82,7 @@
     const cached = this.ownersCache.get(key)
     if (cached !== undefined) return cached
     if (this.ownersCache.size > maxCachedOwners) this.ownersCache.clear()
-    const owners = Array.from({ length: slots }, (_, slot) => ownerByHash(`${id} ${slot}`, ctx.peers))
+    const owners = Array.from({ length: slots }, (_, slot) => findOwnerByHash(`${id} ${slot}`, ctx.peers))
     this.ownersCache.set(key, owners)
     return owners
   }
@@ -96,7 +96,7 @@
   readonly isShared = true
 
   override countUsableSlots (observed: ObservedServer, ctx: PolicyContext): number {
-    const mayUse = isRemote(ctx) || ownerByHash(observed.backend.id, ctx.peers) === ctx.self
+    const mayUse = isRemote(ctx) || findOwnerByHash(observed.backend.id, ctx.peers) === ctx.self
     return mayUse ? countOpenSlots(ctx.cfg, observed, ctx.now) : 0
   }
 }
--- a/packages/state/__tests__/state.test.ts
+++ b/packages/state/__tests__/state.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { brandId, loadChart, makeRandom, makeRequestId } from '@lynxcourse/base'
+import { brandId, loadChart, createRandom, createRequestId } from '@lynxcourse/base'
 import type { ChangeId, HolderId, ResourceId } from '@lynxcourse/base'
 import {
   applyEntry, claimLifetimeMs, maxClaimClockSkewMs, createConfig, createStateMachine, getDeltaSince, findItem, listItems, sumCeilings,
@@ -72,8 +72,8 @@
 test('an id is granted to one copy only, and never after notRun was recorded', () => {
   fc.assert(fc.property(fc.array(claimAction, { maxLength: 60 }), actions => {
     const log = createLog()
-    const random = makeRandom(1)
-    const ids = Array.from({ length: 4 }, () => makeRequestId(startTime, random))
+    const random = createRandom(1)
+    const ids = Array.from({ length: 4 }, () => createRequestId(startTime, random))
     const granted = new Map<string, string>()
     const notRun = new Set<string>()
     for (const { kind: action, id: idIndex, holder: holderIndex, token: copy } of actions) {
@@ -106,11 +106,11 @@
 test('ids that are too old or from the future are refused, and expired records are dropped', () => {
   // Guards against a late copy of a request that runs again.
   const log = createLog()
-  const random = makeRandom(2)
-  const id = makeRequestId(startTime, random)
+  const random = createRandom(2)
+  const id = createRequestId(startTime, random)
   const claim = (requestId: typeof id): ClaimAnswer => (apply(log, { type: 'claim', id: requestId, holder: brandId('v1/a'), token: 't' }) as { claim: ClaimAnswer }).claim
   assert.equal(claim(id).result, 'granted')
-  assert.equal(claim(makeRequestId(startTime + maxClaimClockSkewMs + 1, random)).result, 'refused')
+  assert.equal(claim(createRequestId(startTime + maxClaimClockSkewMs + 1, random)).result, 'refused')
   log.at += claimLifetimeMs + 20_000
   assert.equal(claim(id).result, 'refused')
   assert.equal(log.machine.claims.records.size, 0)
--- a/packages/state/src/core/changes.ts
+++ b/packages/state/src/core/changes.ts
@@ -1,5 +1,5 @@
 /** Applies operators' changes and the steps that the leader plans to the configuration. */
-import { canTake, nextState } from '@lynxcourse/base'
+import { hasTransition, nextState } from '@lynxcourse/base'
 import type { Chart } from '@lynxcourse/base'
 import type { AdvanceDrainCommand, AdvanceShiftCommand, Change, ChangeAnswer, WinningChange } from '../types/commands.js'
 import type { DrainItem, Origin, ProfileItem, ShiftItem } from '../types/items.js'
@@ -94,7 +94,7 @@
 function cancelDrain (config: Config, charts: ChangeCharts, change: ChangeOf<'cancelDrain'>, version: number, origin: Origin): ChangeAnswer {
   const current = findItem(config, 'drain', change.drain)
   if (current === undefined) return reject('notFound', `drain '${change.drain}'`)
-  if (!canTake(charts.drain, current.state, 'cancel')) return reject('badRequest', `drain is ${current.state}`)
+  if (!hasTransition(charts.drain, current.state, 'cancel')) return reject('badRequest', `drain is ${current.state}`)
   setItem(config, version, { ...current, state: nextState(charts.drain, current.state, 'cancel'), origin })
   return accept(config, version)
 }
@@ -129,7 +129,7 @@
 function steerShift (config: Config, charts: ChangeCharts, change: ChangeOf<'steerShift'>, version: number): ChangeAnswer {
   const current = findItem(config, 'shift', change.shift)
   if (current === undefined) return reject('notFound', `shift '${change.shift}'`)
-  if (!canTake(charts.shift, current.state, change.event)) return reject('badRequest', `shift is ${current.state}`)
+  if (!hasTransition(charts.shift, current.state, change.event)) return reject('badRequest', `shift is ${current.state}`)
   const state = nextState(charts.shift, current.state, change.event)
   const percent = state === 'cancelled' ? 0 : current.percent
   setItem(config, version, { ...current, state, percent })
@@ -140,7 +140,7 @@
 export function advanceShift (config: Config, charts: ChangeCharts, command: AdvanceShiftCommand, version: number, at: number): void {
   const current = findItem(config, 'shift', command.shift)
   if (current === undefined || current.percent !== command.fromPercent) return
-  if (!canTake(charts.shift, current.state, command.event)) return
+  if (!hasTransition(charts.shift, current.state, command.event)) return
   const percent = Math.min(command.percent, current.targetPercent, current.percent + current.stepPercent)
   const state = nextState(charts.shift, current.state, command.event)
   const steppedAt = percent === current.percent ? current.steppedAt : at
@@ -150,6 +150,6 @@
 /** Advances a drain if its chart allows the event. */
 export function advanceDrain (config: Config, charts: ChangeCharts, command: AdvanceDrainCommand, version: number): void {
   const current = findItem(config, 'drain', command.drain)
-  if (current === undefined || !canTake(charts.drain, current.state, command.event)) return
+  if (current === undefined || !hasTransition(charts.drain, current.state, command.event)) return
   setItem(config, version, { ...current, state: nextState(charts.drain, current.state, command.event) })
 }
--- a/packages/state/src/core/claims.ts
+++ b/packages/state/src/core/claims.ts
@@ -7,7 +7,7 @@
  * the lifetime of the records. Both ages are computed from the log's time, which is the same on all replicas and
  * never goes back.
  */
-import { issueTimeOf, nextState } from '@lynxcourse/base'
+import { getIssueTime, nextState } from '@lynxcourse/base'
 import type { Chart, HolderId, Millis, RequestId } from '@lynxcourse/base'
 import type { ClaimAnswer, ClaimCommand, ClaimOutcome, StoredAnswer, SettleAnswer, SettleCommand } from '../types/commands.js'
 
@@ -98,7 +98,7 @@
 }
 
 function checkNewClaim (claims: ClaimRegister, id: RequestId, at: Millis): ClaimAnswer | undefined {
-  const age = at - issueTimeOf(id)
+  const age = at - getIssueTime(id)
   if (age >= claimLifetimeMs) {
     return { result: 'refused', code: 'badRequestId', detail: `issued ${age} ms ago, but valid for only ${claimLifetimeMs} ms` }
   }
@@ -121,7 +121,7 @@
 
 function getExpiryBucket (id: RequestId): number {
   // Rounds up, so that a record is kept until its id is no longer valid.
-  return Math.ceil((issueTimeOf(id) + claimLifetimeMs) / expiryBucketMs)
+  return Math.ceil((getIssueTime(id) + claimLifetimeMs) / expiryBucketMs)
 }
 
 /** Drops the records of ids that have expired and are refused because of their age. */
--- a/scripts/bench/path.ts
+++ b/scripts/bench/path.ts
@@ -2,7 +2,7 @@
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { brandId, makeRandom } from '@lynxcourse/base'
+import { brandId, createRandom } from '@lynxcourse/base'
 import type { RegionId } from '@lynxcourse/base'
 import { buildBlockTable, buildLookupIndex, hashBlock, selectEntryVms, orderRegions, findRegionIndex, findRegion, getTableBytes } from '@lynxcourse/routing'
 import type { BlockTable, CallerBlock } from '@lynxcourse/routing'
@@ -32,7 +32,7 @@
 
 /** 860,000 blocks of mixed sizes over 41 regions, as at the target. */
 export function targetBlocks (count: number): CallerBlock[] {
-  const random = makeRandom(1)
+  const random = createRandom(1)
   const blocks: CallerBlock[] = []
   for (let place = 0; place < count; place++) {
     const network = Math.floor(place * (2 ** 24 / count))
@@ -44,7 +44,7 @@
 
 /** Look-ups a second of a function on one core. */
 function ratePure (work: (address: number) => unknown): number {
-  const random = makeRandom(2)
+  const random = createRandom(2)
   const addresses = Uint32Array.from({ length: 1 << 16 }, () => Math.floor(random() * 2 ** 32))
   let sink = 0
   const run = (rounds: number): void => { for (let n = 0; n < rounds; n++) for (const address of addresses) if (work(address) !== undefined) sink += 1 }
