--- a/packages/placement/__tests__/fleetBounds.test.ts
+++ b/packages/placement/__tests__/fleetBounds.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { hasColdToken, isWarmingVm, noteRequest, slotShare, spendRepeat, takeColdToken } from '@lynxcourse/placement'
+import { hasColdToken, isWarmingVm, noteRequest, computeSlotShare, spendRepeat, consumeColdToken } from '@lynxcourse/placement'
 import type { RetryShare } from '@lynxcourse/placement'
 import { desk, fleetOf, server } from './support/fleet.js'
 
@@ -22,7 +22,7 @@
       if (!isWarmingVm(cold, self, known)) continue
       for (let now = 0; now < 3000; now += 5) {
         if (!hasColdToken(cold, perSecond, now)) continue
-        takeColdToken(cold)
+        consumeColdToken(cold)
         arrivals.push(now)
       }
     }
@@ -56,9 +56,9 @@
 /** Guards against this failure: callers of a failure domain with one VM are refused twice as often as others. */
 test('a VM\'s share of the slots follows its part of the demand, within bounds', () => {
   const fleet = { ...fleetOf(server('a'), server('b'), server('c'), server('d')), vms: ['vm-1', 'vm-2', 'vm-3', 'vm-4'] }
-  assert.equal(slotShare(fleet, desk), 3)
-  fleet.demandParts.set(desk, 0.5)
-  assert.equal(slotShare(fleet, desk), 6)
-  fleet.demandParts.set(desk, 0)
-  assert.equal(slotShare(fleet, desk), 1.5)
+  assert.equal(computeSlotShare(fleet, desk), 3)
+  fleet.demandFractions.set(desk, 0.5)
+  assert.equal(computeSlotShare(fleet, desk), 6)
+  fleet.demandFractions.set(desk, 0)
+  assert.equal(computeSlotShare(fleet, desk), 1.5)
 })
--- a/packages/placement/__tests__/learning.test.ts
+++ b/packages/placement/__tests__/learning.test.ts
@@ -1,7 +1,7 @@
 /** What an entry VM learns from how a send ended, and tells the others. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { createLoadNotes, noteResult, placeRequest } from '@lynxcourse/placement'
+import { createLoadNotes, recordSendOutcome, placeRequest } from '@lynxcourse/placement'
 import type { EntryState, Placed, SendEnd } from '@lynxcourse/placement'
 import { fleetOf, request, server } from './support/fleet.js'
 
@@ -16,7 +16,7 @@
 
 function toldAfter (end: SendEnd): number {
   const { entry, placed } = stateOf()
-  noteResult(entry, request(), placed, end, 5, now + 5)
+  recordSendOutcome(entry, request(), placed, end, 5, now + 5)
   return entry.load.failed.size
 }
 
--- a/packages/placement/__tests__/placement.test.ts
+++ b/packages/placement/__tests__/placement.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import { brandId } from '@lynxcourse/base'
 import type { ServerId } from '@lynxcourse/base'
-import { learnWarmChance, noteFull, noteHandled, noteReport, noteShared, placeRequest } from '@lynxcourse/placement'
+import { updateWarmProbability, recordServerFull, noteHandled, recordLoadReport, recordSharedQueueDepth, placeRequest } from '@lynxcourse/placement'
 import type { FleetServer } from '@lynxcourse/placement'
 import { desk, kochi, mumbai, route, server, fleetOf, request, sentTo } from './support/fleet.js'
 
@@ -35,7 +35,7 @@
 /** Guards against this failure: at twice the load all requests come late. */
 test('with all queues long, the least urgent are refused at once and the most urgent still served', () => {
   const busy = server('busy')
-  noteReport(busy, 6, 1000)
+  recordLoadReport(busy, 6, 1000)
   const fleet = fleetOf(busy)
   const urgent = placeRequest(fleet, request({ route: route('read', { rank: 0 }) }), 1000)
   const idle = placeRequest(fleet, request({ route: route('read', { rank: 2 }) }), 1000)
@@ -63,7 +63,7 @@
   const fleet = fleetOf(server('a'), server('b'))
   const primary = sentTo(fleet, request())
   const held = fleet.byId.get(brandId<ServerId>(primary)) as FleetServer
-  noteShared(held, 9, 900)
+  recordSharedQueueDepth(held, 9, 900)
   assert.notEqual(sentTo(fleet, request()), primary)
   assert.equal(sentTo(fleet, request({ arrivedAt: 4000, deadline: 5200 }), 4000), primary)
 })
@@ -72,7 +72,7 @@
 test('in a full fleet objects keep to their primary servers', () => {
   const fleet = fleetOf(...['a', 'b', 'c', 'd'].map(id => server(id)))
   const primary = sentTo(fleet, request())
-  noteShared(fleet.byId.get(brandId<ServerId>(primary)) as FleetServer, 12, 950)
+  recordSharedQueueDepth(fleet.byId.get(brandId<ServerId>(primary)) as FleetServer, 12, 950)
   assert.notEqual(sentTo(fleet, request()), primary)
   fleet.sharedFill.set(desk, 1.2)
   assert.equal(sentTo(fleet, request()), primary)
@@ -92,7 +92,7 @@
   fleet.sharedFill.set(desk, 1)
   const first = placeRequest(fleet, request({ object: 'read|7' }), 1000)
   assert.ok(first.type === 'send')
-  noteFull(first.server, 1000)
+  recordServerFull(first.server, 1000)
   const meanwhile = placeRequest(fleet, request({ object: 'read|7' }), 1010)
   assert.ok(meanwhile.type === 'refuse' && meanwhile.reason === 'busy', JSON.stringify(meanwhile.type))
   const after = placeRequest(fleet, request({ object: 'read|7' }), 1060)
@@ -103,12 +103,12 @@
 test('an object stays with the server that is warm for it for as long as its new primary server may be cold', () => {
   const fleet = fleetOf(server('a'), server('b'))
   const newPrimary = sentTo(fleet, request())
-  for (let n = 0; n < 100; n++) learnWarmChance(fleet, request(), 'primary', true)
+  for (let n = 0; n < 100; n++) updateWarmProbability(fleet, request(), 'primary', true)
   const former = [...fleet.byId.values()].find(({ facts }) => facts.id !== newPrimary) as FleetServer
   noteHandled(fleet.warmth, former.facts.id, 'read|7', 900)
-  noteReport(former, 2, 950)
+  recordLoadReport(former, 2, 950)
   assert.equal(sentTo(fleet, request()), former.facts.id)
-  noteReport(former, 12, 950)
+  recordLoadReport(former, 12, 950)
   assert.equal(sentTo(fleet, request()), newPrimary, 'where the former one is full, the object moves')
 })
 
@@ -117,7 +117,7 @@
   const fleet = fleetOf(...['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(id => server(id)))
   const primary = sentTo(fleet, request())
   noteHandled(fleet.warmth, brandId<ServerId>(primary), 'read|7', 900)
-  noteReport(fleet.byId.get(brandId<ServerId>(primary)) as FleetServer, 7, 950)
+  recordLoadReport(fleet.byId.get(brandId<ServerId>(primary)) as FleetServer, 7, 950)
   assert.notEqual(sentTo(fleet, request({ deadline: 2200 })), primary, 'with time for cold work')
   assert.equal(sentTo(fleet, request({ deadline: 1239 })), primary)
 })
--- a/packages/placement/__tests__/support/fleet.ts
+++ b/packages/placement/__tests__/support/fleet.ts
@@ -25,7 +25,7 @@
   for (const held of servers) fleet.byId.set(held.facts.id, held)
   fleet.byService.set(desk, servers)
   fleet.work.set('read desk', { coldMs: 240, warmMs: 72, longestMs: 240 })
-  fleet.meanWork.set(desk, 100)
+  fleet.meanSlotTimes.set(desk, 100)
   fleet.travel.set(mumbai, 70)
   fleet.coldRates.set(desk, 10)
   return fleet
--- a/packages/placement/src/core/request/entryState.ts
+++ b/packages/placement/src/core/request/entryState.ts
@@ -1,52 +1,56 @@
-/** What one entry VM decides by: its fleet, what it told and was told of the load, its budgets, and what waits in it. */
+/** The state on which one entry VM bases its decisions: the fleet, the load data, the retry budget and the waiting requests. */
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import type { LoadNotes } from '../board/loadReport.js'
 import type { RetryBudgetCfg, RetryShare } from '../retries/retryShare.js'
-import { noteShared, noteSharedSilence } from '../server/fleetServer.js'
+import { recordSharedQueueDepth, recordSharedResponsiveness } from '../server/fleetServer.js'
 import type { LoadNews, WeightNews } from '../../types/loads.js'
 import type { Fleet } from './fleet.js'
 
-/** State of an entry VM's decisions. */
+/** The decision state of an entry VM. */
 export interface EntryState {
   readonly fleet: Fleet
+  /** Load observations for the next report. */
   readonly load: LoadNotes
   readonly retries: RetryShare
-  /** Requests that wait for room at the servers, by service. */
+  /** Number of requests that wait for server capacity, by service. */
   readonly waitingForRoom: Map<ServiceId, number>
 }
 
-/** What holds for a decision now and may be another at the next one. */
+/** Conditions of one decision; they may differ at the next one. */
 export interface EntryTerms {
   readonly retryBudget: RetryBudgetCfg
-  /** Whether this VM stops: it breaks off nothing that it has passed on, and lets nothing wait. */
+  /** Whether this VM is stopping: it then aborts no request in flight and lets no request wait for capacity. */
   readonly isLeaving: boolean
 }
 
-/** Takes over what all VMs together saw of the load. */
-export function takeLoadNews ({ fleet, load }: EntryState, news: LoadNews, region: RegionId, now: Millis): void {
-  const { without } = fleet.setup
-  for (const { service, shares, fill, busy } of news.plans) {
+/** Applies the load data that the leader published: plans, weights, unresponsive servers and queue depths. */
+export function takeLoadNews ({ fleet, load }: EntryState, update: LoadNews, region: RegionId, now: Millis): void {
+  const { without: disabledMechanisms } = fleet.setup
+  for (const { service, shares, fill, busy } of update.plans) {
     fleet.sharedFill.set(service, fill)
-    const ownBusy = load.demand.get(service)
-    if (ownBusy !== undefined && busy > 0) fleet.demandParts.set(service, ownBusy / busy)
-    const own = shares.find(([from]) => from === region)?.[1]
-    if (own !== undefined && !without.has('regionPlan')) fleet.shares.set(service, new Map(own))
+    const ownDemand = load.demand.get(service)
+    if (ownDemand !== undefined && busy > 0) fleet.demandFractions.set(service, ownDemand / busy)
+    const ownShares = shares.find(([from]) => from === region)?.[1]
+    if (ownShares !== undefined && !disabledMechanisms.has('regionPlan')) fleet.shares.set(service, new Map(ownShares))
   }
-  takeWeights(fleet, news.weights)
-  const silent = new Set<ServerId>(without.has('silentServers') ? [] : news.silent)
+  takeWeights(fleet, update.weights)
+  const unresponsive = new Set<ServerId>(disabledMechanisms.has('silentServers') ? [] : update.silent)
   for (const server of fleet.byId.values()) {
-    noteShared(server, 0, now)
-    noteSharedSilence(server, silent.has(server.facts.id), now)
+    recordSharedQueueDepth(server, 0, now)
+    recordSharedResponsiveness(server, unresponsive.has(server.facts.id), now)
   }
-  if (without.has('sharedLoad')) return
-  for (const [id, ahead] of news.full) {
+  if (disabledMechanisms.has('sharedLoad')) return
+  for (const [id, ahead] of update.full) {
     const server = fleet.byId.get(id)
-    if (server !== undefined) noteShared(server, ahead, now)
+    if (server !== undefined) recordSharedQueueDepth(server, ahead, now)
   }
 }
 
-/** Takes over the servers' weights. They come before or after the servers that they are for: a VM that starts hears of both in one reply. */
-export function takeWeights (fleet: Fleet, news: WeightNews | undefined): void {
-  const weights = new Map(fleet.setup.without.has('weights') ? [] : news?.servers)
+/**
+ * Applies the hash weights of the servers. Must be called again when servers were added: weights can arrive before the servers
+ * that they belong to, since a VM that starts receives both in one reply.
+ */
+export function takeWeights (fleet: Fleet, update: WeightNews | undefined): void {
+  const weights = new Map(fleet.setup.without.has('weights') ? [] : update?.servers)
   for (const server of fleet.byId.values()) server.weight = weights.get(server.facts.id) ?? 1
 }
--- a/packages/placement/src/core/request/fleet.ts
+++ b/packages/placement/src/core/request/fleet.ts
@@ -1,4 +1,4 @@
-/** What one entry VM knows of a fleet: its servers, and what it learned of their work and of the ways to them. */
+/** The state of a fleet as one entry VM knows it: its servers, and estimates of work times and network delays. */
 import type { Millis, Random, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import type { Route } from '@lynxcourse/state'
 import { createConcurrency } from '../admission/concurrency.js'
@@ -12,44 +12,46 @@
 import { workOf } from '../object/workModel.js'
 import type { WorkModel } from '../object/workModel.js'
 
-/** What placement needs for its whole life. */
+/** Settings that don't change while the VM runs. */
 export interface FleetSetup {
+  /** Name of this VM. */
   readonly self: string
   readonly region: RegionId
   readonly random: Random
-  /** Mechanisms that are left out. */
+  /** Disabled mechanisms. */
   readonly without: ReadonlySet<Mechanism>
 }
 
-/** Servers, what was learned of them, and the VMs beside this one. */
+/** Servers, estimates learned from their answers, and the entry VMs of the fleet. */
 export interface Fleet {
   readonly setup: FleetSetup
   readonly byId: Map<ServerId, FleetServer>
   byService: Map<ServiceId, FleetServer[]>
   readonly warmth: Warmth
   readonly work: WorkModel
-  /** Smoothed time in a slot, by service. */
-  readonly meanWork: Map<ServiceId, Millis>
-  /** Smoothed two-way travel to other regions; learned from connecting. */
+  /** Smoothed time that a request occupies a slot, by service. */
+  readonly meanSlotTimes: Map<ServiceId, Millis>
+  /** Smoothed round-trip time to other regions, learned from opening connections. */
   readonly travel: Map<RegionId, Millis>
-  /** Requests a second that a cold server of a service bears. */
+  /** Requests per second that a cold server can handle, by service. */
   readonly coldRates: Map<ServiceId, number>
+  /** Names of the entry VMs, this one included. */
   vms: readonly string[]
-  /** Where this region's objects are served, by service; empty before the first plan came. */
+  /** Fractions of this region's objects that each region serves, by service; empty until the first plan arrives. */
   readonly shares: Map<ServiceId, RegionShares>
-  /** Requests ahead for each slot, by service, as all VMs together saw it. */
+  /** Utilization over the reports of all VMs: running and waiting requests per slot, by service. */
   readonly sharedFill: Map<ServiceId, number>
-  /** This VM's part of the demand for a service, as all VMs together saw it. */
-  readonly demandParts: Map<ServiceId, number>
-  /** Chance that an object is warm where hashing puts it, by route, service and kind of place. */
-  readonly placeWarm: Map<string, number>
-  /** Smoothed ratio of real to expected times, by service; a server is slow only against its peers. */
-  readonly meanSlowness: Map<ServiceId, number>
-  /** Requests under way and how many there may be, by service. */
+  /** This VM's fraction of the demand of all VMs, by service. */
+  readonly demandFractions: Map<ServiceId, number>
+  /** Probability that an object is warm at a server where this VM has not seen it, by route, service and hash rank. */
+  readonly warmProbabilities: Map<string, number>
+  /** Smoothed ratio of observed to expected times, by service; a server is slow only relative to its peers. */
+  readonly meanSlowdowns: Map<ServiceId, number>
+  /** Requests in flight and their limit, by service. */
   readonly concurrency: Map<ServiceId, Concurrency>
 }
 
-/** A fleet of which nothing is known yet. */
+/** Creates a fleet without servers or learned estimates. */
 export function createFleet (setup: FleetSetup, vms: readonly string[]): Fleet {
   return {
     setup,
@@ -57,20 +59,20 @@
     byService: new Map(),
     warmth: createWarmth(),
     work: new Map(),
-    meanWork: new Map(),
+    meanSlotTimes: new Map(),
     travel: new Map(),
     coldRates: new Map(),
     vms,
     shares: new Map(),
     sharedFill: new Map(),
-    demandParts: new Map(),
-    placeWarm: new Map(),
-    meanSlowness: new Map(),
+    demandFractions: new Map(),
+    warmProbabilities: new Map(),
+    meanSlowdowns: new Map(),
     concurrency: new Map()
   }
 }
 
-/** Puts the fleet's servers into groups by service; to be called when servers came or left. */
+/** Rebuilds the groups of servers by service. Must be called after servers were added or removed. */
 export function regroupServers (fleet: Fleet): void {
   fleet.byService = new Map()
   for (const server of fleet.byId.values()) {
@@ -80,86 +82,87 @@
   }
 }
 
-/** A route's requests to one of its services; what is learned is learned for each pair. */
+/** A route and one of its services. Work times are learned for each such pair. */
 export interface RoutedService {
   readonly route: Route
   readonly service: ServiceId
 }
 
-/** Travel assumed to a region that was not reached yet, two-way. */
-const unknownTravelMs = 80
-/** Chance that an object is warm at such a place, before this VM has seen any there. */
-const firstWarmChances: Record<HashPlace, number> = { primary: 0.7, movedPrimary: 0.3, secondary: 0.1, remote: 0.1 }
+/** Assumed round-trip time to a region that has not been reached yet. */
+const defaultRoundTripMs = 80
+/** Probability that an object is warm at a server of each hash rank, before any answers. */
+const initialWarmProbabilities: Record<HashPlace, number> = { primary: 0.7, movedPrimary: 0.3, secondary: 0.1, remote: 0.1 }
 /**
- * While every object is cold, primary servers look no better than others; going to others would make each object
- * cold at several of them, and the first seconds would last for ten.
+ * Lower bound of the probability for primary servers. While every object is cold, learned probabilities would not favor primary
+ * servers; requests would then go to other servers too, each object would be cold at several servers, and the cold phase after
+ * a start would take ten seconds instead of a few.
  */
-const leastPrimaryChance = 0.5
-/** Smoothing of that chance as answers show it. */
-const chanceSmoothing = 0.03
-/** One freak answer must not make all servers look fast. */
-const maxRatioLearned = 10
-const slownessMeanSmoothing = 0.02
+const minPrimaryProbability = 0.5
+/** Smoothing factor of the learned probability. */
+const warmProbabilitySmoothing = 0.03
+/** Upper bound of one sample: a single outlier must not make all other servers look fast. */
+const maxSlowdownSample = 10
+const meanSlowdownSmoothing = 0.02
 
-/** The requests of a service under way at this VM. */
+/** Returns the concurrency state of a service at this VM and creates it on first use. */
 export function concurrencyOf (fleet: Fleet, service: ServiceId): Concurrency {
   const known = fleet.concurrency.get(service)
   if (known !== undefined) return known
-  const made = createConcurrency(slotShare(fleet, service))
-  fleet.concurrency.set(service, made)
-  return made
+  const created = createConcurrency(computeSlotShare(fleet, service))
+  fleet.concurrency.set(service, created)
+  return created
 }
 
-/** Least and most of an equal share that a VM may count as its own, whatever demand it sees. */
-const leastOfEqual = 0.5
-const mostOfEqual = 3
+/** Bounds of a VM's slot share, as multiples of an equal share of all VMs. */
+const minEqualShareFactor = 0.5
+const maxEqualShareFactor = 3
 
 /**
- * This VM's share of a service's open slots, by its part of the demand. With equal shares, callers of a failure domain with one VM
- * or at the height of their day are refused while the slots that others count as theirs are idle.
+ * Computes this VM's share of a service's open slots, in proportion to its fraction of the demand. Equal shares would refuse
+ * requests in a failure domain with a single VM, or in a region at its daily peak, while slots in the shares of other VMs are idle.
  */
-export function slotShare (fleet: Fleet, service: ServiceId): number {
-  const equal = 1 / Math.max(1, fleet.vms.length)
-  const part = fleet.demandParts.get(service) ?? equal
+export function computeSlotShare (fleet: Fleet, service: ServiceId): number {
+  const equalFraction = 1 / Math.max(1, fleet.vms.length)
+  const demandFraction = fleet.demandFractions.get(service) ?? equalFraction
   let slots = 0
   for (const { facts } of fleet.byService.get(service) ?? []) {
     if (!facts.isClosed) slots += facts.slots
   }
-  return slots * Math.min(mostOfEqual * equal, Math.max(leastOfEqual * equal, part))
+  return slots * Math.min(maxEqualShareFactor * equalFraction, Math.max(minEqualShareFactor * equalFraction, demandFraction))
 }
 
-/** Key of a request's learned times. */
+/** Returns the key of the work times that are learned for a request. */
 export function workKey (request: RoutedService): string {
   return `${request.route.name} ${request.service}`
 }
 
-/** Slot time that a request needs at a server that is warm for its object, or, without an object, the usual one of its service. */
-export function slotTimeOf (fleet: Fleet, request: RoutedService, object: string): Millis {
+/** Returns the slot time of a request at a server that is warm for its object, or the mean of its service for a request without an object. */
+export function estimateSlotTime (fleet: Fleet, request: RoutedService, object: string): Millis {
   const times = workOf(fleet.work, workKey(request), request.route.aimMs)
   if (request.route.isSticky && object !== '') return times.warmMs
-  return fleet.meanWork.get(request.service) ?? times.coldMs
+  return fleet.meanSlotTimes.get(request.service) ?? times.coldMs
 }
 
-/** Chance that an object is warm at a place where this VM has not seen it. */
-export function warmChance (fleet: Fleet, request: RoutedService, place: HashPlace): number {
-  const chance = fleet.placeWarm.get(`${workKey(request)} ${place}`) ?? firstWarmChances[place]
-  return place === 'primary' ? Math.max(leastPrimaryChance, chance) : chance
+/** Returns the probability that an object is warm at a server of the given hash rank where this VM has not seen it. */
+export function estimateWarmProbability (fleet: Fleet, request: RoutedService, hashRank: HashPlace): number {
+  const probability = fleet.warmProbabilities.get(`${workKey(request)} ${hashRank}`) ?? initialWarmProbabilities[hashRank]
+  return hashRank === 'primary' ? Math.max(minPrimaryProbability, probability) : probability
 }
 
-/** Learns whether an object was warm, from an answer of a server where this VM had not seen it. */
-export function learnWarmChance (fleet: Fleet, request: RoutedService, place: HashPlace, wasWarm: boolean): void {
-  const key = `${workKey(request)} ${place}`
-  const chance = warmChance(fleet, request, place)
-  fleet.placeWarm.set(key, chance + ((wasWarm ? 1 : 0) - chance) * chanceSmoothing)
+/** Updates that probability with an answer from a server where this VM had not seen the object. */
+export function updateWarmProbability (fleet: Fleet, request: RoutedService, hashRank: HashPlace, wasWarm: boolean): void {
+  const key = `${workKey(request)} ${hashRank}`
+  const probability = estimateWarmProbability(fleet, request, hashRank)
+  fleet.warmProbabilities.set(key, probability + ((wasWarm ? 1 : 0) - probability) * warmProbabilitySmoothing)
 }
 
-/** Takes a server's ratio of real to expected time into its service's mean. */
-export function learnSlowness (fleet: Fleet, service: ServiceId, ratio: number): void {
-  const mean = fleet.meanSlowness.get(service) ?? 1
-  fleet.meanSlowness.set(service, Math.max(1, mean + (Math.min(ratio, maxRatioLearned) - mean) * slownessMeanSmoothing))
+/** Updates the mean slowdown of a service with one server's ratio of observed to expected time. */
+export function updateMeanSlowdown (fleet: Fleet, service: ServiceId, ratio: number): void {
+  const mean = fleet.meanSlowdowns.get(service) ?? 1
+  fleet.meanSlowdowns.set(service, Math.max(1, mean + (Math.min(ratio, maxSlowdownSample) - mean) * meanSlowdownSmoothing))
 }
 
-/** Two-way travel to a region's servers. */
+/** Returns the estimated round-trip time to the servers of a region. */
 export function travelTo (fleet: Fleet, region: RegionId): Millis {
-  return fleet.travel.get(region) ?? (region === fleet.setup.region ? 0 : unknownTravelMs)
+  return fleet.travel.get(region) ?? (region === fleet.setup.region ? 0 : defaultRoundTripMs)
 }
--- a/packages/placement/src/core/request/learning.ts
+++ b/packages/placement/src/core/request/learning.ts
@@ -1,4 +1,4 @@
-/** What an entry VM learns from how a send ended: of the server, of the work, and of the load. */
+/** Updates an entry VM's estimates of servers, work times and load from the outcomes of sends. */
 import type { Millis } from '@lynxcourse/base'
 import { isServerError } from '../../types/sends.js'
 import type { LostReason, SendEnd } from '../../types/sends.js'
@@ -6,118 +6,118 @@
 import { noteAhead, noteFailedServer } from '../board/loadReport.js'
 import { noteHandled } from '../object/warmth.js'
 import { learnCutWork, learnWork, workOf } from '../object/workModel.js'
-import { noteAnswered, noteBad, noteFull, noteGood, noteReport, owedFor } from '../server/fleetServer.js'
+import { recordAnswer, recordFailure, recordServerFull, recordSuccess, recordLoadReport, getUnansweredMs } from '../server/fleetServer.js'
 import type { FleetServer } from '../server/fleetServer.js'
 import type { EntryState } from './entryState.js'
-import { concurrencyOf, learnSlowness, learnWarmChance, slotShare, travelTo, workKey } from './fleet.js'
+import { concurrencyOf, updateMeanSlowdown, updateWarmProbability, computeSlotShare, travelTo, workKey } from './fleet.js'
 import type { Placed } from './placeRequest.js'
 import type { PlaceRequest } from './scoring.js'
 
 /**
- * Notes that a server answered.
+ * Records that a server answered, whatever the status.
  *
- * @param ahead requests running and waiting there by its own word; undefined if it told none
+ * @param queueDepth running and waiting requests that the server reported; undefined if it reported none
  */
-export function noteReply ({ load }: EntryState, server: FleetServer, ahead: number | undefined, now: Millis): void {
-  noteAnswered(server, now)
-  if (ahead === undefined) return
-  noteReport(server, ahead, now)
-  noteAhead(load, server.facts.id, ahead)
+export function noteReply ({ load }: EntryState, server: FleetServer, queueDepth: number | undefined, now: Millis): void {
+  recordAnswer(server, now)
+  if (queueDepth === undefined) return
+  recordLoadReport(server, queueDepth, now)
+  noteAhead(load, server.facts.id, queueDepth)
 }
 
-/** Smoothing of the mean time in a slot. */
-const meanSmoothing = 0.05
+/** Smoothing factor of the mean slot time. */
+const meanSlotTimeSmoothing = 0.05
 
 /**
- * Learns from how sending ended.
+ * Updates the health of the server and the learned estimates with the outcome of a send.
  *
- * @param tookMs time since the request was on an open connection
+ * @param tookMs time from when the connection was open until the outcome
  */
-export function noteResult (entry: EntryState, request: PlaceRequest, placed: Placed, end: SendEnd, tookMs: Millis, now: Millis): void {
-  const { server } = placed
-  switch (end.type) {
+export function recordSendOutcome (entry: EntryState, request: PlaceRequest, placement: Placed, outcome: SendEnd, tookMs: Millis, now: Millis): void {
+  const { server } = placement
+  switch (outcome.type) {
     case 'answered':
-      if (isServerError(end.status)) noteBad(server, false, now)
-      else noteAnswer(entry, request, placed, tookMs, now)
+      if (isServerError(outcome.status)) recordFailure(server, false, now)
+      else learnFromAnswer(entry, request, placement, tookMs, now)
       break
     case 'notRun':
-      if (end.reason === 'full') {
-        noteFull(server, now)
+      if (outcome.reason === 'full') {
+        recordServerFull(server, now)
         break
       }
-      noteBad(server, true, now)
+      recordFailure(server, true, now)
       noteFailedServer(entry.load, server.facts.id)
       break
     case 'lost':
-      noteLost(entry, request, placed, end.reason, tookMs, now)
+      recordUnanswered(entry, request, placement, outcome.reason, tookMs, now)
       break
   }
 }
 
-/** Part of the longest expected time beyond which a request without an answer tells of its server by itself. */
-const overduePart = 1.3
+/** Factor of the longest expected time after which an unanswered request by itself counts as a certain failure of its server. */
+const overdueFactor = 1.3
 
 /**
  * Learns from a request that got no answer.
  *
- * What can go wrong: a route's timeout is hardly longer than the work for a cold object, so requests for objects that have just
- * moved end by it. Taken for a failure of the server, each of them shut it out, its other objects moved in turn, and ended the
- * same way. It shows as servers that are left alone while they answer others. So a request counts only where the server had the
- * time that the longest work takes: for the request itself, or for all that it owed this VM meanwhile.
+ * If a route's timeout is hardly longer than the work for a cold object, requests for objects that have just moved run into it.
+ * Counting each such timeout as a server failure would eject the server, move its other objects to cold servers, and make their
+ * requests time out in turn; the symptom is ejected servers that still answer other requests. A timeout therefore counts only if
+ * the server had the time of the longest work: for this request, or since it last answered this VM.
  */
-function noteLost (entry: EntryState, request: PlaceRequest, placed: Placed, reason: LostReason, tookMs: Millis, now: Millis): void {
-  const { server } = placed
-  // Whether a stranded request ever reached its server is not known, and the server takes no more work.
+function recordUnanswered (entry: EntryState, request: PlaceRequest, placement: Placed, reason: LostReason, tookMs: Millis, now: Millis): void {
+  const { server } = placement
+  // It is unknown whether a stranded request reached its server, and the server takes no more work anyway.
   if (reason === 'gone' || reason === 'stranded') return
-  const ranOut = reason === 'slow' || reason === 'deadline'
-  const enoughMs = placed.longestMs * overduePart
-  const isOverdue = ranOut && tookMs > enoughMs
-  if (ranOut && !isOverdue && owedFor(server, now) <= enoughMs) {
-    learnCutWork(workOf(entry.fleet.work, workKey(request), request.route.aimMs), inServerMs(entry, placed, tookMs))
+  const isTimeout = reason === 'slow' || reason === 'deadline'
+  const overdueMs = placement.maxExpectedMs * overdueFactor
+  const isOverdue = isTimeout && tookMs > overdueMs
+  if (isTimeout && !isOverdue && getUnansweredMs(server, now) <= overdueMs) {
+    learnCutWork(workOf(entry.fleet.work, workKey(request), request.route.aimMs), estimateServerTime(entry, placement, tookMs))
     return
   }
-  noteBad(server, isOverdue, now)
+  recordFailure(server, isOverdue, now)
   if (reason !== 'spoiled') noteFailedServer(entry.load, server.facts.id)
 }
 
-/** Learns how many requests of the service may be under way. */
-export function noteLoad (entry: EntryState, request: PlaceRequest, placed: Placed, end: SendEnd, tookMs: Millis, now: Millis): void {
+/** Updates the limit of the service's requests in flight with the outcome of a send. */
+export function updateConcurrencyLimit (entry: EntryState, request: PlaceRequest, placement: Placed, outcome: SendEnd, tookMs: Millis, now: Millis): void {
   const { fleet } = entry
-  const isLate = end.type === 'lost' && (end.reason === 'deadline' || end.reason === 'slow')
-  const isWork = end.type === 'answered' && !isServerError(end.status)
-  if (!isLate && !isWork) return
-  const ratio = isLate ? Infinity : inServerMs(entry, placed, tookMs) / expectedInServer(entry, request, placed)
-  learnConcurrency(concurrencyOf(fleet, request.service), ratio, slotShare(fleet, request.service), now)
+  const isTimeout = outcome.type === 'lost' && (outcome.reason === 'deadline' || outcome.reason === 'slow')
+  const isSuccess = outcome.type === 'answered' && !isServerError(outcome.status)
+  if (!isTimeout && !isSuccess) return
+  const ratio = isTimeout ? Infinity : estimateServerTime(entry, placement, tookMs) / getExpectedWorkTime(entry, request, placement)
+  learnConcurrency(concurrencyOf(fleet, request.service), ratio, computeSlotShare(fleet, request.service), now)
 }
 
-/** Time that a request spent at its server, waiting or working. */
-function inServerMs (entry: EntryState, placed: Placed, tookMs: Millis): Millis {
-  return Math.max(1, tookMs - travelTo(entry.fleet, placed.server.facts.region))
+/** Estimates the time that a request spent at its server, waiting or running. */
+function estimateServerTime (entry: EntryState, placement: Placed, tookMs: Millis): Millis {
+  return Math.max(1, tookMs - travelTo(entry.fleet, placement.server.facts.region))
 }
 
-/** Time that the work alone was expected to take, by whether the object was warm. */
-function expectedInServer (entry: EntryState, request: PlaceRequest, placed: Placed): Millis {
+/** Returns the expected time of the work alone, for a warm or a cold object. */
+function getExpectedWorkTime (entry: EntryState, request: PlaceRequest, placement: Placed): Millis {
   const times = workOf(entry.fleet.work, workKey(request), request.route.aimMs)
-  return placed.wasWarm ? times.warmMs : times.coldMs
+  return placement.wasWarm ? times.warmMs : times.coldMs
 }
 
-/** A ratio below this tells of chance and not of a slow server. */
-const leastSlowRatio = 1.6
+/** A smaller ratio is random variation, not a slow server. */
+const minSlowRatio = 1.6
 
-function noteAnswer (entry: EntryState, request: PlaceRequest, placed: Placed, tookMs: Millis, now: Millis): void {
+function learnFromAnswer (entry: EntryState, request: PlaceRequest, placement: Placed, tookMs: Millis, now: Millis): void {
   const { fleet } = entry
-  const { server, wasWarm, waitMs } = placed
+  const { server, wasWarm, waitMs } = placement
   const times = workOf(fleet.work, workKey(request), request.route.aimMs)
-  const inServer = inServerMs(entry, placed, tookMs)
-  const expected = expectedInServer(entry, request, placed) + waitMs
-  const ratio = inServer / expected
-  const wasFast = inServer - waitMs < (times.warmMs + times.coldMs) / 2
-  noteGood(server, ratio < leastSlowRatio ? 1 : ratio, now)
-  learnSlowness(fleet, request.service, ratio < leastSlowRatio ? 1 : ratio)
-  if (placed.place !== undefined && !wasWarm) learnWarmChance(fleet, request, placed.place, wasFast)
-  // What this VM has seen doesn't tell warm from cold: of many VMs, another one may have warmed the object.
-  if (!placed.isCold && waitMs === 0) learnWork(times, wasFast, inServer)
-  const mean = fleet.meanWork.get(request.service) ?? times.coldMs
-  fleet.meanWork.set(request.service, mean + (Math.min(inServer, times.coldMs) - mean) * meanSmoothing)
+  const serverMs = estimateServerTime(entry, placement, tookMs)
+  const expectedMs = getExpectedWorkTime(entry, request, placement) + waitMs
+  const ratio = serverMs / expectedMs
+  const wasFast = serverMs - waitMs < (times.warmMs + times.coldMs) / 2
+  recordSuccess(server, ratio < minSlowRatio ? 1 : ratio, now)
+  updateMeanSlowdown(fleet, request.service, ratio < minSlowRatio ? 1 : ratio)
+  if (placement.place !== undefined && !wasWarm) updateWarmProbability(fleet, request, placement.place, wasFast)
+  // `wasWarm` doesn't show whether the object was warm: another VM may have warmed it. The time of the answer does.
+  if (!placement.isCold && waitMs === 0) learnWork(times, wasFast, serverMs)
+  const mean = fleet.meanSlotTimes.get(request.service) ?? times.coldMs
+  fleet.meanSlotTimes.set(request.service, mean + (Math.min(serverMs, times.coldMs) - mean) * meanSlotTimeSmoothing)
   if (request.object !== '') noteHandled(fleet.warmth, server.facts.id, request.object, now)
 }
--- a/packages/placement/src/core/request/placeRequest.ts
+++ b/packages/placement/src/core/request/placeRequest.ts
@@ -1,7 +1,6 @@
 /**
- * Chooses the server of a request by the least expected time to completion: the way there and back,
- * the wait for a slot, and the work, which is shorter where the object is warm. Refuses at once what
- * can't be served in time.
+ * Selects the server with the shortest expected time to completion of a request: the round trip, the wait for a slot, and the
+ * work, which is shorter if the object is warm. Refuses at once a request that can't be served in time.
  */
 import type { Millis, ServiceId } from '@lynxcourse/base'
 import { mayStart } from '../admission/concurrency.js'
@@ -11,86 +10,89 @@
 import type { Fleet } from './fleet.js'
 import type { HashPlace } from '../object/hashPlaces.js'
 import type { FleetServer } from '../server/fleetServer.js'
-import { findBest, mayServe } from './scoring.js'
+import { selectBestServer, canServe } from './scoring.js'
 import type { PlaceRequest } from './scoring.js'
 import { workOf } from '../object/workModel.js'
 
-/** Where a request goes, and what is expected of it there. */
+/** The server that a request is sent to, and the expected times there. */
 export interface Placed {
   readonly type: 'send'
   readonly server: FleetServer
+  /** Whether this VM recently saw the server handle the object. */
   readonly wasWarm: boolean
-  /** What hashing says of the server for the object; undefined if nothing. */
+  /** Hash rank of the server for the object; undefined if it has none. */
   readonly place: HashPlace | undefined
+  /** Whether the server is in its warm-up. */
   readonly isCold: boolean
   readonly waitMs: Millis
+  /** Round-trip time to the server. */
   readonly travelMs: Millis
   readonly workMs: Millis
-  /** Time that the request takes at most as far as is known: the way, the wait, and the work for an object that is cold there. */
-  readonly longestMs: Millis
+  /** Longest expected time: the round trip, the wait, and the longest work for an object that is cold at the server. */
+  readonly maxExpectedMs: Millis
 }
 
-/** Why a request goes nowhere now. */
+/** Why a request is not sent to any server now. */
 export interface Refused {
   readonly type: 'refuse'
   readonly reason: 'noServer' | 'noTime' | 'busy'
-  /** After which a slot will have come. */
+  /** Time until a slot is expected to be free. */
   readonly retryAfterMs: Millis
 }
 
-/** Waits that are accepted beyond the aim, in parts of the work, by rank: the most urgent wait longest. */
-const patience = [1.5, 0.8, 0.5]
-/** Least and longest time that a refused caller is told to stay away. */
+/** Accepted wait beyond the latency objective, as a fraction of the round trip and the work, by rank: the most urgent requests wait longest. */
+const maxWaitFactors = [1.5, 0.8, 0.5]
+/** Bounds of the retry time that a refused caller receives. */
 const minRetryAfterMs = 100
 const maxRetryAfterMs = 5000
-/** Without any server, those that announce themselves come about this often. */
-const noServerRetryMs = 500
+/** Retry time if no server exists: about the interval at which servers announce themselves. */
+const noServerRetryAfterMs = 500
 
-/** Chooses a server for a request, or says when to come back. */
+/** Selects a server for a request, or refuses it with a time for the retry. */
 export function placeRequest (fleet: Fleet, request: PlaceRequest, now: Millis): Placed | Refused {
   const concurrency = concurrencyOf(fleet, request.service)
-  if (!mayStart(concurrency, request.route.rank, isLate(fleet, request, now))) return refuse(fleet, 'busy', timeToRoom(fleet, request.service, concurrency))
-  const best = findBest(fleet, request, now)
-  if (best === undefined) return refuseUnplaced(fleet, request, concurrency)
-  const { server, waitMs, travelMs, workMs, longestWorkMs, wasWarm, place } = best
-  const endsAt = now + travelMs + waitMs + workMs
-  if (endsAt > request.deadline) return refuse(fleet, 'noTime', endsAt - request.deadline)
-  const tooLong = waitMs - allowedWait(request, travelMs + workMs, now)
-  if (tooLong > 0) return refuse(fleet, 'busy', tooLong)
-  return { type: 'send', server, wasWarm, place, isCold: isCold(server, now), waitMs, travelMs, workMs, longestMs: travelMs + waitMs + Math.max(workMs, longestWorkMs) }
+  if (!mayStart(concurrency, request.route.rank, missesLatencyObjective(fleet, request, now))) return createRefusal(fleet, 'busy', estimateTimeToCapacity(fleet, request.service, concurrency))
+  const best = selectBestServer(fleet, request, now)
+  if (best === undefined) return refuseWithoutServer(fleet, request, concurrency)
+  const { server, waitMs, roundTripMs, workMs, maxWorkMs, wasWarm, place } = best
+  const endsAt = now + roundTripMs + waitMs + workMs
+  if (endsAt > request.deadline) return createRefusal(fleet, 'noTime', endsAt - request.deadline)
+  const excessWaitMs = waitMs - computeMaxWait(request, roundTripMs + workMs, now)
+  if (excessWaitMs > 0) return createRefusal(fleet, 'busy', excessWaitMs)
+  return { type: 'send', server, wasWarm, place, isCold: isCold(server, now), waitMs, travelMs: roundTripMs, workMs, maxExpectedMs: roundTripMs + waitMs + Math.max(workMs, maxWorkMs) }
 }
 
-/** Whether a request misses its latency objective even where its object is warm and a slot is free. */
-function isLate (fleet: Fleet, { route, service, arrivedAt }: PlaceRequest, now: Millis): boolean {
+/** Returns whether a request misses its latency objective even at a server that is warm for its object and has a free slot. */
+function missesLatencyObjective (fleet: Fleet, { route, service, arrivedAt }: PlaceRequest, now: Millis): boolean {
   return now - arrivedAt + workOf(fleet.work, workKey({ route, service }), route.aimMs).warmMs > route.aimMs
 }
 
-/** No server is open to a request: those that it may go to are without room for a moment, or there is none. */
-function refuseUnplaced (fleet: Fleet, request: PlaceRequest, concurrency: Concurrency): Refused {
+/** Refuses a request that no server can take: all servers that may serve it are full at the moment, or there is none. */
+function refuseWithoutServer (fleet: Fleet, request: PlaceRequest, concurrency: Concurrency): Refused {
   const { service } = request
-  const isBusy = (fleet.byService.get(service) ?? []).some(server => mayServe(request, server))
-  if (isBusy) return refuse(fleet, 'busy', timeToRoom(fleet, service, concurrency))
-  return { type: 'refuse', reason: 'noServer', retryAfterMs: noServerRetryMs }
+  const isBusy = (fleet.byService.get(service) ?? []).some(server => canServe(request, server))
+  if (isBusy) return createRefusal(fleet, 'busy', estimateTimeToCapacity(fleet, service, concurrency))
+  return { type: 'refuse', reason: 'noServer', retryAfterMs: noServerRetryAfterMs }
 }
 
-/** About the time in which what is under way now ends, at the pace at which answers come now. */
-function timeToRoom (fleet: Fleet, service: ServiceId, concurrency: Concurrency): Millis {
-  return (fleet.meanWork.get(service) ?? minRetryAfterMs) * Math.max(1, concurrency.meanRatio)
+/** Estimates the time until the requests in flight complete, from the present response times. */
+function estimateTimeToCapacity (fleet: Fleet, service: ServiceId, concurrency: Concurrency): Millis {
+  return (fleet.meanSlotTimes.get(service) ?? minRetryAfterMs) * Math.max(1, concurrency.meanRatio)
 }
 
 /**
- * How long a request may wait. Under load all slots are busy whatever the length of the queues; short
- * ones serve as many and serve them in time, so a wait beyond the aim is kept small and is longest for
- * the most urgent.
+ * Computes how long a request may wait for a slot. Under load all slots are busy whatever the queue depth: short queues serve as
+ * many requests as long ones, and serve them in time. The wait beyond the latency objective is therefore short, and longest for
+ * the most urgent requests.
  */
-function allowedWait (request: PlaceRequest, restMs: Millis, now: Millis): Millis {
-  const slack = request.route.aimMs - (now - request.arrivedAt) - restMs
-  const part = patience[Math.min(request.route.rank, patience.length - 1)] ?? 0
-  return Math.max(slack * (part >= 1 ? 1 : part), restMs * part)
+function computeMaxWait (request: PlaceRequest, serviceMs: Millis, now: Millis): Millis {
+  const slack = request.route.aimMs - (now - request.arrivedAt) - serviceMs
+  const factor = maxWaitFactors[Math.min(request.route.rank, maxWaitFactors.length - 1)] ?? 0
+  return Math.max(slack * (factor >= 1 ? 1 : factor), serviceMs * factor)
 }
 
-function refuse (fleet: Fleet, reason: Refused['reason'], afterMs: Millis): Refused {
-  // Spread over twice the time, since slots come one by one and not all at its end.
+function createRefusal (fleet: Fleet, reason: Refused['reason'], afterMs: Millis): Refused {
+  // The retries are spread over 0.5 to 2 times the time, since slots become free one by one.
   const spread = afterMs * (0.5 + fleet.setup.random() * 1.5)
   return { type: 'refuse', reason, retryAfterMs: Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, spread)) }
 }
--- a/packages/placement/src/core/request/requestRun.ts
+++ b/packages/placement/src/core/request/requestRun.ts
@@ -1,8 +1,8 @@
 /**
- * One request from its first try to its final answer.
+ * The course of one request from its arrival to its final outcome.
  *
- * A request is sent again only where that can't make it run twice although it must not: after proof that it did not run, or where
- * its route says that it may be repeated. The VM that holds the caller's connection decides alone, so nobody else sends it.
+ * A request is sent again only if it certainly did not run, or if its route is idempotent. The VM that holds the caller's
+ * connection alone decides this, so no other VM sends the request.
  */
 import type { Millis, ServerId } from '@lynxcourse/base'
 import { isServerError } from '../../types/sends.js'
@@ -13,176 +13,180 @@
 import { expectsRoom, lookPause, waitEnd } from '../admission/roomWait.js'
 import { noteDemand } from '../board/loadReport.js'
 import { noteRequest, spendRepeat } from '../retries/retryShare.js'
-import { isCold, takeColdToken } from '../server/coldShare.js'
-import { noteStart, noteStop, patienceFor } from '../server/fleetServer.js'
-import type { Running } from '../server/fleetServer.js'
+import { isCold, consumeColdToken } from '../server/coldShare.js'
+import { recordRequestStart, recordRequestEnd, computeResponseTimeout } from '../server/fleetServer.js'
+import type { RunningRequest } from '../server/fleetServer.js'
 import type { EntryState, EntryTerms } from './entryState.js'
-import { concurrencyOf, slotTimeOf } from './fleet.js'
-import { noteLoad, noteResult } from './learning.js'
+import { concurrencyOf, estimateSlotTime } from './fleet.js'
+import { updateConcurrencyLimit, recordSendOutcome } from './learning.js'
 import { placeRequest } from './placeRequest.js'
 import type { Placed, Refused } from './placeRequest.js'
 import type { PlaceRequest } from './scoring.js'
 
-/** Most servers without room that one request asks; each ask costs a round trip and a place in the retry budget. */
-const maxFull = 2
-/** A repeatable request is tried elsewhere once its server is doubted, and this much later. */
-const slowSlackMs: Millis = 200
-/** Time until a server that had no room is worth another try. */
-const fullRetryMs: Millis = 150
+/** Number of full servers that a request may meet and still be sent again: each send costs a round trip and a unit of the retry budget. */
+const maxFullServers = 2
+/** Delay after the response timeout before an idempotent request may fail over to another server. */
+const failoverSlackMs: Millis = 200
+/** Retry time for the caller after all tried servers were full. */
+const fullRetryAfterMs: Millis = 150
 
-/** A request and its tries so far. */
+/** A request and the results of its sends so far. */
 export interface RequestRun {
   readonly request: PlaceRequest
+  /** Servers to which the request was sent; `request.tried` is the same set. */
   readonly tried: Set<ServerId>
   readonly caller: CallerView
-  /** Until when it may wait for room. */
-  readonly waitsUntil: Millis
-  /** Servers at which it ran or may have run. */
-  runs: number
-  /** Servers that had no room for it. */
+  /** Time until which the request may wait for capacity. */
+  readonly maxWaitUntil: Millis
+  /** Number of servers that ran the request or may have run it. */
+  possibleRuns: number
+  /** Number of servers that rejected the request because they were full. */
   full: number
   sends: number
+  /** Outcome of the last send. */
   last: SendEnd | undefined
 }
 
-/** What to do next. */
+/** The next step for a request. */
 export type RunStep =
   | { readonly type: 'send', readonly placed: Placed }
-  /** Look at the caller's connection, note that look, and ask again. */
+  /** Poll the caller's connection, record that poll, and call `nextStep` again. */
   | { readonly type: 'look' }
-  /** Look for room again after this. */
+  /** Wait for capacity and call `nextStep` again after `pauseMs`. */
   | { readonly type: 'wait', readonly pauseMs: Millis }
-  /** It has not run and will not; the caller may come back. */
+  /** The request has not run and will not run; the caller may retry it. */
   | { readonly type: 'refuse', readonly refused: Refused }
-  /** The last server's answer is the caller's. */
+  /** The caller gets the answer of the last server. */
   | { readonly type: 'answer' }
-  /** Some server may have run it, and none answered. */
+  /** Some server may have run the request, and no answer can be returned. */
   | { readonly type: 'fail', readonly reason: 'deadline' | 'unanswered' | 'serverFailed' }
+  /** The caller disconnected. */
   | { readonly type: 'gone' }
 
-/** A send that is under way. */
+/** A send in flight. */
 export interface Sending {
   readonly placed: Placed
-  readonly running: Running
+  readonly running: RunningRequest
   readonly startedAt: Millis
-  /** When to ask whether to leave the server although the caller still waits; undefined to wait for the deadline. */
+  /** When to check `mayLeaveServer`; undefined if the request must stay at its server until the deadline. */
   readonly leaveAt: Millis | undefined
-  /** From then on it is longer under way than its work can explain. */
+  /** Time from which the expected work no longer explains the duration of the send. */
   readonly overdueAt: Millis
 }
 
-/** Begins with a request, and counts it. */
-export function startRun (entry: EntryState, request: Omit<PlaceRequest, 'tried'>, caller: CallerView, terms: EntryTerms, now: Millis): RequestRun {
+/** Creates the state of a request that has arrived, and counts it in the retry budget and the demand. */
+export function startRun (entry: EntryState, request: Omit<PlaceRequest, 'tried'>, caller: CallerView, conditions: EntryTerms, now: Millis): RequestRun {
   const { fleet, load, retries } = entry
   const { service, route, object, deadline } = request
-  noteRequest(retries, terms.retryBudget, service, now)
-  noteDemand(load, service, slotTimeOf(fleet, request, object))
+  noteRequest(retries, conditions.retryBudget, service, now)
+  noteDemand(load, service, estimateSlotTime(fleet, request, object))
   const tried = new Set<ServerId>()
-  return { request: { ...request, tried }, tried, caller, waitsUntil: waitEnd(route.aimMs, deadline, now), runs: 0, full: 0, sends: 0, last: undefined }
+  return { request: { ...request, tried }, tried, caller, maxWaitUntil: waitEnd(route.aimMs, deadline, now), possibleRuns: 0, full: 0, sends: 0, last: undefined }
 }
 
-/** Decides what becomes of a request that is not under way at a server now. */
-export function nextStep (entry: EntryState, run: RequestRun, terms: EntryTerms, now: Millis): RunStep {
-  if (run.last !== undefined && isFinal(run, run.last)) return stepAfterLast(run, run.last)
-  if (now >= run.request.deadline) return run.runs === 0 ? refusal('noTime') : { type: 'fail', reason: 'deadline' }
-  if (mustLook(run.caller, now)) return { type: 'look' }
-  const placement = placeRequest(entry.fleet, run.request, now)
+/** Decides the next step for a request that is not in flight at a server. */
+export function nextStep (entry: EntryState, state: RequestRun, conditions: EntryTerms, now: Millis): RunStep {
+  if (state.last !== undefined && isFinalOutcome(state, state.last)) return stepAfterOutcome(state, state.last)
+  if (now >= state.request.deadline) return state.possibleRuns === 0 ? createRefuseStep('noTime') : { type: 'fail', reason: 'deadline' }
+  if (mustLook(state.caller, now)) return { type: 'look' }
+  const placement = placeRequest(entry.fleet, state.request, now)
   if (placement.type === 'refuse') {
-    if (mayWaitForRoom(entry, run, placement, terms, now)) return { type: 'wait', pauseMs: lookPause(entry.fleet.setup.random) }
-    return run.runs > 0 ? stepAfterRuns(run) : { type: 'refuse', refused: placement }
+    if (mayWaitForCapacity(entry, state, placement, conditions, now)) return { type: 'wait', pauseMs: lookPause(entry.fleet.setup.random) }
+    return state.possibleRuns > 0 ? stepWithoutRetry(state) : { type: 'refuse', refused: placement }
   }
   const { retries, fleet } = entry
-  const isFirst = run.sends === 0
-  if (!isFirst && !spendRepeat(retries, terms.retryBudget, run.request.service, fleet.vms.length, now)) return stepAfterRuns(run)
+  const isFirstSend = state.sends === 0
+  if (!isFirstSend && !spendRepeat(retries, conditions.retryBudget, state.request.service, fleet.vms.length, now)) return stepWithoutRetry(state)
   return { type: 'send', placed: placement }
 }
 
-/** Counts a request as waiting for room, or as not waiting any more. */
+/** Adds a request to the number of those that wait for capacity, or removes it. */
 export function noteWaiting ({ waitingForRoom }: EntryState, { request: { service } }: RequestRun, change: 1 | -1): void {
   waitingForRoom.set(service, (waitingForRoom.get(service) ?? 0) + change)
 }
 
-/** Begins a send as it was decided. */
-export function beginSend ({ fleet }: EntryState, run: RequestRun, placed: Placed, now: Millis): Sending {
-  const { route, service } = run.request
-  const { server, travelMs, waitMs, workMs, longestMs } = placed
-  run.sends += 1
-  run.tried.add(server.facts.id)
-  if (isCold(server, now)) takeColdToken(server)
+/** Records the start of a send and returns its timeouts. */
+export function beginSend ({ fleet }: EntryState, state: RequestRun, placement: Placed, now: Millis): Sending {
+  const { route, service } = state.request
+  const { server, travelMs, waitMs, workMs, maxExpectedMs } = placement
+  state.sends += 1
+  state.tried.add(server.facts.id)
+  if (isCold(server, now)) consumeColdToken(server)
   const expectedMs = travelMs + waitMs + workMs
-  const running = noteStart(server, expectedMs, longestMs, now)
+  const running = recordRequestStart(server, expectedMs, maxExpectedMs, now)
   const concurrency = concurrencyOf(fleet, service)
-  // Where all servers are slow, work given up half done only adds to the load of the next one.
-  const mayLeave = route.isIdempotent && run.runs + 1 < route.maxAttempts && isCalm(concurrency)
+  // If all servers are slow, abandoning unfinished work only adds load at the next server.
+  const mayFailOver = route.isIdempotent && state.possibleRuns + 1 < route.maxAttempts && isCalm(concurrency)
   concurrency.underWay += 1
-  const overdueAt = now + patienceFor(expectedMs, longestMs) + slowSlackMs
-  return { placed, running, startedAt: now, leaveAt: mayLeave ? overdueAt : undefined, overdueAt }
+  const overdueAt = now + computeResponseTimeout(expectedMs, maxExpectedMs) + failoverSlackMs
+  return { placed: placement, running, startedAt: now, leaveAt: mayFailOver ? overdueAt : undefined, overdueAt }
 }
 
 /**
- * Whether another server would take the request now. Work given up with nobody to take it over ends in a
- * failure in place of a late answer; and a VM that stops must not break off what it has passed on.
+ * Returns whether a request may fail over to another server now. Without a server to take it, failing over would replace a late
+ * answer by a failure. A VM that is stopping must not abort requests in flight.
  */
-export function mayLeaveServer ({ fleet }: EntryState, run: RequestRun, { isLeaving }: EntryTerms, now: Millis): boolean {
-  return !isLeaving && placeRequest(fleet, run.request, now).type === 'send'
+export function mayLeaveServer ({ fleet }: EntryState, state: RequestRun, { isLeaving }: EntryTerms, now: Millis): boolean {
+  return !isLeaving && placeRequest(fleet, state.request, now).type === 'send'
 }
 
 /**
- * Whether a send is overdue at a server that takes no more work and has not answered anything since it began.
+ * Returns whether a send is overdue at a server that takes no more work and has answered nothing since the send started.
  *
- * What was written while the network was cut may arrive long after the cut, when nothing may reach the server's failure domain any
- * more. Whether it is still on its way or its server works on it can't be seen, so a late answer is given up for it.
+ * Data that was written during a network partition may arrive long after it, when requests must no longer reach the server's
+ * failure domain. The VM can't see whether the request is still in transit or already running, so it abandons the request even if
+ * that loses a late answer.
  */
 export function isStranded ({ fleet }: EntryState, { placed: { server }, startedAt, overdueAt }: Sending, { isLeaving }: EntryTerms, now: Millis): boolean {
   if (isLeaving || now < overdueAt || server.answeredAt > startedAt) return false
   return server.facts.isClosed || fleet.byId.get(server.facts.id) !== server
 }
 
-/** Takes the end of a send, and learns from it. */
-export function endSend (entry: EntryState, run: RequestRun, { placed, running, startedAt }: Sending, end: SendEnd, now: Millis): void {
-  concurrencyOf(entry.fleet, run.request.service).underWay -= 1
-  noteStop(placed.server, running)
-  // Opening a connection takes a way there and back; taken for the server's time, it showed far servers as overloaded.
-  const atServerMs = now - startedAt - (end.type === 'answered' ? end.openMs : 0)
-  noteResult(entry, run.request, placed, end, atServerMs, now)
-  noteLoad(entry, run.request, placed, end, atServerMs, now)
-  if (end.type === 'answered' || end.type === 'lost') run.runs += 1
-  if (end.type === 'notRun' && end.reason === 'full') run.full += 1
-  run.last = end
+/** Records the outcome of a send and learns from it. */
+export function endSend (entry: EntryState, state: RequestRun, { placed: placement, running, startedAt }: Sending, outcome: SendEnd, now: Millis): void {
+  concurrencyOf(entry.fleet, state.request.service).underWay -= 1
+  recordRequestEnd(placement.server, running)
+  // Opening a connection takes a round trip. Counted as server time, it would make servers in remote regions look overloaded.
+  const tookMs = now - startedAt - (outcome.type === 'answered' ? outcome.openMs : 0)
+  recordSendOutcome(entry, state.request, placement, outcome, tookMs, now)
+  updateConcurrencyLimit(entry, state.request, placement, outcome, tookMs, now)
+  if (outcome.type === 'answered' || outcome.type === 'lost') state.possibleRuns += 1
+  if (outcome.type === 'notRun' && outcome.reason === 'full') state.full += 1
+  state.last = outcome
 }
 
-function isFinal (run: RequestRun, end: SendEnd): boolean {
-  const { route } = run.request
-  if (end.type === 'notRun') return run.full > maxFull
-  if (end.type === 'lost' && (end.reason === 'gone' || end.reason === 'deadline')) return true
-  const isFailure = end.type === 'lost' || isServerError(end.status)
-  return !isFailure || !route.isIdempotent || run.runs >= route.maxAttempts
+function isFinalOutcome (state: RequestRun, outcome: SendEnd): boolean {
+  const { route } = state.request
+  if (outcome.type === 'notRun') return state.full > maxFullServers
+  if (outcome.type === 'lost' && (outcome.reason === 'gone' || outcome.reason === 'deadline')) return true
+  const isFailure = outcome.type === 'lost' || isServerError(outcome.status)
+  return !isFailure || !route.isIdempotent || state.possibleRuns >= route.maxAttempts
 }
 
-function stepAfterLast (run: RequestRun, end: SendEnd): RunStep {
-  switch (end.type) {
+function stepAfterOutcome (state: RequestRun, outcome: SendEnd): RunStep {
+  switch (outcome.type) {
     case 'answered': return { type: 'answer' }
-    case 'notRun': return stepAfterRuns(run)
+    case 'notRun': return stepWithoutRetry(state)
     case 'lost':
-      if (end.reason === 'gone') return { type: 'gone' }
-      return { type: 'fail', reason: end.reason === 'deadline' || end.reason === 'stranded' ? 'unanswered' : 'serverFailed' }
+      if (outcome.reason === 'gone') return { type: 'gone' }
+      return { type: 'fail', reason: outcome.reason === 'deadline' || outcome.reason === 'stranded' ? 'unanswered' : 'serverFailed' }
   }
 }
 
-/** The step when there is no further try: what is known of the tries so far. */
-function stepAfterRuns ({ last, runs }: RequestRun): RunStep {
+/** Returns the step for a request that is not sent again, from the results of its sends so far. */
+function stepWithoutRetry ({ last, possibleRuns }: RequestRun): RunStep {
   if (last?.type === 'answered') return { type: 'answer' }
-  return runs > 0 ? { type: 'fail', reason: 'serverFailed' } : refusal('busy')
+  return possibleRuns > 0 ? { type: 'fail', reason: 'serverFailed' } : createRefuseStep('busy')
 }
 
-function refusal (reason: Refused['reason']): RunStep {
-  return { type: 'refuse', refused: { type: 'refuse', reason, retryAfterMs: fullRetryMs } }
+function createRefuseStep (reason: Refused['reason']): RunStep {
+  return { type: 'refuse', refused: { type: 'refuse', reason, retryAfterMs: fullRetryAfterMs } }
 }
 
-function mayWaitForRoom ({ fleet, waitingForRoom }: EntryState, { request, waitsUntil }: RequestRun, refused: Refused, { isLeaving }: EntryTerms, now: Millis): boolean {
-  if (refused.reason !== 'busy' || isLeaving || fleet.setup.without.has('roomWait')) return false
+function mayWaitForCapacity ({ fleet, waitingForRoom }: EntryState, { request, maxWaitUntil }: RequestRun, refusal: Refused, { isLeaving }: EntryTerms, now: Millis): boolean {
+  if (refusal.reason !== 'busy' || isLeaving || fleet.setup.without.has('roomWait')) return false
   const { route, service } = request
   const { limit } = concurrencyOf(fleet, service)
-  const pace = { limit, meanMs: fleet.meanWork.get(service) ?? route.aimMs, waiting: waitingForRoom.get(service) ?? 0 }
-  return expectsRoom(pace, waitsUntil, now)
+  const pace = { limit, meanMs: fleet.meanSlotTimes.get(service) ?? route.aimMs, waiting: waitingForRoom.get(service) ?? 0 }
+  return expectsRoom(pace, maxWaitUntil, now)
 }
--- a/packages/placement/src/core/request/scoring.ts
+++ b/packages/placement/src/core/request/scoring.ts
@@ -1,10 +1,10 @@
-/** Scores servers for a request by the expected time to completion and what it costs others. */
+/** Scores servers for a request by the expected time to completion and the cost for other requests. */
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import type { Route } from '@lynxcourse/state'
 import { hasColdToken, isCold, isWarmingVm } from '../server/coldShare.js'
-import { travelTo, warmChance, workKey } from './fleet.js'
+import { travelTo, estimateWarmProbability, workKey } from './fleet.js'
 import type { Fleet } from './fleet.js'
-import { aheadOf, hasRoom, isStalled, isTrusted, sharedAheadOf, slownessOf } from '../server/fleetServer.js'
+import { aheadOf, hasCapacity, isStalled, isHealthy, estimateSharedQueueDepth, getSlowdown } from '../server/fleetServer.js'
 import type { FleetServer } from '../server/fleetServer.js'
 import { placesOf } from '../object/hashPlaces.js'
 import type { HashPlace } from '../object/hashPlaces.js'
@@ -13,202 +13,208 @@
 import { workOf } from '../object/workModel.js'
 import type { WorkTimes } from '../object/workModel.js'
 
-/** A request to be placed. */
+/** A request for which a server is to be selected. */
 export interface PlaceRequest {
   readonly route: Route
   readonly service: ServiceId
-  /** The object that it concerns; empty if unknown. */
+  /** Key of the request's object; empty if unknown. */
   readonly object: string
+  /** Servers to which the request was already sent. */
   readonly tried: ReadonlySet<ServerId>
-  /** When the caller first reached this VM. */
+  /** When the request arrived at this VM. */
   readonly arrivedAt: Millis
   readonly deadline: Millis
 }
 
-/** Extra for leaving the region that the plan names: what its bytes and its longer exposure to faults are worth. */
-const awayMs = 15
+/** Cost of a server outside the planned region: traffic between regions, and longer exposure to network faults. */
+const remoteRegionCostMs = 15
 /**
- * Wait at the planned region beyond which others are asked, in parts of the latency objective. Below it a request
- * that goes elsewhere finds a cold server and keeps two of them warm for one object.
+ * Wait in the planned region above which servers of other regions are considered, as a fraction of the latency objective. With
+ * a shorter wait, sending a request elsewhere would meet a cold server and keep two servers warm for one object.
  */
-const planWaitPart = 0.4
-/** Part of all slots in use from which work is weighed beyond its own time, and how fast that grows. */
-const freeFill = 0.3
-const fillWeight = 4
-const maxFillWeight = 3
-/** Requests ahead for each slot beyond which objects keep to their primary servers; with warm work there it stays well below. */
-const primaryOnlyFill = 0.85
-/** Cost of a full server's fill before anyone waits there, growing by its square: work comes unevenly, and reports lag. */
-const fillMs = 30
-
-/** Cost of cold work that its deadline may cut, in parts of the latency objective: the caller then has nothing instead of a late answer. */
-const cutRiskPart = 1
-
-/** A server with what is expected of it for a request. */
-export interface Scored {
+const maxPlannedWaitFraction = 0.4
+/** Utilization above which work costs more than its own time, and the increase of its weight per unit of utilization above that. */
+const unweightedUtilization = 0.3
+const workWeightSlope = 4
+const maxExtraWorkWeight = 3
+/** Utilization above which objects are served at their primary servers only. With warm work, utilization stays well below it. */
+const primaryOnlyUtilization = 0.85
+/** Cost of a utilization of 1, growing with its square. It applies before requests wait, since work arrives unevenly and reports lag. */
+const utilizationCostMs = 30
+
+/**
+ * Cost of cold work that may exceed its deadline, as a fraction of the latency objective: the caller then gets no answer instead of a
+ * late one.
+ */
+const timeoutRiskCostFraction = 1
+
+/** A server with its cost and expected times for a request. */
+export interface ScoredServer {
   readonly server: FleetServer
-  /** Expected time, and what the choice costs others, in milliseconds. */
+  /** Expected time, plus the cost for other requests. */
   readonly cost: Millis
-  /** Wait by what this VM saw itself. */
+  /** Wait by the queue depth that this VM knows from its own requests and answers. */
   readonly waitMs: Millis
-  /** Wait by what all VMs together saw. */
+  /** Wait by the queue depth from the reports of all VMs. */
   readonly sharedWaitMs: Millis
-  readonly travelMs: Millis
+  readonly roundTripMs: Millis
   readonly workMs: Millis
-  /** The longest that work of its route takes at the server. */
-  readonly longestWorkMs: Millis
-  /** Whether this VM saw the server handle the object lately. */
+  /** Longest time that work of the route takes at the server. */
+  readonly maxWorkMs: Millis
+  /** Whether this VM recently saw the server handle the object. */
   readonly wasWarm: boolean
-  /** What hashing says of the server for the object; undefined if nothing. */
+  /** Hash rank of the server for the object; undefined if it has none. */
   readonly place: HashPlace | undefined
 }
 
-/** The server of least cost; undefined where none is open to the request. */
-export function findBest (fleet: Fleet, request: PlaceRequest, now: Millis): Scored | undefined {
-  const trusted = trustedServers(fleet, request, now)
-  const open = trusted.filter(server => hasRoom(server, now))
-  const region = plannedRegion(fleet, request, trusted)
-  const isKeyed = request.route.isSticky && request.object !== ''
-  // A server without room for a moment keeps its objects: where all are busy they would only be cold elsewhere.
-  const places = isKeyed ? placesOf(trusted, `${request.service} ${request.object}`, region) : undefined
-  const fill = fillOfService(fleet, request.service, now)
-  const candidates = places === undefined ? open : candidatesOf(fleet, request, open, places, fill, now)
+/** Returns the server with the lowest cost for a request; undefined if no server can take it now. */
+export function selectBestServer (fleet: Fleet, request: PlaceRequest, now: Millis): ScoredServer | undefined {
+  const eligible = findEligibleServers(fleet, request, now)
+  const open = eligible.filter(server => hasCapacity(server, now))
+  const region = choosePlannedRegion(fleet, request, eligible)
+  const isSticky = request.route.isSticky && request.object !== ''
+  // Servers that are full at the moment keep their hash ranks: if all servers are busy, moving objects only makes them cold elsewhere.
+  const places = isSticky ? placesOf(eligible, `${request.service} ${request.object}`, region) : undefined
+  const utilization = estimateServiceUtilization(fleet, request.service, now)
+  const candidates = places === undefined ? open : findCandidates(fleet, request, open, places, utilization, now)
   const times = workOf(fleet.work, workKey(request), request.route.aimMs)
-  const { without } = fleet.setup
-  const isHeldBeside = places !== undefined && !without.has('movedPrimaries') && candidates.some(server => isWarmBesidePrimary(fleet, request, server, places, region, now))
-  const input: ScoreInput = { times, places, region, workWeight: without.has('workWeight') ? 1 : 1 + loadWeight(fill), isHeldBeside }
-  const planned = leastCost(fleet, request, candidates.filter(server => server.facts.region === region), input, now)
-  if (planned !== undefined && planned.sharedWaitMs <= request.route.aimMs * planWaitPart) return planned
-  return leastCost(fleet, request, candidates, input, now)
+  const { without: disabledMechanisms } = fleet.setup
+  const hasWarmNonPrimary = places !== undefined && !disabledMechanisms.has('movedPrimaries') && candidates.some(server => isWarmNonPrimary(fleet, request, server, places, region, now))
+  const input: ScoreInput = { times, places, region, workWeight: disabledMechanisms.has('workWeight') ? 1 : 1 + computeExtraWorkWeight(utilization), hasWarmNonPrimary }
+  const planned = findCheapest(fleet, request, candidates.filter(server => server.facts.region === region), input, now)
+  if (planned !== undefined && planned.sharedWaitMs <= request.route.aimMs * maxPlannedWaitFraction) return planned
+  return findCheapest(fleet, request, candidates, input, now)
 }
 
-/** Whether this VM saw the object lately at a server of the planned region that is not its primary server there. */
-function isWarmBesidePrimary (fleet: Fleet, request: PlaceRequest, { facts }: FleetServer, places: ReadonlyMap<ServerId, HashPlace>, region: RegionId | undefined, now: Millis): boolean {
-  return facts.region === region && places.get(facts.id) !== 'primary' && isWarm(fleet.warmth, facts.id, request.object, now)
+/** Returns whether the server is in the planned region, not the object's primary server there, and recently handled the object. */
+function isWarmNonPrimary (fleet: Fleet, request: PlaceRequest, { facts }: FleetServer, hashRanks: ReadonlyMap<ServerId, HashPlace>, region: RegionId | undefined, now: Millis): boolean {
+  return facts.region === region && hashRanks.get(facts.id) !== 'primary' && isWarm(fleet.warmth, facts.id, request.object, now)
 }
 
-function fillOfService (fleet: Fleet, service: ServiceId, now: Millis): number {
-  return Math.max(fleet.sharedFill.get(service) ?? 0, fillOf(fleet.byService.get(service) ?? [], now))
+function estimateServiceUtilization (fleet: Fleet, service: ServiceId, now: Millis): number {
+  return Math.max(fleet.sharedFill.get(service) ?? 0, computeUtilization(fleet.byService.get(service) ?? [], now))
 }
 
 /**
- * Servers that may get a request for an object: those that hashing names, and those that this VM saw warm. Where nearly
- * all slots are busy, only the object's primary server may: at others the work is cold and takes four times the slot time, pushes
- * other objects out of their warm places, and the fleet stays full of cold work although warm work would fit.
+ * Returns the servers that may get a request for an object: those with a hash rank, and those that are warm for it. If nearly
+ * all slots are busy, only the object's primary server is a candidate: work at other servers is cold, takes four times the slot
+ * time and evicts other objects from their caches, so that cold work keeps the fleet full although warm work would fit.
  */
-function candidatesOf (fleet: Fleet, request: PlaceRequest, open: readonly FleetServer[], places: ReadonlyMap<ServerId, HashPlace>, fill: number, now: Millis): FleetServer[] {
-  if (fill > primaryOnlyFill) return open.filter(server => places.get(server.facts.id) === 'primary')
+function findCandidates (fleet: Fleet, request: PlaceRequest, open: readonly FleetServer[], hashRanks: ReadonlyMap<ServerId, HashPlace>, utilization: number, now: Millis): FleetServer[] {
+  if (utilization > primaryOnlyUtilization) return open.filter(server => hashRanks.get(server.facts.id) === 'primary')
   const holders = holdersOf(fleet.warmth, request.object)
-  return open.filter(({ facts: { id } }) => places.has(id) || (holders.has(id) && isWarm(fleet.warmth, id, request.object, now)))
+  return open.filter(({ facts: { id } }) => hashRanks.has(id) || (holders.has(id) && isWarm(fleet.warmth, id, request.object, now)))
 }
 
-/** The region that the plan gives an object; a request without an object falls to a region by chance, in the same shares. */
-function plannedRegion (fleet: Fleet, request: PlaceRequest, trusted: readonly FleetServer[]): RegionId | undefined {
-  const near = fleet.setup.region
-  const shares = fleet.shares.get(request.service) ?? new Map([[near, 1]])
+/** Returns the region that the plan assigns to an object. A request without an object gets a random region, with the same shares. */
+function choosePlannedRegion (fleet: Fleet, request: PlaceRequest, eligible: readonly FleetServer[]): RegionId | undefined {
+  const localRegion = fleet.setup.region
+  const shares = fleet.shares.get(request.service) ?? new Map([[localRegion, 1]])
   const object = request.object === '' ? String(fleet.setup.random()) : request.object
-  return regionOf(shares, near, object, new Set(trusted.map(server => server.facts.region)))
+  return regionOf(shares, localRegion, object, new Set(eligible.map(server => server.facts.region)))
 }
 
-function leastCost (fleet: Fleet, request: PlaceRequest, candidates: readonly FleetServer[], input: ScoreInput, now: Millis): Scored | undefined {
-  let best: Scored | undefined
+function findCheapest (fleet: Fleet, request: PlaceRequest, candidates: readonly FleetServer[], input: ScoreInput, now: Millis): ScoredServer | undefined {
+  let best: ScoredServer | undefined
   for (const server of candidates) {
-    const scored = score(fleet, request, server, input, now)
+    const scored = scoreServer(fleet, request, server, input, now)
     if (best === undefined || scored.cost < best.cost) best = scored
   }
   return best
 }
 
 /**
- * How much more than its own time work counts. Where most slots are busy, work at a server that is not
- * warm for the object takes several times the slot time from those who wait: unweighed, a little wait
- * at the warm server sends requests to cold ones, all servers turn cold for all objects, and the fleet
- * serves a third of what it could without ever finding back.
+ * Computes the weight that work gets in addition to 1. If most slots are busy, cold work delays waiting requests by several times
+ * the slot time of warm work. Without this weight, a short wait at the warm server would send requests to cold servers, all
+ * servers would turn cold for all objects, and the fleet would serve a third of its capacity without recovering.
  */
-function loadWeight (fill: number): number {
-  return Math.min(maxFillWeight, Math.max(0, fill - freeFill) * fillWeight)
+function computeExtraWorkWeight (utilization: number): number {
+  return Math.min(maxExtraWorkWeight, Math.max(0, utilization - unweightedUtilization) * workWeightSlope)
 }
 
-/** Requests running and waiting for each slot of some servers. */
-function fillOf (servers: readonly FleetServer[], now: Millis): number {
-  let ahead = 0
+/** Returns the utilization of the open servers: running and waiting requests per slot. */
+function computeUtilization (servers: readonly FleetServer[], now: Millis): number {
+  let queueDepth = 0
   let slots = 0
   for (const server of servers) {
     if (server.facts.isClosed) continue
-    ahead += aheadOf(server, now)
+    queueDepth += aheadOf(server, now)
     slots += server.facts.slots
   }
-  return slots === 0 ? 0 : ahead / slots
+  return slots === 0 ? 0 : queueDepth / slots
 }
 
-/** Whether a server takes requests like this one at all, whatever its state is now. */
-export function mayServe ({ route: { homes }, tried }: PlaceRequest, { facts }: FleetServer): boolean {
+/** Returns whether a server is open to requests like this one, whatever its load and health are now. */
+export function canServe ({ route: { homes }, tried }: PlaceRequest, { facts }: FleetServer): boolean {
   return !facts.isClosed && !tried.has(facts.id) && (homes.length === 0 || homes.includes(facts.region))
 }
 
-/** Servers that a request may go to, now or as soon as they have room. */
-function trustedServers (fleet: Fleet, request: PlaceRequest, now: Millis): FleetServer[] {
-  const trusted: FleetServer[] = []
-  const ejected: FleetServer[] = []
+/** Returns the servers that may get a request, now or once they have capacity. */
+function findEligibleServers (fleet: Fleet, request: PlaceRequest, now: Millis): FleetServer[] {
+  const healthy: FleetServer[] = []
+  const unhealthy: FleetServer[] = []
   for (const server of fleet.byService.get(request.service) ?? []) {
-    if (!mayServe(request, server)) continue
-    if (!mayWarm(fleet, request.service, server, now)) continue
-    if (isTrusted(server, now)) trusted.push(server)
-    else if (!isStalled(server, now)) ejected.push(server)
+    if (!canServe(request, server)) continue
+    if (!mayReceiveRequest(fleet, request.service, server, now)) continue
+    if (isHealthy(server, now)) healthy.push(server)
+    else if (!isStalled(server, now)) unhealthy.push(server)
   }
-  // Where every server is ejected, ejection tells nothing: all but those that hang are tried.
-  return trusted.length > 0 ? trusted : ejected
+  // If every server is unhealthy, ejection doesn't distinguish them: all servers but the stalled ones are eligible.
+  return healthy.length > 0 ? healthy : unhealthy
 }
 
-function mayWarm (fleet: Fleet, service: ServiceId, server: FleetServer, now: Millis): boolean {
+/** Returns whether the rate limit of a cold server permits a request of this VM; other servers have no such limit. */
+function mayReceiveRequest (fleet: Fleet, service: ServiceId, server: FleetServer, now: Millis): boolean {
   if (!isCold(server, now)) return true
   return isWarmingVm(server, fleet.setup.self, fleet.vms) && hasColdToken(server, fleet.coldRates.get(service) ?? 0, now)
 }
 
 interface ScoreInput {
   readonly times: WorkTimes
+  /** Hash ranks of the servers for the object; undefined if the route is not sticky or the object is unknown. */
   readonly places: ReadonlyMap<ServerId, HashPlace> | undefined
-  /** The region that the plan names. */
+  /** The planned region. */
   readonly region: RegionId | undefined
+  /** Factor of the work time in the cost. */
   readonly workWeight: number
-  /** Whether the object is warm at a server of that region which is not its primary server there. */
-  readonly isHeldBeside: boolean
+  /** Whether the object is warm at a server of the planned region that is not its primary server. */
+  readonly hasWarmNonPrimary: boolean
 }
 
-function score (fleet: Fleet, request: PlaceRequest, server: FleetServer, input: ScoreInput, now: Millis): Scored {
+function scoreServer (fleet: Fleet, request: PlaceRequest, server: FleetServer, input: ScoreInput, now: Millis): ScoredServer {
   const { facts } = server
   const { times, places, workWeight } = input
   const wasWarm = places !== undefined && isWarm(fleet.warmth, facts.id, request.object, now)
-  const place = placeFor(places?.get(facts.id), wasWarm, input)
-  const chance = wasWarm ? 1 : place === undefined ? 0 : warmChance(fleet, request, place)
-  const slowness = Math.max(1, slownessOf(server, now) / (fleet.meanSlowness.get(facts.service) ?? 1))
-  const workMs = (times.coldMs + (times.warmMs - times.coldMs) * chance) * slowness
-  const meanMs = (fleet.meanWork.get(facts.service) ?? times.coldMs) * slowness
-  const ahead = sharedAheadOf(server, now)
-  const waitMs = waitBehind(aheadOf(server, now), facts.slots, meanMs)
-  const sharedWaitMs = waitBehind(ahead, facts.slots, meanMs)
-  const travelMs = travelTo(fleet, facts.region)
-  const leavingMs = facts.region === input.region ? 0 : awayMs
-  const longestWorkMs = Math.max(times.coldMs, times.longestMs) * slowness
-  const riskMs = fleet.setup.without.has('cutRisk') ? 0 : (1 - chance) * cutRisk(request, now + travelMs + sharedWaitMs + longestWorkMs)
-  const cost = travelMs + sharedWaitMs + workMs * workWeight + leavingMs + (ahead / facts.slots) ** 2 * fillMs + riskMs + fleet.setup.random()
-  return { server, cost, waitMs, sharedWaitMs, travelMs, workMs, longestWorkMs, wasWarm, place }
+  const place = adjustHashRank(places?.get(facts.id), wasWarm, input)
+  const warmProbability = wasWarm ? 1 : place === undefined ? 0 : estimateWarmProbability(fleet, request, place)
+  const slowdown = Math.max(1, getSlowdown(server, now) / (fleet.meanSlowdowns.get(facts.service) ?? 1))
+  const workMs = (times.coldMs + (times.warmMs - times.coldMs) * warmProbability) * slowdown
+  const meanSlotMs = (fleet.meanSlotTimes.get(facts.service) ?? times.coldMs) * slowdown
+  const sharedQueueDepth = estimateSharedQueueDepth(server, now)
+  const waitMs = estimateQueueWait(aheadOf(server, now), facts.slots, meanSlotMs)
+  const sharedWaitMs = estimateQueueWait(sharedQueueDepth, facts.slots, meanSlotMs)
+  const roundTripMs = travelTo(fleet, facts.region)
+  const remoteCostMs = facts.region === input.region ? 0 : remoteRegionCostMs
+  const maxWorkMs = Math.max(times.coldMs, times.longestMs) * slowdown
+  const riskCostMs = fleet.setup.without.has('cutRisk') ? 0 : (1 - warmProbability) * computeTimeoutRiskCost(request, now + roundTripMs + sharedWaitMs + maxWorkMs)
+  const cost = roundTripMs + sharedWaitMs + workMs * workWeight + remoteCostMs + (sharedQueueDepth / facts.slots) ** 2 * utilizationCostMs + riskCostMs + fleet.setup.random()
+  return { server, cost, waitMs, sharedWaitMs, roundTripMs, workMs, maxWorkMs, wasWarm, place }
 }
 
 /**
- * What cold work costs beyond its time where its deadline may cut it: a route whose timeout is hardly longer than its cold work loses
- * requests at servers that are cold for an object while another one is warm for it.
+ * Computes the additional cost of cold work that may exceed its deadline. If a route's timeout is hardly longer than its cold work,
+ * requests time out at servers that are cold for an object although another server is warm for it.
  */
-function cutRisk ({ route, deadline }: PlaceRequest, longestEnd: Millis): Millis {
-  return longestEnd > deadline ? route.aimMs * cutRiskPart : 0
+function computeTimeoutRiskCost ({ route, deadline }: PlaceRequest, latestEndAt: Millis): Millis {
+  return latestEndAt > deadline ? route.aimMs * timeoutRiskCostFraction : 0
 }
 
-/** An object that this VM saw elsewhere in the region has a new primary server, which nobody may have warmed yet. */
-function placeFor (place: HashPlace | undefined, wasWarm: boolean, { isHeldBeside }: ScoreInput): HashPlace | undefined {
-  return place === 'primary' && isHeldBeside && !wasWarm ? 'movedPrimary' : place
+/** Changes `primary` to `movedPrimary` if the object is warm at another server of the region: its new primary server is probably still cold. */
+function adjustHashRank (hashRank: HashPlace | undefined, wasWarm: boolean, { hasWarmNonPrimary }: ScoreInput): HashPlace | undefined {
+  return hashRank === 'primary' && hasWarmNonPrimary && !wasWarm ? 'movedPrimary' : hashRank
 }
 
-/** Wait of a request behind so many others. */
-function waitBehind (ahead: number, slots: number, meanMs: Millis): Millis {
-  return ahead < slots ? 0 : (ahead - slots + 1) * meanMs / slots
+/** Estimates the wait of a request for a slot at a server with the given queue depth. */
+function estimateQueueWait (queueDepth: number, slots: number, meanSlotMs: Millis): Millis {
+  return queueDepth < slots ? 0 : (queueDepth - slots + 1) * meanSlotMs / slots
 }
--- a/packages/placement/src/core/server/coldShare.ts
+++ b/packages/placement/src/core/server/coldShare.ts
@@ -1,45 +1,45 @@
 /**
- * What one VM may send a cold server.
+ * Rate limit of the requests that one VM sends to a cold server.
  *
- * What can go wrong: a server that has just started bears few requests a second and crashes well
- * above that; each VM alone keeps the bound, and all together pass it. So a few VMs own each cold
- * server by rendezvous hashing and each holds an equal slice of its rate. Nothing is asked of anyone,
- * so a lost message can't break the bound.
+ * A server that has just started handles few requests per second and crashes well above that rate. A limit that each VM
+ * enforces by itself is exceeded by all VMs together. Rendezvous hashing therefore assigns a few VMs to each cold server, and
+ * each of them may use an equal share of its rate. The VMs exchange no messages for this, so a lost message can't break the limit.
  */
 import { rankByHash } from '@lynxcourse/base'
 import type { Millis } from '@lynxcourse/base'
 import type { FleetServer } from './fleetServer.js'
 
-/** VMs that may warm one server; enough that the loss of two leaves it some. */
-export const warmingVms = 4
-/** Part of the rate that is given out; the rest covers VMs that disagree on who owns it. */
-const usedPart = 0.7
-const burst = 1
+/** Number of VMs that may send to one cold server: two remain after the loss of two. */
+export const warmingVmCount = 4
+/** Fraction of the rate that is handed out; the rest covers VMs that disagree on which of them warm the server. */
+const usedFraction = 0.7
+const burstTokens = 1
 
-/** Whether this VM is one of those that may send to a cold server. */
+/** Returns whether VM `self` may send requests to the server while it is cold. */
 export function isWarmingVm (server: FleetServer, self: string, vms: readonly string[]): boolean {
-  if (vms.length <= warmingVms) return true
-  return rankByHash(server.facts.id, vms).slice(0, warmingVms).includes(self)
+  if (vms.length <= warmingVmCount) return true
+  return rankByHash(server.facts.id, vms).slice(0, warmingVmCount).includes(self)
 }
 
+/** Returns whether a server is still in its warm-up. */
 export function isCold (server: FleetServer, now: Millis): boolean {
   return now < server.coldUntil
 }
 
-/** Whether there is a token for a request now. */
+/** Refills the token bucket and returns whether it holds a token for a request. */
 export function hasColdToken (server: FleetServer, perSecond: number, now: Millis): boolean {
-  refill(server, perSecond, now)
+  refillColdTokens(server, perSecond, now)
   return server.coldTokens >= 1
 }
 
-/** Takes a token. */
-export function takeColdToken (server: FleetServer): void {
+/** Removes one token. */
+export function consumeColdToken (server: FleetServer): void {
   server.coldTokens -= 1
 }
 
-function refill (server: FleetServer, perSecond: number, now: Millis): void {
-  const rate = perSecond * usedPart / warmingVms
+function refillColdTokens (server: FleetServer, perSecond: number, now: Millis): void {
+  const rate = perSecond * usedFraction / warmingVmCount
   const seconds = Math.max(0, now - server.coldTokensAt) / 1000
-  server.coldTokens = Number.isFinite(seconds) ? Math.min(burst, server.coldTokens + seconds * rate) : burst
+  server.coldTokens = Number.isFinite(seconds) ? Math.min(burstTokens, server.coldTokens + seconds * rate) : burstTokens
   server.coldTokensAt = now
 }
--- a/packages/placement/src/core/server/fleetServer.ts
+++ b/packages/placement/src/core/server/fleetServer.ts
@@ -1,95 +1,96 @@
-/**
- * One backend server as one entry VM judges it: work ahead of a new request, how slow it is against
- * its peers, whether it can be trusted now, and what it may get while it is cold.
- */
+/** The state of one backend server as one entry VM sees it: queue depth, slowdown, health, and request tokens while it is cold. */
 import { hashText } from '@lynxcourse/base'
 import type { FailureDomainId, Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 
-/** What the directory says of a server. */
+/** A server's record in the directory. */
 export interface ServerFacts {
   readonly id: ServerId
   readonly service: ServiceId
   readonly address: string
   readonly failureDomain: FailureDomainId
   readonly region: RegionId
-  /** When it started, in Unix milliseconds; 0 where it did not say. */
+  /** Start time in Unix milliseconds; 0 if the server did not report one. */
   readonly bornAt: Millis
   readonly slots: number
-  /** Takes no new work: it leaves, fell silent, or its failure domain is evacuated. */
+  /** Whether the server takes no new work: it is leaving or unresponsive, or its failure domain is being evacuated. */
   readonly isClosed: boolean
 }
 
-/** A request that a server works on for this VM. */
-export interface Running {
+/** A request of this VM that is in flight at a server. */
+export interface RunningRequest {
   readonly startedAt: Millis
   readonly expectedMs: Millis
-  /** What it takes where its object is cold. */
-  readonly longestMs: Millis
+  /** Expected time if the request's object is cold at the server. */
+  readonly maxExpectedMs: Millis
 }
 
+/** A backend server with this VM's observations of its load and health. */
 export interface FleetServer {
   facts: ServerFacts
-  /** Hash of its id, for rendezvous hashing. */
+  /** Hash of the server ID, for rendezvous hashing. */
   readonly hash: number
-  /** Its weight in rendezvous hashing, as all VMs were told it. */
+  /** Weight in rendezvous hashing, which the leader publishes to all VMs. */
   weight: number
-  readonly running: Set<Running>
-  /** Requests running and waiting by the server's last report, of all VMs together. */
+  readonly running: Set<RunningRequest>
+  /** Queue depth in the server's last load report: its running and waiting requests from all VMs. */
   reportedAhead: number
   reportedAt: Millis
-  /** When it last answered this VM anything. */
+  /** When the server last answered any request of this VM. */
   answeredAt: Millis
-  /** Since when it owes this VM an answer and has given none; undefined where it owes none. */
-  owesSince: Millis | undefined
-  /** Requests that this VM sent since that report. */
-  sentSince: number
-  /** Smoothed requests ahead as all VMs together saw it, where it is nearly full. */
+  /** Start of the time in which requests of this VM went unanswered; undefined if no answer is outstanding. */
+  unansweredSince: Millis | undefined
+  /** Requests that this VM sent since the last load report. */
+  sentSinceReport: number
+  /** Smoothed queue depth over the reports of all VMs; 0 unless the server is nearly full. */
   sharedAhead: number
-  sharedAt: Millis
-  /** Smoothed ratio of the time it took to the time that was expected of it. */
-  slowness: number
+  sharedReportAt: Millis
+  /** Smoothed ratio of observed to expected response time. */
+  slowdown: number
   consecutiveFailures: number
-  /** Gets no work before this, for failures (outlier detection). */
+  /** End of the outlier ejection that follows consecutive failures. */
   ejectedUntil: Millis
-  /** Gets no work before this, since it answers no VM. */
-  silentUntil: Millis
-  /** Gets no work before this, since it had no room. */
-  pausedUntil: Millis
+  /** End of the exclusion of a server that answers no VM. */
+  unresponsiveUntil: Millis
+  /** End of the pause after the server rejected a request because it was full. */
+  fullUntil: Millis
+  /** End of the warm-up. */
   coldUntil: Millis
-  /** Requests that this VM may send it now while it is cold. */
+  /** Token bucket of the requests that this VM may send while the server is cold. */
   coldTokens: number
   coldTokensAt: Millis
 }
 
-/** Smoothing of the slowness; a server five times slower shows after about four answers. */
-const slownessSmoothing = 0.25
-/** Bounds of the slowness, so that one freak answer can't shut a server out for good. */
-const minSlowness = 0.5
-const maxSlowness = 20
-/** First time without work after failures; doubles with each further one. */
+/** Smoothing factor of the slowdown; a server that becomes five times slower is recognized after about four answers. */
+const slowdownSmoothing = 0.25
+/** Bounds of a slowdown sample, so that one outlier can't exclude a server permanently. */
+const minSlowdown = 0.5
+const maxSlowdown = 20
+/** Duration of the first ejection; it doubles with each further failure. */
 const firstEjectionMs = 400
 const maxEjectionMs = 5000
-/** Failures in a row before a server is ejected: one failure may be the connection's. */
+/** Consecutive failures before a server is ejected: a single failure may come from its connection. */
 const failuresToEject = 2
 /**
- * A request that runs for this many times what was expected, and this much more, marks a stall where no other answer came since,
- * and only if it also ran for longer than cold work takes: objects turn cold when they move, and a server that was shut out for
- * cold work sent its other objects on to be cold elsewhere.
+ * A server that has answered nothing since a request started is stalled once the request has taken `stallSlackMs` more than
+ * `stallFactor` times its expected time and `maxExpectedStallFactor` times its longest expected time. The longest expected time
+ * counts because objects turn cold when they move: excluding a server for cold work would move its other objects to servers
+ * where they are cold.
  */
 const stallFactor = 3
 const stallSlackMs = 250
-const coldStallFactor = 1.3
-/** With other answers since, only so many times the longest work marks one. */
-const answeringStallFactor = 3
-/** How long a server that had no room is left alone; about the time in which one slot comes free. */
-const fullPauseMs = 40
-/** A report's weight halves in this time; about two answers of a busy server apart. */
+const maxExpectedStallFactor = 1.3
+/** Factor of the longest expected time after which a request marks a stall although the server answered others since. */
+const responsiveStallFactor = 3
+/** Pause after a server was full: about the time until one of its slots becomes free. */
+const fullBackoffMs = 40
+/** Half-life of a load report: about the time between two answers of a busy server. */
 const reportHalfLifeMs = 400
-/** What all VMs together saw holds until the next word of it, a second later, or a lost one. */
-const sharedForMs = 2500
-/** Slowness drifts back to 1 with this half-life, so that a recovered server is tried again. */
-const slownessHalfLifeMs = 4000
+/** How long shared load data is valid: updates come once a second, and one of them may be lost. */
+const sharedReportTtlMs = 2500
+/** Half-life with which the slowdown returns to 1, so that a recovered server is tried again. */
+const slowdownHalfLifeMs = 4000
 
+/** Creates a server without observations that is cold until `coldUntil`. */
 export function createFleetServer (facts: ServerFacts, coldUntil: Millis): FleetServer {
   return {
     facts,
@@ -99,15 +100,15 @@
     reportedAhead: 0,
     reportedAt: -Infinity,
     answeredAt: -Infinity,
-    owesSince: undefined,
-    sentSince: 0,
+    unansweredSince: undefined,
+    sentSinceReport: 0,
     sharedAhead: 0,
-    sharedAt: -Infinity,
-    slowness: 1,
+    sharedReportAt: -Infinity,
+    slowdown: 1,
     consecutiveFailures: 0,
     ejectedUntil: -Infinity,
-    silentUntil: -Infinity,
-    pausedUntil: -Infinity,
+    unresponsiveUntil: -Infinity,
+    fullUntil: -Infinity,
     coldUntil,
     coldTokens: 1,
     coldTokensAt: -Infinity
@@ -115,119 +116,126 @@
 }
 
 /**
- * Requests that stand before a new one. What the last report counted is worked off, but other VMs go on
- * sending as they did: so the report holds for a while, and this VM's own requests come on top.
+ * Estimates the queue depth that a new request would meet. The reported requests complete over time, but other VMs continue to
+ * send at their rates: the last report therefore decays slowly, and this VM's requests since the report are added to it.
  */
 export function aheadOf (server: FleetServer, now: Millis): number {
   const age = now - server.reportedAt
   if (!Number.isFinite(age)) return server.running.size
-  return Math.max(server.running.size, server.reportedAhead * 2 ** (-age / reportHalfLifeMs) + server.sentSince)
+  return Math.max(server.running.size, server.reportedAhead * 2 ** (-age / reportHalfLifeMs) + server.sentSinceReport)
 }
 
-/** The same with what all VMs together saw: good for the choice among servers, too old to refuse a request by. */
-export function sharedAheadOf (server: FleetServer, now: Millis): number {
-  const shared = now - server.sharedAt < sharedForMs ? server.sharedAhead : 0
-  return Math.max(aheadOf(server, now), shared)
+/**
+ * Estimates the queue depth from the reports of all VMs too. The result is good enough to choose among servers, but too old
+ * to refuse a request by.
+ */
+export function estimateSharedQueueDepth (server: FleetServer, now: Millis): number {
+  const sharedDepth = now - server.sharedReportAt < sharedReportTtlMs ? server.sharedAhead : 0
+  return Math.max(aheadOf(server, now), sharedDepth)
 }
 
-/** Takes what all VMs together saw of a server's load. */
-export function noteShared (server: FleetServer, ahead: number, now: Millis): void {
-  server.sharedAhead = ahead
-  server.sharedAt = now
+/** Records the queue depth that all VMs together observed. */
+export function recordSharedQueueDepth (server: FleetServer, queueDepth: number, now: Millis): void {
+  server.sharedAhead = queueDepth
+  server.sharedReportAt = now
 }
 
-/** Takes the word that a server answers no VM, or that it does again. */
-export function noteSharedSilence (server: FleetServer, isSilent: boolean, now: Millis): void {
-  server.silentUntil = isSilent ? now + sharedForMs : -Infinity
+/** Records whether the leader lists the server as answering no VM. */
+export function recordSharedResponsiveness (server: FleetServer, isUnresponsive: boolean, now: Millis): void {
+  server.unresponsiveUntil = isUnresponsive ? now + sharedReportTtlMs : -Infinity
 }
 
-/** Whether nothing speaks against a server but, perhaps, that it has no room for a moment. */
-export function isTrusted (server: FleetServer, now: Millis): boolean {
-  return !server.facts.isClosed && now >= server.ejectedUntil && now >= server.silentUntil && !isStalled(server, now)
+/** Returns whether a server is open, not ejected, responsive and not stalled. It may be full at the moment. */
+export function isHealthy (server: FleetServer, now: Millis): boolean {
+  return !server.facts.isClosed && now >= server.ejectedUntil && now >= server.unresponsiveUntil && !isStalled(server, now)
 }
 
-/** Whether a server has room, as far as its last words tell. */
-export function hasRoom (server: FleetServer, now: Millis): boolean {
-  return now >= server.pausedUntil
+/** Returns whether a server may have capacity: it did not reject a request as full within the last pause. */
+export function hasCapacity (server: FleetServer, now: Millis): boolean {
+  return now >= server.fullUntil
 }
 
-/** Whether one of this VM's requests runs for far longer there than it should. */
+/** Returns whether one of this VM's requests has exceeded the stall timeout at the server. */
 export function isStalled (server: FleetServer, now: Millis): boolean {
   for (const running of server.running) {
-    if (now - running.startedAt > stallAfter(server, running)) return true
+    if (now - running.startedAt > computeStallTimeout(server, running)) return true
   }
   return false
 }
 
-function stallAfter (server: FleetServer, { startedAt, expectedMs, longestMs }: Running): Millis {
-  if (server.answeredAt > startedAt) return longestMs * answeringStallFactor + stallSlackMs
-  return patienceFor(expectedMs, longestMs) + stallSlackMs
+function computeStallTimeout (server: FleetServer, { startedAt, expectedMs, maxExpectedMs }: RunningRequest): Millis {
+  if (server.answeredAt > startedAt) return maxExpectedMs * responsiveStallFactor + stallSlackMs
+  return computeResponseTimeout(expectedMs, maxExpectedMs) + stallSlackMs
 }
 
-/** How long one request may take before its server is doubted. */
-export function patienceFor (expectedMs: Millis, longestMs: Millis): Millis {
-  return Math.max(expectedMs * stallFactor, longestMs * coldStallFactor)
+/** Returns the time after which a request without an answer suggests a fault of its server. */
+export function computeResponseTimeout (expectedMs: Millis, maxExpectedMs: Millis): Millis {
+  return Math.max(expectedMs * stallFactor, maxExpectedMs * maxExpectedStallFactor)
 }
 
-/** Slowness as it counts now. */
-export function slownessOf (server: FleetServer, now: Millis): number {
+/** Returns the slowdown, decayed towards 1 since the last load report. */
+export function getSlowdown (server: FleetServer, now: Millis): number {
   const age = now - server.reportedAt
-  if (!Number.isFinite(age)) return server.slowness
-  return 1 + (server.slowness - 1) * 2 ** (-age / slownessHalfLifeMs)
+  if (!Number.isFinite(age)) return server.slowdown
+  return 1 + (server.slowdown - 1) * 2 ** (-age / slowdownHalfLifeMs)
 }
 
-/** Counts a request in. */
-export function noteStart (server: FleetServer, expectedMs: Millis, longestMs: Millis, now: Millis): Running {
-  const running = { startedAt: now, expectedMs, longestMs }
+/** Records that a request was sent to the server. */
+export function recordRequestStart (server: FleetServer, expectedMs: Millis, maxExpectedMs: Millis, now: Millis): RunningRequest {
+  const running = { startedAt: now, expectedMs, maxExpectedMs }
   server.running.add(running)
-  server.owesSince ??= now
-  server.sentSince += 1
+  server.unansweredSince ??= now
+  server.sentSinceReport += 1
   return running
 }
 
-/** Counts a request out. */
-export function noteStop (server: FleetServer, running: Running): void {
+/** Records that a request ended, with or without an answer. */
+export function recordRequestEnd (server: FleetServer, running: RunningRequest): void {
   server.running.delete(running)
 }
 
-/** Notes that a server answered, whatever it said. */
-export function noteAnswered (server: FleetServer, now: Millis): void {
+/** Records that the server answered a request, whatever the status. */
+export function recordAnswer (server: FleetServer, now: Millis): void {
   server.answeredAt = now
-  // The request that was answered still counts as running here.
-  server.owesSince = server.running.size > 1 ? now : undefined
+  // The answered request is still in `running` here.
+  server.unansweredSince = server.running.size > 1 ? now : undefined
 }
 
-/** For how long a server has owed this VM an answer without giving any, requests that were given up included. */
-export function owedFor (server: FleetServer, now: Millis): Millis {
-  return server.owesSince === undefined ? 0 : now - server.owesSince
+/** Returns for how long the server has left this VM's requests unanswered, including abandoned ones; 0 if no answer is outstanding. */
+export function getUnansweredMs (server: FleetServer, now: Millis): Millis {
+  return server.unansweredSince === undefined ? 0 : now - server.unansweredSince
 }
 
-/** Takes a server's own report of its load. */
-export function noteReport (server: FleetServer, ahead: number, now: Millis): void {
-  server.reportedAhead = ahead
+/** Records the queue depth that the server reported itself. */
+export function recordLoadReport (server: FleetServer, queueDepth: number, now: Millis): void {
+  server.reportedAhead = queueDepth
   server.reportedAt = now
-  server.sentSince = 0
+  server.sentSinceReport = 0
 }
 
-/** Notes a good answer and how its time compares with what was expected. */
-export function noteGood (server: FleetServer, ratio: number, now: Millis): void {
+/** Records a successful answer and its ratio of observed to expected time. */
+export function recordSuccess (server: FleetServer, ratio: number, now: Millis): void {
   server.consecutiveFailures = 0
   server.ejectedUntil = -Infinity
-  server.silentUntil = -Infinity
-  const bounded = Math.min(maxSlowness, Math.max(minSlowness, ratio))
-  const present = slownessOf(server, now)
-  server.slowness = present + (bounded - present) * slownessSmoothing
+  server.unresponsiveUntil = -Infinity
+  const bounded = Math.min(maxSlowdown, Math.max(minSlowdown, ratio))
+  const current = getSlowdown(server, now)
+  server.slowdown = current + (bounded - current) * slowdownSmoothing
 }
 
-/** Notes that a server failed; after some in a row it is left alone for a time that doubles. */
-export function noteBad (server: FleetServer, isCertain: boolean, now: Millis): void {
+/**
+ * Records a failure. Consecutive failures eject the server for a time that doubles with each of them.
+ *
+ * @param isCertain whether the failure alone is enough to eject the server
+ */
+export function recordFailure (server: FleetServer, isCertain: boolean, now: Millis): void {
   server.consecutiveFailures += isCertain ? failuresToEject : 1
-  const over = server.consecutiveFailures - failuresToEject
-  if (over < 0) return
-  server.ejectedUntil = now + Math.min(maxEjectionMs, firstEjectionMs * 2 ** Math.min(over, 8))
+  const excessFailures = server.consecutiveFailures - failuresToEject
+  if (excessFailures < 0) return
+  server.ejectedUntil = now + Math.min(maxEjectionMs, firstEjectionMs * 2 ** Math.min(excessFailures, 8))
 }
 
-/** Notes that a server had no room. */
-export function noteFull (server: FleetServer, now: Millis): void {
-  server.pausedUntil = Math.max(server.pausedUntil, now + fullPauseMs)
+/** Records that the server rejected a request because it was full. */
+export function recordServerFull (server: FleetServer, now: Millis): void {
+  server.fullUntil = Math.max(server.fullUntil, now + fullBackoffMs)
 }
--- a/packages/placement/src/core/server/restMemory.ts
+++ b/packages/placement/src/core/server/restMemory.ts
@@ -1,69 +1,75 @@
 /**
- * How long a connection may rest before a request that must not repeat goes over it.
+ * Limits how long a connection may have been idle before it carries a non-idempotent request.
  *
- * What can go wrong: servers forget idle connections without a word and reset whatever comes over them next. An
- * idempotent request is sent again; one that must not repeat is lost, since nobody can tell whether it ran. It shows
- * as resets of requests right after their connections had rested, at several servers at once. So the shortest such
- * rest bounds the others for a while; the idempotent requests, which are most, find it out for them.
+ * Servers may drop idle connections without closing them and reset the next request. An idempotent request is sent again, but a
+ * non-idempotent one is lost, since nothing shows whether it ran. The symptom is resets of requests on connections that were
+ * idle before, at several servers at once. The shortest such idle time then limits all connections for a while. Idempotent
+ * requests are the majority and usually meet the first resets.
  *
- * Something between the ends may also lose track of all connections that are open at one moment: they go silent without
- * a reset. It shows as requests over rested connections that get no answer, at several servers. From then on a
- * connection counts only if it showed life after the silent ones did for the last time.
+ * A middlebox may also lose the state of all connections that are open at one moment: they stop responding without a reset.
+ * The symptom is requests on previously idle connections that get no answer, at several servers. After that, a connection is
+ * used only if it was active later than the last activity of the unresponsive ones.
  */
 import type { Millis } from '@lynxcourse/base'
 
-interface Reset { readonly address: string, readonly restedMs: Millis, readonly at: Millis }
+/** A reset of a request, and how long its connection had been idle before. */
+interface IdleReset { readonly address: string, readonly restedMs: Millis, readonly at: Millis }
 
-/** A connection that went silent under a request, and when it had shown life for the last time. */
-interface Silence { readonly address: string, readonly lifeAt: Millis, readonly at: Millis }
+/** A request on a previously idle connection that got no answer, and the last activity of the connection before it. */
+interface UnansweredRequest { readonly address: string, readonly lastActiveAt: Millis, readonly at: Millis }
 
-/** Resets and silences of rested connections, the latest last. */
+/** Recent resets and unanswered requests on connections that were idle before, oldest first. */
 export interface RestMemory {
-  resets: Reset[]
-  silences: Silence[]
+  resets: IdleReset[]
+  unanswered: UnansweredRequest[]
 }
 
-/** Resets of that time ago count; servers that forget do so for seconds. */
-const rememberedMs: Millis = 8000
-/** One server that resets has perhaps crashed; so many different ones forget. */
-const leastServers = 2
-/** Rests shorter than this tell of a crash under load, not of an idle connection. */
-const leastRestMs: Millis = 100
-/** Part of the shortest rest that was reset which still counts as safe. */
-const safePart = 0.7
-const maxResets = 200
+/** How long an event counts: servers that drop connections do so for seconds. */
+const eventTtlMs: Millis = 8000
+/** Minimum number of affected servers: a single server may have crashed. */
+const minServers = 2
+/** A reset after a shorter idle time points to a crash under load, not to an idle timeout. */
+const minIdleMs: Millis = 100
+/** Fraction of the shortest idle time with a reset that counts as safe. */
+const safeFraction = 0.7
+const maxEvents = 200
 
+/** Creates a history without events. */
 export function createRestMemory (): RestMemory {
-  return { resets: [], silences: [] }
+  return { resets: [], unanswered: [] }
 }
 
-/** Notes that a request over a rested connection was reset without an answer. */
-export function noteRestedReset (memory: RestMemory, address: string, restedMs: Millis, now: Millis): void {
-  if (restedMs < leastRestMs) return
-  memory.resets = [...memory.resets.filter(reset => now - reset.at < rememberedMs), { address, restedMs, at: now }].slice(-maxResets)
+/** Records that a request on a previously idle connection was reset without an answer. */
+export function noteRestedReset (history: RestMemory, address: string, restedMs: Millis, now: Millis): void {
+  if (restedMs < minIdleMs) return
+  history.resets = [...history.resets.filter(reset => now - reset.at < eventTtlMs), { address, restedMs, at: now }].slice(-maxEvents)
 }
 
-/** Notes that a request over a rested connection got no answer. */
-export function noteSilence (memory: RestMemory, address: string, restedMs: Millis, takenAt: Millis, now: Millis): void {
-  if (restedMs < leastRestMs) return
-  memory.silences = [...memory.silences.filter(silence => now - silence.at < rememberedMs), { address, lifeAt: takenAt - restedMs, at: now }].slice(-maxResets)
+/**
+ * Records that a request on a previously idle connection got no answer.
+ *
+ * @param takenAt when the request took the connection from the pool
+ */
+export function noteSilence (history: RestMemory, address: string, idleMs: Millis, takenAt: Millis, now: Millis): void {
+  if (idleMs < minIdleMs) return
+  history.unanswered = [...history.unanswered.filter(request => now - request.at < eventTtlMs), { address, lastActiveAt: takenAt - idleMs, at: now }].slice(-maxEvents)
 }
 
-/** Longest rest after which a connection still carries a request that must not repeat; Infinity while nothing speaks against it. */
-export function longestRest (memory: RestMemory, now: Millis): Millis {
-  return Math.min(restBeforeReset(memory, now), restSinceSilence(memory, now))
+/** Returns the maximum idle time of a connection for a non-idempotent request; Infinity without recent events at several servers. */
+export function longestRest (history: RestMemory, now: Millis): Millis {
+  return Math.min(maxIdleByResets(history, now), maxIdleByUnanswered(history, now))
 }
 
-function restBeforeReset ({ resets }: RestMemory, now: Millis): Millis {
-  const recent = resets.filter(reset => now - reset.at < rememberedMs)
-  return isAtSeveral(recent) ? Math.min(...recent.map(reset => reset.restedMs)) * safePart : Infinity
+function maxIdleByResets ({ resets }: RestMemory, now: Millis): Millis {
+  const recent = resets.filter(reset => now - reset.at < eventTtlMs)
+  return involvesSeveralServers(recent) ? Math.min(...recent.map(reset => reset.restedMs)) * safeFraction : Infinity
 }
 
-function restSinceSilence ({ silences }: RestMemory, now: Millis): Millis {
-  const recent = silences.filter(silence => now - silence.at < rememberedMs)
-  return isAtSeveral(recent) ? now - Math.max(...recent.map(silence => silence.lifeAt)) : Infinity
+function maxIdleByUnanswered ({ unanswered }: RestMemory, now: Millis): Millis {
+  const recent = unanswered.filter(request => now - request.at < eventTtlMs)
+  return involvesSeveralServers(recent) ? now - Math.max(...recent.map(request => request.lastActiveAt)) : Infinity
 }
 
-function isAtSeveral (events: ReadonlyArray<{ readonly address: string }>): boolean {
-  return new Set(events.map(event => event.address)).size >= leastServers
+function involvesSeveralServers (events: ReadonlyArray<{ readonly address: string }>): boolean {
+  return new Set(events.map(event => event.address)).size >= minServers
 }
--- a/packages/placement/src/types/loads.ts
+++ b/packages/placement/src/types/loads.ts
@@ -1,72 +1,74 @@
-/** What VMs of a fleet tell each other of the load. */
+/** Load data that the VMs of a fleet exchange. */
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 
-/** What one entry VM has seen since its last report. */
+/** What one entry VM observed since its last report. */
 export interface LoadReport {
-  /** Requests ahead at each server, by its last answer. */
+  /** Queue depth of each server, as of its last answer. */
   readonly servers: ReadonlyArray<readonly [ServerId, number]>
-  /** Slots that this VM's callers need where objects are warm, by service. */
+  /** Slots that the requests of this VM's callers need if their objects are warm, by service. */
   readonly busy: ReadonlyArray<readonly [ServiceId, number]>
-  /** Servers that left a request without an answer, and answered none after it. */
+  /** Servers that left a request unanswered and have answered none since. */
   readonly failed: readonly ServerId[]
 }
 
-/** Slots that callers need, by the service and the region of the entry VMs. */
+/** Slots that callers need, by service and region of the entry VMs. */
 export type BusySlots = ReadonlyArray<readonly [ServiceId, RegionId, number]>
 
-/** What a control VM hands on to the leader: the reports that it took since the last exchange. */
+/** Reports that a control VM received since the last exchange, aggregated for the leader. */
 export interface LoadDigest {
   readonly servers: ReadonlyArray<readonly [ServerId, number]>
   readonly busy: BusySlots
-  /** Servers with the number of entry VMs that they left without an answer. */
+  /** Servers with the number of entry VMs whose requests they left unanswered. */
   readonly failed: ReadonlyArray<readonly [ServerId, number]>
 }
 
-/** One service's plan as VMs are told of it. */
+/** The region plan of one service, as the leader publishes it. */
 export interface PlanNews {
   readonly service: ServiceId
-  /** Whether it follows demand that was measured; until then it follows the slots alone. */
+  /** Whether the plan follows measured demand; until demand is known, it follows the slots alone. */
   readonly isMeasured: boolean
-  /** Requests running and waiting for each open slot of the service. */
+  /** Utilization: running and waiting requests per open slot of the service. */
   readonly fill: number
-  /** Slots that the requests of all callers need now; a VM tells its own part of the slots by it. */
+  /** Slots that the requests of all callers need now; a VM computes its own share of the slots from this value. */
   readonly busy: number
-  /** Most slots that each region's callers needed of late, so that the next leader need not measure it anew. */
+  /** Recent maximum of the slots that each region's callers needed, so that a new leader can continue from it. */
   readonly demand: ReadonlyArray<readonly [RegionId, number]>
+  /** For each region of callers, the fraction of its objects that each region serves. */
   readonly shares: ReadonlyArray<readonly [RegionId, ReadonlyArray<readonly [RegionId, number]>]>
 }
 
-/** What every VM is told. */
+/** Load data that the leader publishes to all VMs. */
 export interface LoadNews {
-  /** Nearly full servers with the smoothed number of requests ahead there. */
+  /** Nearly full servers with their smoothed queue depth. */
   readonly full: ReadonlyArray<readonly [ServerId, number]>
   readonly plans: readonly PlanNews[]
-  /** Servers that answer nobody now. */
+  /** Servers that answer no VM now. */
   readonly silent: readonly ServerId[]
-  /** Left out for a VM that holds this version of them. */
+  /** Omitted for a VM that already has this version of the weights. */
   readonly weights?: WeightNews
 }
 
-/** Weights of servers in hashing; those not named have 1. */
+/** Weights of servers in rendezvous hashing; servers that are not listed have weight 1. */
 export interface WeightNews {
-  /** Time at which the leader told them: two leaders never give one version to different weights. */
+  /** Time at which the leader published the weights, so that two leaders never use one version for different weights. */
   readonly version: Millis
   readonly servers: ReadonlyArray<readonly [ServerId, number]>
 }
 
-/** Slots of one service's open servers by region. */
+/** Slots of the open servers, by service and region. */
 export type ServiceSlots = ReadonlyMap<ServiceId, ReadonlyMap<RegionId, number>>
 
-/** What the board knows of a server. */
+/** A server as the load board knows it. */
 export interface ServerPlace {
   readonly service: ServiceId
   readonly region: RegionId | undefined
   readonly slots: number
-  /** Whether it takes work like its neighbours: neither leaving nor cold. */
+  /** Whether the server takes a normal share of the work: it is neither leaving nor cold. */
   readonly isSettled: boolean
 }
 
+/** The servers that the load board knows. */
 export type ServerPlaces = ReadonlyMap<ServerId, ServerPlace>
 
-/** A report counts until the next one; longer than the longest time between two watches. */
+/** How long a load report is valid: longer than the maximum interval between two watch calls. */
 export const busyForMs: Millis = 3000
--- a/packages/placement/src/types/mechanisms.ts
+++ b/packages/placement/src/types/mechanisms.ts
@@ -1,20 +1,20 @@
-/** Mechanisms of placement that can be left out, to find what each of them is worth. */
+/** Mechanisms of placement that can be disabled, to compare results with and without each of them. */
 
-/** Each with what decides without it. */
+/** The mechanisms by name, with the behavior that replaces each one when it is disabled. */
 export const mechanisms = {
-  sharedLoad: 'queues at servers are known by this VM\'s own answers alone',
-  silentServers: 'servers that answer nobody are found out by each VM alone',
-  weights: 'all servers count alike in hashing',
-  regionPlan: 'objects stay in the region of their callers',
-  roomWait: 'a request without room is refused at once',
-  workWeight: 'cold work counts its own time alone, however full the servers are',
-  movedPrimaries: 'a new primary server counts as warm as any, though the object was seen beside it',
-  cutRisk: 'cold work counts alike whether or not its deadline may cut it'
+  sharedLoad: 'each VM knows queue depths only from the answers that it receives',
+  silentServers: 'each VM detects unresponsive servers by itself',
+  weights: 'all servers have the same weight in hashing',
+  regionPlan: 'objects are served in the region of their callers',
+  roomWait: 'a request that finds no capacity is refused at once',
+  workWeight: 'work costs its own time, whatever the utilization',
+  movedPrimaries: 'a new primary server is as likely to be warm as others, even if the object is warm at another server',
+  cutRisk: 'cold work costs the same whether or not it may exceed its deadline'
 } as const
 
 export type Mechanism = keyof typeof mechanisms
 
-/** Whether a name is one of theirs. */
+/** Returns whether a name is the name of a mechanism. */
 export function isMechanism (name: string): name is Mechanism {
   return Object.hasOwn(mechanisms, name)
 }
--- a/packages/placement/src/types/sends.ts
+++ b/packages/placement/src/types/sends.ts
@@ -1,20 +1,24 @@
-/** How sending a request to a server ended, as far as decisions need it. */
+/** Outcomes of sending a request to a server, as placement decisions need them. */
 import type { Millis } from '@lynxcourse/base'
 
-/** The end of one send. */
+/** The outcome of one send. */
 export type SendEnd =
+  /** The server answered; opening the connection took `openMs`. */
   | { readonly type: 'answered', readonly status: number, readonly openMs: Millis }
-  /** The server says that the request did not run there; `elsewhere` means it is not the server that was named. */
+  /**
+   * The request certainly did not run: the server rejected it as full, could not be reached, or is not the server that the request
+   * names (`elsewhere`).
+   */
   | { readonly type: 'notRun', readonly reason: 'full' | 'elsewhere' | 'unreached' }
-  /** It may have run. */
+  /** The request got no usable answer and may have run. */
   | { readonly type: 'lost', readonly reason: LostReason }
 
-/** Why a request that was sent has no answer. */
+/** Why a sent request got no usable answer. */
 export type LostReason = 'failed' | 'spoiled' | 'deadline' | 'slow' | 'stranded' | 'gone'
 
-const firstServerError = 500
+const minServerErrorStatus = 500
 
-/** Whether a status tells of a failure of the server. */
+/** Returns whether an HTTP status reports a server error. */
 export function isServerError (status: number): boolean {
-  return status >= firstServerError
+  return status >= minServerErrorStatus
 }
