--- a/packages/placement/__tests__/fleetBounds.test.ts
+++ b/packages/placement/__tests__/fleetBounds.test.ts
@@ -1,4 +1,4 @@
-/** Bounds that hold over all VMs without their talking. */
+/** Tests limits that all VMs together observe without exchanging messages. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -9,15 +9,15 @@
 const seed = 23
 console.log(`seed ${seed}`)
 
-/** Guards against this failure: a server that has just started crashes. */
-test('all VMs together keep to a cold server\'s bound in any second, also when they know different VMs', () => {
+/** Guards against this failure: a server that has just started crashes under too many requests. */
+test('all VMs together observe the rate limit of a cold server in any second, even if they know different VMs', () => {
   const perSecond = 9.9
-  const bound = perSecond * 1.5 + 5
-  fc.assert(fc.property(fc.integer({ min: 1, max: 12 }), fc.integer({ min: 0, max: 2 }), (count, unknown) => {
-    const names = Array.from({ length: count }, (_, place) => `vm-${place}`)
+  const limit = perSecond * 1.5 + 5
+  fc.assert(fc.property(fc.integer({ min: 1, max: 12 }), fc.integer({ min: 0, max: 2 }), (vmCount, unknownCount) => {
+    const names = Array.from({ length: vmCount }, (_, index) => `vm-${index}`)
     const arrivals: number[] = []
     for (const self of names) {
-      const known = names.filter((name, place) => name === self || place >= unknown)
+      const known = names.filter((name, index) => name === self || index >= unknownCount)
       const cold = server('cold')
       if (!isWarmingVm(cold, self, known)) continue
       for (let now = 0; now < 3000; now += 5) {
@@ -26,11 +26,11 @@
         arrivals.push(now)
       }
     }
-    return arrivals.every(start => arrivals.filter(at => at >= start && at < start + 1000).length <= bound)
+    return arrivals.every(start => arrivals.filter(at => at >= start && at < start + 1000).length <= limit)
   }), { seed })
 })
 
-test('all VMs together keep to the retry budget in any window, whatever share of requests each gets', () => {
+test('all VMs together observe the retry budget in any window, whatever share of the requests each VM gets', () => {
   const cfg = { ratio: 0.2, windowMs: 10_000, slack: 56 }
   fc.assert(fc.property(fc.array(fc.integer({ min: 0, max: 60 }), { minLength: 1, maxLength: 12 }), rates => {
     const events: Array<{ at: number, repeat: boolean }> = []
@@ -53,8 +53,8 @@
   }), { seed, numRuns: 20 })
 })
 
-/** Guards against this failure: callers of a failure domain with one VM are refused twice as often as others. */
-test('a VM\'s share of the slots follows its part of the demand, within bounds', () => {
+/** Guards against this failure: the only VM of a failure domain refuses requests twice as often as other VMs. */
+test('a VM\'s share of the slots is proportional to its fraction of the demand, within limits', () => {
   const fleet = { ...fleetOf(server('a'), server('b'), server('c'), server('d')), vms: ['vm-1', 'vm-2', 'vm-3', 'vm-4'] }
   assert.equal(computeSlotShare(fleet, desk), 3)
   fleet.demandFractions.set(desk, 0.5)
--- a/packages/placement/__tests__/fleetServer.test.ts
+++ b/packages/placement/__tests__/fleetServer.test.ts
@@ -1,4 +1,4 @@
-/** When a server is doubted, left alone and tried again. */
+/** Tests when a server counts as stalled, ejected or unresponsive, and when it is tried again. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { brandId } from '@lynxcourse/base'
@@ -7,58 +7,58 @@
 import type { FleetServer } from '@lynxcourse/placement'
 import { mumbai, server, fleetOf, request, sentTo } from './support/fleet.js'
 
-/** Guards against this failure: requests pile up at a server that answers nothing. */
-test('a server that holds a request far longer than expected gets no further ones', () => {
-  const dark = server('dark')
-  const fleet = fleetOf(dark, server('other', mumbai))
-  recordRequestStart(dark, 100, 100, 1000)
-  assert.equal(isStalled(dark, 1400), false)
-  assert.equal(isStalled(dark, 1600), true)
+/** Guards against this failure: requests accumulate at a server that answers nothing. */
+test('a server that keeps a request far longer than expected gets no further requests', () => {
+  const unresponsive = server('unresponsive')
+  const fleet = fleetOf(unresponsive, server('other', mumbai))
+  recordRequestStart(unresponsive, 100, 100, 1000)
+  assert.equal(isStalled(unresponsive, 1400), false)
+  assert.equal(isStalled(unresponsive, 1600), true)
   assert.equal(sentTo(fleet, request({ object: '', arrivedAt: 1600, deadline: 2800 }), 1600), 'other')
 })
 
-test('a server that fails again and again is left alone for longer each time, and tried where all are suspect', () => {
-  const bad = server('bad')
-  recordFailure(bad, false, 1000)
-  assert.equal(bad.ejectedUntil, -Infinity)
-  recordFailure(bad, false, 1000)
-  assert.equal(bad.ejectedUntil, 1400)
-  recordFailure(bad, false, 1400)
-  assert.equal(bad.ejectedUntil, 2200)
-  assert.equal(sentTo(fleetOf(bad), request(), 1500), 'bad')
+test('a server that fails repeatedly is ejected for longer each time, but used if all servers are ejected', () => {
+  const failing = server('failing')
+  recordFailure(failing, false, 1000)
+  assert.equal(failing.ejectedUntil, -Infinity)
+  recordFailure(failing, false, 1000)
+  assert.equal(failing.ejectedUntil, 1400)
+  recordFailure(failing, false, 1400)
+  assert.equal(failing.ejectedUntil, 2200)
+  assert.equal(sentTo(fleetOf(failing), request(), 1500), 'failing')
 })
 
-test('a server that answers no VM gets nothing while others are open, until it answers this one', () => {
+test('a server that answers no VM gets no request while another server is open, until it answers this VM', () => {
   const fleet = fleetOf(server('a'), server('b'))
-  const home = sentTo(fleet, request())
-  const held = fleet.byId.get(brandId<ServerId>(home)) as FleetServer
-  recordSharedResponsiveness(held, true, 900)
-  assert.notEqual(sentTo(fleet, request()), home)
-  recordSuccess(held, 1, 1000)
-  assert.equal(sentTo(fleet, request()), home)
+  const primary = sentTo(fleet, request())
+  const primaryServer = fleet.byId.get(brandId<ServerId>(primary)) as FleetServer
+  recordSharedResponsiveness(primaryServer, true, 900)
+  assert.notEqual(sentTo(fleet, request()), primary)
+  recordSuccess(primaryServer, 1, 1000)
+  assert.equal(sentTo(fleet, request()), primary)
 })
 
-/** Guards against this failure: servers are left alone though they answer. */
-test('a request for a cold object marks no stall, least of all while its server answers others', () => {
-  const held = server('held')
-  recordRequestStart(held, 100, 300, 1000)
-  assert.equal(isStalled(held, 1000 + 300 * 1.3 + 240), false)
-  assert.equal(isStalled(held, 1000 + 300 * 1.3 + 260), true)
-  recordAnswer(held, 1600)
-  assert.equal(isStalled(held, 1660), false)
-  assert.equal(isStalled(held, 1000 + 300 * 3 + 260), true)
+/** Guards against this failure: servers that answer requests are excluded as stalled. */
+test('a request for a cold object marks no stall, and even a longer one marks none while the server answers others', () => {
+  const stalling = server('stalling')
+  recordRequestStart(stalling, 100, 300, 1000)
+  assert.equal(isStalled(stalling, 1000 + 300 * 1.3 + 240), false)
+  assert.equal(isStalled(stalling, 1000 + 300 * 1.3 + 260), true)
+  recordAnswer(stalling, 1600)
+  assert.equal(isStalled(stalling, 1660), false)
+  assert.equal(isStalled(stalling, 1000 + 300 * 3 + 260), true)
 })
 
-test('work that is cut is at least as long as it lasted, and lengthens what servers are doubted by', () => {
+test('work that timed out raises the longest expected time, by which servers count as stalled', () => {
   const times = { coldMs: 1000, warmMs: 300, longestMs: 1000 }
   for (let n = 0; n < 10; n++) learnCutWork(times, 1200)
   assert.ok(times.longestMs > 1190 && times.longestMs <= 1200, String(times.longestMs))
-  assert.equal(times.coldMs, 1000, 'the expected time is learned from answers alone')
+  assert.equal(times.coldMs, 1000, 'the expected time is learned only from answers')
   learnCutWork(times, 400)
-  assert.ok(times.longestMs > 1190, 'a send that was cut soon tells nothing')
+  assert.ok(times.longestMs > 1190, 'a shorter timeout does not change the longest expected time')
 })
 
-test('a server owes an answer from the first send that got none, requests given up included', () => {
+test('the unanswered time of a server starts with the first unanswered send and includes abandoned requests', () => {
   const known = server('s1')
   assert.equal(getUnansweredMs(known, 5000), 0)
   recordRequestEnd(known, recordRequestStart(known, 100, 300, 1000))
--- a/packages/placement/__tests__/learning.test.ts
+++ b/packages/placement/__tests__/learning.test.ts
@@ -1,4 +1,4 @@
-/** What an entry VM learns from how a send ended, and tells the others. */
+/** Tests what an entry VM learns from the outcome of a send, and reports to the other VMs. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createLoadNotes, recordSendOutcome, placeRequest } from '@lynxcourse/placement'
@@ -7,26 +7,26 @@
 
 const now = 1000
 
-function stateOf (): { entry: EntryState, placed: Placed } {
+function createSend (): { entry: EntryState, placement: Placed } {
   const fleet = fleetOf(server('a'))
-  const placed = placeRequest(fleet, request(), now)
-  assert.ok(placed.type === 'send')
-  return { entry: { fleet, load: createLoadNotes(now), retries: new Map(), waitingForRoom: new Map() }, placed }
+  const placement = placeRequest(fleet, request(), now)
+  assert.ok(placement.type === 'send')
+  return { entry: { fleet, load: createLoadNotes(now), retries: new Map(), waitingForRoom: new Map() }, placement }
 }
 
-function toldAfter (end: SendEnd): number {
-  const { entry, placed } = stateOf()
-  recordSendOutcome(entry, request(), placed, end, 5, now + 5)
+function countReportedAfter (outcome: SendEnd): number {
+  const { entry, placement } = createSend()
+  recordSendOutcome(entry, request(), placement, outcome, 5, now + 5)
   return entry.load.failed.size
 }
 
 /*
- * Every sixth server ended and its address went to one of another service two seconds later. For three seconds after that a fifth of all
- * sends of 185 VMs still went to those addresses and were turned away there: each VM found out about each of the 90 servers by itself, until their
- * announcements had been missed. Each such send took one of the repeats that all VMs share, and when these were used up callers were refused.
+ * Guards against this failure: 90 servers end, a sixth of all, and servers of another service take over their addresses two seconds
+ * later. If each of 185 VMs detects each of these servers by itself, a fifth of all sends goes to the old addresses for three seconds
+ * and is rejected there. The resends use up the shared retry budget, and callers are refused.
  */
-test('a server that is not at its address any more is told to the other VMs, like one that can\'t be reached', () => {
-  assert.equal(toldAfter({ type: 'notRun', reason: 'unreached' }), 1)
-  assert.equal(toldAfter({ type: 'notRun', reason: 'elsewhere' }), 1)
-  assert.equal(toldAfter({ type: 'notRun', reason: 'full' }), 0)
+test('a server that is no longer at its address is reported to the other VMs, like one that can\'t be reached', () => {
+  assert.equal(countReportedAfter({ type: 'notRun', reason: 'unreached' }), 1)
+  assert.equal(countReportedAfter({ type: 'notRun', reason: 'elsewhere' }), 1)
+  assert.equal(countReportedAfter({ type: 'notRun', reason: 'full' }), 0)
 })
--- a/packages/placement/__tests__/placement.test.ts
+++ b/packages/placement/__tests__/placement.test.ts
@@ -1,4 +1,4 @@
-/** Where a request goes, and when it is refused. */
+/** Tests which server a request is sent to, and when it is refused. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { brandId } from '@lynxcourse/base'
@@ -7,49 +7,49 @@
 import type { FleetServer } from '@lynxcourse/placement'
 import { desk, kochi, mumbai, route, server, fleetOf, request, sentTo } from './support/fleet.js'
 
-test('a server that handled the object goes before the one that hashing names; a near one before a far one', () => {
-  const [first, second, far] = [server('first'), server('second'), server('far', mumbai)]
-  const fleet = fleetOf(first, second, far)
-  assert.notEqual(sentTo(fleet, request({ object: '' })), 'far')
-  const named = sentTo(fleet, request())
-  const other = named === 'first' ? second : first
+test('a warm server is preferred to the primary server by hash; a local server is preferred to a remote one', () => {
+  const [first, second, remote] = [server('first'), server('second'), server('remote', mumbai)]
+  const fleet = fleetOf(first, second, remote)
+  assert.notEqual(sentTo(fleet, request({ object: '' })), 'remote')
+  const primary = sentTo(fleet, request())
+  const other = primary === 'first' ? second : first
   noteHandled(fleet.warmth, other.facts.id, 'read|7', 900)
   assert.equal(sentTo(fleet, request()), other.facts.id)
 })
 
-test('VMs that never talked warm the same server for an object', () => {
+test('VMs that exchange no messages select the same server for an object', () => {
   const servers = ['a', 'b', 'c', 'd', 'e'].map(id => server(id))
   for (const object of ['read|1', 'read|2', 'read|3', 'read|4']) {
-    const choices = [1, 2, 3].map(() => sentTo(fleetOf(...servers.map(held => server(held.facts.id))), request({ object })))
+    const choices = [1, 2, 3].map(() => sentTo(fleetOf(...servers.map(known => server(known.facts.id))), request({ object })))
     assert.equal(new Set(choices).size, 1, object)
   }
 })
 
-test('homes bind, closed and tried servers get nothing', () => {
-  const far = server('far', mumbai)
-  const fleet = fleetOf(server('near'), far, server('closed', mumbai, { isClosed: true }))
-  assert.equal(sentTo(fleet, request({ route: route('read', { homes: [mumbai] }) })), 'far')
-  assert.equal(sentTo(fleet, request({ route: route('read', { homes: [mumbai] }), tried: new Set([far.facts.id]) })), 'noServer')
+test('requests go only to the home regions of their route, and never to closed or tried servers', () => {
+  const remote = server('remote', mumbai)
+  const fleet = fleetOf(server('local'), remote, server('closed', mumbai, { isClosed: true }))
+  assert.equal(sentTo(fleet, request({ route: route('read', { homes: [mumbai] }) })), 'remote')
+  assert.equal(sentTo(fleet, request({ route: route('read', { homes: [mumbai] }), tried: new Set([remote.facts.id]) })), 'noServer')
 })
 
-/** Guards against this failure: at twice the load all requests come late. */
-test('with all queues long, the least urgent are refused at once and the most urgent still served', () => {
+/** Guards against this failure: at twice the capacity, every request is answered late. */
+test('if all queues are long, the least urgent requests are refused at once and the most urgent are still sent', () => {
   const busy = server('busy')
   recordLoadReport(busy, 6, 1000)
   const fleet = fleetOf(busy)
-  const urgent = placeRequest(fleet, request({ route: route('read', { rank: 0 }) }), 1000)
-  const idle = placeRequest(fleet, request({ route: route('read', { rank: 2 }) }), 1000)
-  assert.equal(urgent.type, 'send')
-  assert.equal(idle.type, 'refuse')
-  assert.ok(idle.type === 'refuse' && idle.reason === 'busy' && idle.retryAfterMs >= 60)
+  const mostUrgent = placeRequest(fleet, request({ route: route('read', { rank: 0 }) }), 1000)
+  const leastUrgent = placeRequest(fleet, request({ route: route('read', { rank: 2 }) }), 1000)
+  assert.equal(mostUrgent.type, 'send')
+  assert.equal(leastUrgent.type, 'refuse')
+  assert.ok(leastUrgent.type === 'refuse' && leastUrgent.reason === 'busy' && leastUrgent.retryAfterMs >= 60)
 })
 
-test('what would end after its deadline is refused before anything is sent', () => {
-  const placed = placeRequest(fleetOf(server('near')), request({ deadline: 1050 }), 1000)
-  assert.ok(placed.type === 'refuse' && placed.reason === 'noTime')
+test('a request that would complete after its deadline is refused without being sent', () => {
+  const placement = placeRequest(fleetOf(server('local')), request({ deadline: 1050 }), 1000)
+  assert.ok(placement.type === 'refuse' && placement.reason === 'noTime')
 })
 
-test('an object is served in the region that the plan gives it, by all VMs of its callers\' region alike', () => {
+test('an object is served in the region that the plan assigns to it', () => {
   const servers = ['a', 'b', 'c'].map(id => server(id)).concat(['x', 'y', 'z'].map(id => server(id, mumbai)))
   const fleet = fleetOf(...servers)
   fleet.shares.set(desk, new Map([[kochi, 0], [mumbai, 1]]))
@@ -58,18 +58,18 @@
   for (const object of ['read|1', 'read|2', 'read|3']) assert.ok(['a', 'b', 'c'].includes(sentTo(fleet, request({ object }))))
 })
 
-/** Guards against this failure: requests wait behind the full queue of their object's server. */
-test('a server that all VMs together know to be full gets nothing while one beside it is free', () => {
+/** Guards against this failure: requests wait in the full queue of their object's server although another server is free. */
+test('a server that is full by the shared load data gets no request while another server is free', () => {
   const fleet = fleetOf(server('a'), server('b'))
   const primary = sentTo(fleet, request())
-  const held = fleet.byId.get(brandId<ServerId>(primary)) as FleetServer
-  recordSharedQueueDepth(held, 9, 900)
+  const primaryServer = fleet.byId.get(brandId<ServerId>(primary)) as FleetServer
+  recordSharedQueueDepth(primaryServer, 9, 900)
   assert.notEqual(sentTo(fleet, request()), primary)
   assert.equal(sentTo(fleet, request({ arrivedAt: 4000, deadline: 5200 }), 4000), primary)
 })
 
-/** Guards against this failure: a fleet whose warm work would fill 60 % of its slots answers everything late for half a minute. */
-test('in a full fleet objects keep to their primary servers', () => {
+/** Guards against this failure: a fleet whose warm work needs 60 % of its slots answers every request late for half a minute. */
+test('in a full fleet, objects are served at their primary servers only', () => {
   const fleet = fleetOf(...['a', 'b', 'c', 'd'].map(id => server(id)))
   const primary = sentTo(fleet, request())
   recordSharedQueueDepth(fleet.byId.get(brandId<ServerId>(primary)) as FleetServer, 12, 950)
@@ -78,15 +78,15 @@
   assert.equal(sentTo(fleet, request()), primary)
 })
 
-/** Guards against this failure: a VM refuses every request for want of a server while other regions have some. */
-test('without a plan and without near servers, objects have a primary server in another region', () => {
+/** Guards against this failure: a VM refuses every request because its region has no server, although other regions have servers. */
+test('without a plan and without local servers, objects have a primary server in another region', () => {
   const fleet = fleetOf(server('a', mumbai), server('b', mumbai))
   fleet.sharedFill.set(desk, 1.2)
   assert.ok(['a', 'b'].includes(sentTo(fleet, request())))
 })
 
-/** Guards against this failure: where all slots are busy, objects turn cold at one server after the other. */
-test('in a full fleet an object stays with its server while that has no room for a moment', () => {
+/** Guards against this failure: while all slots are busy, objects move from server to server and are cold at each of them. */
+test('in a full fleet, an object stays with its server while that server is briefly full', () => {
   const servers = ['a', 'b', 'c', 'd'].map(name => server(name))
   const fleet = fleetOf(...servers)
   fleet.sharedFill.set(desk, 1)
@@ -99,25 +99,25 @@
   assert.ok(after.type === 'send' && after.server === first.server)
 })
 
-/** Guards against this failure: objects are cold again and again while servers come and go. */
-test('an object stays with the server that is warm for it for as long as its new primary server may be cold', () => {
+/** Guards against this failure: objects turn cold repeatedly while servers join and leave. */
+test('an object stays with its warm server unless that is full, since its new primary server may be cold', () => {
   const fleet = fleetOf(server('a'), server('b'))
   const newPrimary = sentTo(fleet, request())
   for (let n = 0; n < 100; n++) updateWarmProbability(fleet, request(), 'primary', true)
-  const former = [...fleet.byId.values()].find(({ facts }) => facts.id !== newPrimary) as FleetServer
-  noteHandled(fleet.warmth, former.facts.id, 'read|7', 900)
-  recordLoadReport(former, 2, 950)
-  assert.equal(sentTo(fleet, request()), former.facts.id)
-  recordLoadReport(former, 12, 950)
-  assert.equal(sentTo(fleet, request()), newPrimary, 'where the former one is full, the object moves')
+  const warmServer = [...fleet.byId.values()].find(({ facts }) => facts.id !== newPrimary) as FleetServer
+  noteHandled(fleet.warmth, warmServer.facts.id, 'read|7', 900)
+  recordLoadReport(warmServer, 2, 950)
+  assert.equal(sentTo(fleet, request()), warmServer.facts.id)
+  recordLoadReport(warmServer, 12, 950)
+  assert.equal(sentTo(fleet, request()), newPrimary, 'the object moves if its warm server is full')
 })
 
-/** Guards against this failure: a route whose timeout is hardly longer than its cold work fails at its busiest. */
-test('a request waits at its warm primary server rather than risk to be cut at a cold server', () => {
+/** Guards against this failure: under load, requests of a route whose timeout is hardly longer than its cold work time out at cold servers. */
+test('a request waits at its warm primary server if cold work might exceed its deadline', () => {
   const fleet = fleetOf(...['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(id => server(id)))
   const primary = sentTo(fleet, request())
   noteHandled(fleet.warmth, brandId<ServerId>(primary), 'read|7', 900)
   recordLoadReport(fleet.byId.get(brandId<ServerId>(primary)) as FleetServer, 7, 950)
-  assert.notEqual(sentTo(fleet, request({ deadline: 2200 })), primary, 'with time for cold work')
+  assert.notEqual(sentTo(fleet, request({ deadline: 2200 })), primary, 'a cold server is selected while the deadline leaves time for cold work')
   assert.equal(sentTo(fleet, request({ deadline: 1239 })), primary)
 })
--- a/packages/placement/__tests__/requestRun.test.ts
+++ b/packages/placement/__tests__/requestRun.test.ts
@@ -1,4 +1,4 @@
-/** A request's course, whatever its servers do. */
+/** Tests the course of a request for arbitrary outcomes of its sends. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -9,41 +9,42 @@
 const seed = 53
 console.log(`seed ${seed}`)
 
-const terms: EntryTerms = { retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 1000 }, isLeaving: false }
+const conditions: EntryTerms = { retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 1000 }, isLeaving: false }
 const startedAt = 1000
 const serverCount = 8
 
-/** What a VM knows of a caller at whose connection it has just looked. */
-function seenCaller (): CallerView {
+/** Creates the view of a caller whose connection was just polled. */
+function createPolledCaller (): CallerView {
   const view = createCallerView()
   noteLook(view, startedAt)
   return view
 }
 
-function entryOf (): EntryState {
-  return { fleet: fleetOf(...Array.from({ length: serverCount }, (_, place) => server(`s${place}`))), load: createLoadNotes(startedAt), retries: new Map(), waitingForRoom: new Map() }
+function createEntry (): EntryState {
+  return { fleet: fleetOf(...Array.from({ length: serverCount }, (_, index) => server(`s${index}`))), load: createLoadNotes(startedAt), retries: new Map(), waitingForRoom: new Map() }
 }
 
-const ends: fc.Arbitrary<SendEnd> = fc.oneof(
+const outcomeArbitrary: fc.Arbitrary<SendEnd> = fc.oneof(
   fc.record({ type: fc.constant('answered' as const), status: fc.constantFrom(200, 404, 500, 503), openMs: fc.constant(0) }),
   fc.record({ type: fc.constant('notRun' as const), reason: fc.constantFrom('full' as const, 'elsewhere' as const, 'unreached' as const) }),
   fc.record({ type: fc.constant('lost' as const), reason: fc.constantFrom('failed' as const, 'spoiled' as const, 'deadline' as const, 'slow' as const, 'stranded' as const, 'gone' as const) })
 )
 
+/** The result of running one request to its final step. */
 interface Course {
   readonly run: RequestRun
   readonly sent: SendEnd[]
   readonly last: RunStep
 }
 
-/** Plays a request whose sends end like this, each after some time, to its final step. */
-function play (entry: EntryState, isIdempotent: boolean, maxAttempts: number, given: readonly SendEnd[], tookMs: number): Course {
-  const { tried: _, ...asked } = request({ route: route('read', { isIdempotent, maxAttempts }), arrivedAt: startedAt, deadline: startedAt + 1000 })
+/** Runs a request to its final step; its sends have the given outcomes, each after `tookMs`. */
+function runRequest (entry: EntryState, isIdempotent: boolean, maxAttempts: number, outcomes: readonly SendEnd[], tookMs: number): Course {
+  const { tried: _, ...incoming } = request({ route: route('read', { isIdempotent, maxAttempts }), arrivedAt: startedAt, deadline: startedAt + 1000 })
   let now = startedAt
-  const run = startRun(entry, asked, seenCaller(), terms, now)
+  const run = startRun(entry, incoming, createPolledCaller(), conditions, now)
   const sent: SendEnd[] = []
   for (;;) {
-    const step = nextStep(entry, run, terms, now)
+    const step = nextStep(entry, run, conditions, now)
     if (step.type === 'look') {
       noteLook(run.caller, now)
       continue
@@ -52,72 +53,72 @@
       now += step.pauseMs
       continue
     }
-    const end = given[sent.length]
-    if (step.type !== 'send' || end === undefined) return { run, sent, last: step }
+    const outcome = outcomes[sent.length]
+    if (step.type !== 'send' || outcome === undefined) return { run, sent, last: step }
     const sending = beginSend(entry, run, step.placed, now)
     now += tookMs
-    sent.push(end)
-    endSend(entry, run, sending, end, now)
+    sent.push(outcome)
+    endSend(entry, run, sending, outcome, now)
   }
 }
 
-const courses = fc.record({ isIdempotent: fc.boolean(), maxAttempts: fc.integer({ min: 1, max: 4 }), ends: fc.array(ends, { minLength: 12, maxLength: 12 }), tookMs: fc.integer({ min: 1, max: 600 }) })
+const cases = fc.record({ isIdempotent: fc.boolean(), maxAttempts: fc.integer({ min: 1, max: 4 }), outcomes: fc.array(outcomeArbitrary, { minLength: 12, maxLength: 12 }), tookMs: fc.integer({ min: 1, max: 600 }) })
 
-function mayHaveRun (end: SendEnd): boolean {
-  return end.type !== 'notRun'
+function mayHaveRun (outcome: SendEnd): boolean {
+  return outcome.type !== 'notRun'
 }
 
-test('a request that must not repeat is sent no more once a server may have run it; another runs at no more servers than its route allows', () => {
-  fc.assert(fc.property(courses, given => {
-    const { run, sent } = play(entryOf(), given.isIdempotent, given.maxAttempts, given.ends, given.tookMs)
+test('a non-idempotent request is not sent again once a server may have run it; an idempotent one runs at no more servers than its route allows', () => {
+  fc.assert(fc.property(cases, given => {
+    const { run, sent } = runRequest(createEntry(), given.isIdempotent, given.maxAttempts, given.outcomes, given.tookMs)
     const runs = sent.filter(mayHaveRun).length
     assert.ok(runs <= (given.isIdempotent ? given.maxAttempts : 1))
-    assert.equal(run.tried.size, sent.length, 'no server gets it twice')
-    if (!given.isIdempotent) assert.ok(sent.slice(0, -1).every(end => !mayHaveRun(end)))
+    assert.equal(run.tried.size, sent.length, 'no server gets the request twice')
+    if (!given.isIdempotent) assert.ok(sent.slice(0, -1).every(outcome => !mayHaveRun(outcome)))
   }), { seed })
 })
 
-test('only what no server may have run is refused, and only what some server may have run fails', () => {
-  fc.assert(fc.property(courses, given => {
-    const { sent, last } = play(entryOf(), given.isIdempotent, given.maxAttempts, given.ends, given.tookMs)
+test('only a request that certainly did not run is refused, and only a request that may have run fails', () => {
+  fc.assert(fc.property(cases, given => {
+    const { sent, last } = runRequest(createEntry(), given.isIdempotent, given.maxAttempts, given.outcomes, given.tookMs)
     if (last.type === 'refuse') assert.ok(!sent.some(mayHaveRun))
     if (last.type === 'fail') assert.ok(sent.some(mayHaveRun))
-    if (last.type === 'answer') assert.ok(sent.some(end => end.type === 'answered'))
+    if (last.type === 'answer') assert.ok(sent.some(outcome => outcome.type === 'answered'))
   }), { seed })
 })
 
-test('whatever ends a request, nothing of it stays counted', () => {
-  fc.assert(fc.property(courses, given => {
-    const entry = entryOf()
-    play(entry, given.isIdempotent, given.maxAttempts, given.ends, given.tookMs)
+test('after any outcome, a request no longer counts as in flight', () => {
+  fc.assert(fc.property(cases, given => {
+    const entry = createEntry()
+    runRequest(entry, given.isIdempotent, given.maxAttempts, given.outcomes, given.tookMs)
     assert.equal(concurrencyOf(entry.fleet, desk).underWay, 0)
     for (const { running } of entry.fleet.byId.values()) assert.equal(running.size, 0)
   }), { seed })
 })
 
-test('a VM that stops lets nothing wait for room', () => {
-  const entry = entryOf()
-  const { tried: _, ...asked } = request()
+test('a VM that is stopping lets no request wait for capacity', () => {
+  const entry = createEntry()
+  const { tried: _, ...incoming } = request()
   concurrencyOf(entry.fleet, desk).underWay = 1000
-  assert.equal(nextStep(entry, startRun(entry, asked, seenCaller(), terms, startedAt), terms, startedAt).type, 'wait')
-  const leaving = { ...terms, isLeaving: true }
-  assert.equal(nextStep(entry, startRun(entry, asked, seenCaller(), leaving, startedAt), leaving, startedAt).type, 'refuse')
+  assert.equal(nextStep(entry, startRun(entry, incoming, createPolledCaller(), conditions, startedAt), conditions, startedAt).type, 'wait')
+  const stopping = { ...conditions, isLeaving: true }
+  assert.equal(nextStep(entry, startRun(entry, incoming, createPolledCaller(), stopping, startedAt), stopping, startedAt).type, 'refuse')
 })
 
-/** Guards against requests that reach an evacuated failure domain long after they were sent, and against ended work that goes on well. */
-test('a send is stranded where it is overdue, its server is closed to work, and nothing was heard of it since', () => {
-  const entry = entryOf()
-  const { tried: _, ...asked } = request({ route: route('read', { isIdempotent: false }), arrivedAt: startedAt, deadline: startedAt + 60_000 })
-  const step = nextStep(entry, startRun(entry, asked, seenCaller(), terms, startedAt), terms, startedAt)
+/** Guards against requests that reach an evacuated failure domain long after they were sent, and against abandoning work that is still running. */
+test('a send is stranded if it is overdue at a closed server that has answered nothing since the send started', () => {
+  const entry = createEntry()
+  const { tried: _, ...incoming } = request({ route: route('read', { isIdempotent: false }), arrivedAt: startedAt, deadline: startedAt + 60_000 })
+  const step = nextStep(entry, startRun(entry, incoming, createPolledCaller(), conditions, startedAt), conditions, startedAt)
   assert.ok(step.type === 'send')
   const { placed } = step
-  const sending = beginSend(entry, startRun(entry, asked, seenCaller(), terms, startedAt), placed, startedAt)
-  const late = sending.overdueAt
-  assert.equal(isStranded(entry, sending, terms, late), false)
+  const sending = beginSend(entry, startRun(entry, incoming, createPolledCaller(), conditions, startedAt), placed, startedAt)
+  const overdueAt = sending.overdueAt
+  assert.equal(isStranded(entry, sending, conditions, overdueAt), false)
   placed.server.facts = { ...placed.server.facts, isClosed: true }
-  assert.equal(isStranded(entry, sending, terms, late - 1), false)
-  assert.equal(isStranded(entry, sending, terms, late), true)
-  assert.equal(isStranded(entry, sending, { ...terms, isLeaving: true }, late), false)
+  assert.equal(isStranded(entry, sending, conditions, overdueAt - 1), false)
+  assert.equal(isStranded(entry, sending, conditions, overdueAt), true)
+  assert.equal(isStranded(entry, sending, { ...conditions, isLeaving: true }, overdueAt), false)
   placed.server.answeredAt = startedAt + 1
-  assert.equal(isStranded(entry, sending, terms, late), false)
+  assert.equal(isStranded(entry, sending, conditions, overdueAt), false)
 })
--- a/packages/placement/__tests__/support/fleet.ts
+++ b/packages/placement/__tests__/support/fleet.ts
@@ -1,4 +1,4 @@
-/** A small fleet as one entry VM knows it, and requests to it. */
+/** Builds a small fleet as one entry VM knows it, and requests for it. */
 import { brandId, makeRandom } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { createFleet, createFleetServer, placeRequest } from '@lynxcourse/placement'
@@ -13,16 +13,16 @@
 export const kochi = brandId<RegionId>('kochi')
 export const mumbai = brandId<RegionId>('mumbai')
 
-/** A warm server of the desk with three slots, of which nothing was heard yet. */
+/** Creates a server of the service `desk` with three slots, past its warm-up and without observations. */
 export function server (id: string, region = kochi, parts: Partial<ServerFacts> = {}): FleetServer {
   const facts: ServerFacts = { id: brandId<ServerId>(id), service: desk, address: `${id}:80`, failureDomain: brandId<FailureDomainId>(`${region}-a`), region, bornAt: 0, slots: 3, isClosed: false, ...parts }
   return createFleetServer(facts, -Infinity)
 }
 
-/** The fleet of one VM in Kochi that has learned the route's times and knows no plan. */
+/** Creates the fleet of a VM in Kochi that has learned the work times of the route and has no region plan. */
 export function fleetOf (...servers: FleetServer[]): Fleet {
   const fleet = createFleet({ self: 'vm-1', region: kochi, random: makeRandom(seed), without: new Set() }, ['vm-1'])
-  for (const held of servers) fleet.byId.set(held.facts.id, held)
+  for (const known of servers) fleet.byId.set(known.facts.id, known)
   fleet.byService.set(desk, servers)
   fleet.work.set('read desk', { coldMs: 240, warmMs: 72, longestMs: 240 })
   fleet.meanSlotTimes.set(desk, 100)
@@ -31,13 +31,13 @@
   return fleet
 }
 
-/** A request for one object with ample time. */
+/** Creates a request for one object that is far from its deadline. */
 export function request (parts: Partial<PlaceRequest> = {}): PlaceRequest {
   return { route: route('read'), service: desk, object: 'read|7', tried: new Set(), arrivedAt: 1000, deadline: 2200, ...parts }
 }
 
-/** The server that a request is sent to, or the reason of its refusal. */
-export function sentTo (fleet: Fleet, asked: PlaceRequest, now = 1000): string {
-  const placed = placeRequest(fleet, asked, now)
-  return placed.type === 'send' ? placed.server.facts.id : placed.reason
+/** Returns the ID of the server that is selected for a request, or the reason of its refusal. */
+export function sentTo (fleet: Fleet, placeable: PlaceRequest, now = 1000): string {
+  const placement = placeRequest(fleet, placeable, now)
+  return placement.type === 'send' ? placement.server.facts.id : placement.reason
 }
