--- a/packages/placement/__tests__/fleetServer.test.ts
+++ b/packages/placement/__tests__/fleetServer.test.ts
@@ -5,7 +5,7 @@
 import type { ServerId } from '@lynxcourse/base'
 import { isStalled, learnCutWork, recordAnswer, recordFailure, recordSuccess, recordSharedResponsiveness, recordRequestStart, recordRequestEnd, getUnansweredMs } from '@lynxcourse/placement'
 import type { FleetServer } from '@lynxcourse/placement'
-import { mumbai, server, fleetOf, request, sentTo } from './support/fleet.js'
+import { mumbai, server, fleetOf, request, getTargetOrReason } from './support/fleet.js'
 
 /** Guards against this failure: requests accumulate at a server that answers nothing. */
 test('a server that keeps a request far longer than expected gets no further requests', () => {
@@ -14,7 +14,7 @@
   recordRequestStart(unresponsive, 100, 100, 1000)
   assert.equal(isStalled(unresponsive, 1400), false)
   assert.equal(isStalled(unresponsive, 1600), true)
-  assert.equal(sentTo(fleet, request({ object: '', arrivedAt: 1600, deadline: 2800 }), 1600), 'other')
+  assert.equal(getTargetOrReason(fleet, request({ object: '', arrivedAt: 1600, deadline: 2800 }), 1600), 'other')
 })
 
 test('a server that fails repeatedly is ejected for longer each time, but used if all servers are ejected', () => {
@@ -25,17 +25,17 @@
   assert.equal(failing.ejectedUntil, 1400)
   recordFailure(failing, false, 1400)
   assert.equal(failing.ejectedUntil, 2200)
-  assert.equal(sentTo(fleetOf(failing), request(), 1500), 'failing')
+  assert.equal(getTargetOrReason(fleetOf(failing), request(), 1500), 'failing')
 })
 
 test('a server that answers no VM gets no request while another server is open, until it answers this VM', () => {
   const fleet = fleetOf(server('a'), server('b'))
-  const primary = sentTo(fleet, request())
+  const primary = getTargetOrReason(fleet, request())
   const primaryServer = fleet.byId.get(brandId<ServerId>(primary)) as FleetServer
   recordSharedResponsiveness(primaryServer, true, 900)
-  assert.notEqual(sentTo(fleet, request()), primary)
+  assert.notEqual(getTargetOrReason(fleet, request()), primary)
   recordSuccess(primaryServer, 1, 1000)
-  assert.equal(sentTo(fleet, request()), primary)
+  assert.equal(getTargetOrReason(fleet, request()), primary)
 })
 
 /** Guards against this failure: servers that answer requests are excluded as stalled. */
--- a/packages/placement/__tests__/placement.test.ts
+++ b/packages/placement/__tests__/placement.test.ts
@@ -5,22 +5,22 @@
 import type { ServerId } from '@lynxcourse/base'
 import { updateWarmProbability, recordServerFull, noteHandled, recordLoadReport, recordSharedQueueDepth, placeRequest } from '@lynxcourse/placement'
 import type { FleetServer } from '@lynxcourse/placement'
-import { desk, kochi, mumbai, route, server, fleetOf, request, sentTo } from './support/fleet.js'
+import { desk, kochi, mumbai, route, server, fleetOf, request, getTargetOrReason } from './support/fleet.js'
 
 test('a warm server is preferred to the primary server by hash; a local server is preferred to a remote one', () => {
   const [first, second, remote] = [server('first'), server('second'), server('remote', mumbai)]
   const fleet = fleetOf(first, second, remote)
-  assert.notEqual(sentTo(fleet, request({ object: '' })), 'remote')
-  const primary = sentTo(fleet, request())
+  assert.notEqual(getTargetOrReason(fleet, request({ object: '' })), 'remote')
+  const primary = getTargetOrReason(fleet, request())
   const other = primary === 'first' ? second : first
   noteHandled(fleet.warmth, other.facts.id, 'read|7', 900)
-  assert.equal(sentTo(fleet, request()), other.facts.id)
+  assert.equal(getTargetOrReason(fleet, request()), other.facts.id)
 })
 
 test('VMs that exchange no messages select the same server for an object', () => {
   const servers = ['a', 'b', 'c', 'd', 'e'].map(id => server(id))
   for (const object of ['read|1', 'read|2', 'read|3', 'read|4']) {
-    const choices = [1, 2, 3].map(() => sentTo(fleetOf(...servers.map(known => server(known.facts.id))), request({ object })))
+    const choices = [1, 2, 3].map(() => getTargetOrReason(fleetOf(...servers.map(known => server(known.facts.id))), request({ object })))
     assert.equal(new Set(choices).size, 1, object)
   }
 })
@@ -28,8 +28,8 @@
 test('requests go only to the home regions of their route, and never to closed or tried servers', () => {
   const remote = server('remote', mumbai)
   const fleet = fleetOf(server('local'), remote, server('closed', mumbai, { isClosed: true }))
-  assert.equal(sentTo(fleet, request({ route: route('read', { homes: [mumbai] }) })), 'remote')
-  assert.equal(sentTo(fleet, request({ route: route('read', { homes: [mumbai] }), tried: new Set([remote.facts.id]) })), 'noServer')
+  assert.equal(getTargetOrReason(fleet, request({ route: route('read', { homes: [mumbai] }) })), 'remote')
+  assert.equal(getTargetOrReason(fleet, request({ route: route('read', { homes: [mumbai] }), tried: new Set([remote.facts.id]) })), 'noServer')
 })
 
 /** Guards against this failure: at twice the capacity, every request is answered late. */
@@ -53,36 +53,36 @@
   const servers = ['a', 'b', 'c'].map(id => server(id)).concat(['x', 'y', 'z'].map(id => server(id, mumbai)))
   const fleet = fleetOf(...servers)
   fleet.shares.set(desk, new Map([[kochi, 0], [mumbai, 1]]))
-  for (const object of ['read|1', 'read|2', 'read|3']) assert.ok(['x', 'y', 'z'].includes(sentTo(fleet, request({ object }))))
+  for (const object of ['read|1', 'read|2', 'read|3']) assert.ok(['x', 'y', 'z'].includes(getTargetOrReason(fleet, request({ object }))))
   fleet.shares.set(desk, new Map([[kochi, 1], [mumbai, 0]]))
-  for (const object of ['read|1', 'read|2', 'read|3']) assert.ok(['a', 'b', 'c'].includes(sentTo(fleet, request({ object }))))
+  for (const object of ['read|1', 'read|2', 'read|3']) assert.ok(['a', 'b', 'c'].includes(getTargetOrReason(fleet, request({ object }))))
 })
 
 /** Guards against this failure: requests wait in the full queue of their object's server although another server is free. */
 test('a server that is full by the shared load data gets no request while another server is free', () => {
   const fleet = fleetOf(server('a'), server('b'))
-  const primary = sentTo(fleet, request())
+  const primary = getTargetOrReason(fleet, request())
   const primaryServer = fleet.byId.get(brandId<ServerId>(primary)) as FleetServer
   recordSharedQueueDepth(primaryServer, 9, 900)
-  assert.notEqual(sentTo(fleet, request()), primary)
-  assert.equal(sentTo(fleet, request({ arrivedAt: 4000, deadline: 5200 }), 4000), primary)
+  assert.notEqual(getTargetOrReason(fleet, request()), primary)
+  assert.equal(getTargetOrReason(fleet, request({ arrivedAt: 4000, deadline: 5200 }), 4000), primary)
 })
 
 /** Guards against this failure: a fleet whose warm work needs 60 % of its slots answers every request late for half a minute. */
 test('in a full fleet, objects are served at their primary servers only', () => {
   const fleet = fleetOf(...['a', 'b', 'c', 'd'].map(id => server(id)))
-  const primary = sentTo(fleet, request())
+  const primary = getTargetOrReason(fleet, request())
   recordSharedQueueDepth(fleet.byId.get(brandId<ServerId>(primary)) as FleetServer, 12, 950)
-  assert.notEqual(sentTo(fleet, request()), primary)
+  assert.notEqual(getTargetOrReason(fleet, request()), primary)
   fleet.sharedFill.set(desk, 1.2)
-  assert.equal(sentTo(fleet, request()), primary)
+  assert.equal(getTargetOrReason(fleet, request()), primary)
 })
 
 /** Guards against this failure: a VM refuses every request because its region has no server, although other regions have servers. */
 test('without a plan and without local servers, objects have a primary server in another region', () => {
   const fleet = fleetOf(server('a', mumbai), server('b', mumbai))
   fleet.sharedFill.set(desk, 1.2)
-  assert.ok(['a', 'b'].includes(sentTo(fleet, request())))
+  assert.ok(['a', 'b'].includes(getTargetOrReason(fleet, request())))
 })
 
 /** Guards against this failure: while all slots are busy, objects move from server to server and are cold at each of them. */
@@ -102,22 +102,22 @@
 /** Guards against this failure: objects turn cold repeatedly while servers join and leave. */
 test('an object stays with its warm server unless that is full, since its new primary server may be cold', () => {
   const fleet = fleetOf(server('a'), server('b'))
-  const newPrimary = sentTo(fleet, request())
+  const newPrimary = getTargetOrReason(fleet, request())
   for (let n = 0; n < 100; n++) updateWarmProbability(fleet, request(), 'primary', true)
   const warmServer = [...fleet.byId.values()].find(({ facts }) => facts.id !== newPrimary) as FleetServer
   noteHandled(fleet.warmth, warmServer.facts.id, 'read|7', 900)
   recordLoadReport(warmServer, 2, 950)
-  assert.equal(sentTo(fleet, request()), warmServer.facts.id)
+  assert.equal(getTargetOrReason(fleet, request()), warmServer.facts.id)
   recordLoadReport(warmServer, 12, 950)
-  assert.equal(sentTo(fleet, request()), newPrimary, 'the object moves if its warm server is full')
+  assert.equal(getTargetOrReason(fleet, request()), newPrimary, 'the object moves if its warm server is full')
 })
 
 /** Guards against this failure: under load, requests of a route whose timeout is hardly longer than its cold work time out at cold servers. */
 test('a request waits at its warm primary server if cold work might exceed its deadline', () => {
   const fleet = fleetOf(...['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(id => server(id)))
-  const primary = sentTo(fleet, request())
+  const primary = getTargetOrReason(fleet, request())
   noteHandled(fleet.warmth, brandId<ServerId>(primary), 'read|7', 900)
   recordLoadReport(fleet.byId.get(brandId<ServerId>(primary)) as FleetServer, 7, 950)
-  assert.notEqual(sentTo(fleet, request({ deadline: 2200 })), primary, 'a cold server is selected while the deadline leaves time for cold work')
-  assert.equal(sentTo(fleet, request({ deadline: 1239 })), primary)
+  assert.notEqual(getTargetOrReason(fleet, request({ deadline: 2200 })), primary, 'a cold server is selected while the deadline leaves time for cold work')
+  assert.equal(getTargetOrReason(fleet, request({ deadline: 1239 })), primary)
 })
--- a/packages/placement/__tests__/support/fleet.ts
+++ b/packages/placement/__tests__/support/fleet.ts
@@ -24,7 +24,7 @@
   const fleet = createFleet({ self: 'vm-1', region: kochi, random: makeRandom(seed), without: new Set() }, ['vm-1'])
   for (const known of servers) fleet.byId.set(known.facts.id, known)
   fleet.byService.set(desk, servers)
-  fleet.work.set('read desk', { coldMs: 240, warmMs: 72, longestMs: 240 })
+  fleet.workModel.set('read desk', { coldMs: 240, warmMs: 72, longestMs: 240 })
   fleet.meanSlotTimes.set(desk, 100)
   fleet.travel.set(mumbai, 70)
   fleet.coldRates.set(desk, 10)
@@ -37,7 +37,7 @@
 }
 
 /** Returns the ID of the server that is selected for a request, or the reason of its refusal. */
-export function sentTo (fleet: Fleet, placeable: PlaceRequest, now = 1000): string {
+export function getTargetOrReason (fleet: Fleet, placeable: PlaceRequest, now = 1000): string {
   const placement = placeRequest(fleet, placeable, now)
   return placement.type === 'send' ? placement.server.facts.id : placement.reason
 }
--- a/packages/placement/src/core/request/fleet.ts
+++ b/packages/placement/src/core/request/fleet.ts
@@ -28,7 +28,7 @@
   readonly byId: Map<ServerId, FleetServer>
   byService: Map<ServiceId, FleetServer[]>
   readonly warmth: Warmth
-  readonly work: WorkModel
+  readonly workModel: WorkModel
   /** Smoothed time that a request occupies a slot, by service. */
   readonly meanSlotTimes: Map<ServiceId, Millis>
   /** Smoothed round-trip time to other regions, learned from opening connections. */
@@ -58,7 +58,7 @@
     byId: new Map(),
     byService: new Map(),
     warmth: createWarmth(),
-    work: new Map(),
+    workModel: new Map(),
     meanSlotTimes: new Map(),
     travel: new Map(),
     coldRates: new Map(),
@@ -138,7 +138,7 @@
 
 /** Returns the slot time of a request at a server that is warm for its object, or the mean of its service for a request without an object. */
 export function estimateSlotTime (fleet: Fleet, request: RoutedService, object: string): Millis {
-  const times = workOf(fleet.work, workKey(request), request.route.aimMs)
+  const times = workOf(fleet.workModel, workKey(request), request.route.aimMs)
   if (request.route.isSticky && object !== '') return times.warmMs
   return fleet.meanSlotTimes.get(request.service) ?? times.coldMs
 }
--- a/packages/placement/src/core/request/learning.ts
+++ b/packages/placement/src/core/request/learning.ts
@@ -73,7 +73,7 @@
   const overdueMs = placement.maxExpectedMs * overdueFactor
   const isOverdue = isTimeout && tookMs > overdueMs
   if (isTimeout && !isOverdue && getUnansweredMs(server, now) <= overdueMs) {
-    learnCutWork(workOf(entry.fleet.work, workKey(request), request.route.aimMs), estimateServerTime(entry, placement, tookMs))
+    learnCutWork(workOf(entry.fleet.workModel, workKey(request), request.route.aimMs), estimateServerTime(entry, placement, tookMs))
     return
   }
   recordFailure(server, isOverdue, now)
@@ -97,7 +97,7 @@
 
 /** Returns the expected time of the work alone, for a warm or a cold object. */
 function getExpectedWorkTime (entry: EntryState, request: PlaceRequest, placement: Placed): Millis {
-  const times = workOf(entry.fleet.work, workKey(request), request.route.aimMs)
+  const times = workOf(entry.fleet.workModel, workKey(request), request.route.aimMs)
   return placement.wasWarm ? times.warmMs : times.coldMs
 }
 
@@ -107,7 +107,7 @@
 function learnFromAnswer (entry: EntryState, request: PlaceRequest, placement: Placed, tookMs: Millis, now: Millis): void {
   const { fleet } = entry
   const { server, wasWarm, waitMs } = placement
-  const times = workOf(fleet.work, workKey(request), request.route.aimMs)
+  const times = workOf(fleet.workModel, workKey(request), request.route.aimMs)
   const serverMs = estimateServerTime(entry, placement, tookMs)
   const expectedMs = getExpectedWorkTime(entry, request, placement) + waitMs
   const ratio = serverMs / expectedMs
--- a/packages/placement/src/core/request/placeRequest.ts
+++ b/packages/placement/src/core/request/placeRequest.ts
@@ -64,7 +64,7 @@
 
 /** Returns whether a request misses its latency objective even at a server that is warm for its object and has a free slot. */
 function missesLatencyObjective (fleet: Fleet, { route, service, arrivedAt }: PlaceRequest, now: Millis): boolean {
-  return now - arrivedAt + workOf(fleet.work, workKey({ route, service }), route.aimMs).warmMs > route.aimMs
+  return now - arrivedAt + workOf(fleet.workModel, workKey({ route, service }), route.aimMs).warmMs > route.aimMs
 }
 
 /** Refuses a request that no server can take: all servers that may serve it are full at the moment, or there is none. */
--- a/packages/placement/src/core/request/requestRun.ts
+++ b/packages/placement/src/core/request/requestRun.ts
@@ -116,10 +116,10 @@
   const running = recordRequestStart(server, expectedMs, maxExpectedMs, now)
   const concurrency = concurrencyOf(fleet, service)
   // If all servers are slow, abandoning unfinished work only adds load at the next server.
-  const mayFailOver = route.isIdempotent && state.possibleRuns + 1 < route.maxAttempts && isCalm(concurrency)
+  const canFailOver = route.isIdempotent && state.possibleRuns + 1 < route.maxAttempts && isCalm(concurrency)
   concurrency.underWay += 1
   const overdueAt = now + computeResponseTimeout(expectedMs, maxExpectedMs) + failoverSlackMs
-  return { placed: placement, running, startedAt: now, leaveAt: mayFailOver ? overdueAt : undefined, overdueAt }
+  return { placed: placement, running, startedAt: now, leaveAt: canFailOver ? overdueAt : undefined, overdueAt }
 }
 
 /**
--- a/packages/placement/src/core/request/scoring.ts
+++ b/packages/placement/src/core/request/scoring.ts
@@ -77,7 +77,7 @@
   const places = isSticky ? placesOf(eligible, `${request.service} ${request.object}`, region) : undefined
   const utilization = estimateServiceUtilization(fleet, request.service, now)
   const candidates = places === undefined ? open : findCandidates(fleet, request, open, places, utilization, now)
-  const times = workOf(fleet.work, workKey(request), request.route.aimMs)
+  const times = workOf(fleet.workModel, workKey(request), request.route.aimMs)
   const { without: disabledMechanisms } = fleet.setup
   const hasWarmNonPrimary = places !== undefined && !disabledMechanisms.has('movedPrimaries') && candidates.some(server => isWarmNonPrimary(fleet, request, server, places, region, now))
   const input: ScoreInput = { times, places, region, workWeight: disabledMechanisms.has('workWeight') ? 1 : 1 + computeExtraWorkWeight(utilization), hasWarmNonPrimary }
--- a/packages/placement/src/core/server/fleetServer.ts
+++ b/packages/placement/src/core/server/fleetServer.ts
@@ -37,7 +37,7 @@
   reportedAt: Millis
   /** When the server last answered any request of this VM. */
   answeredAt: Millis
-  /** Start of the time in which requests of this VM went unanswered; undefined if no answer is outstanding. */
+  /** Time since which requests of this VM have been unanswered; undefined if no answer is outstanding. */
   unansweredSince: Millis | undefined
   /** Requests that this VM sent since the last load report. */
   sentSinceReport: number
@@ -150,7 +150,7 @@
   return !server.facts.isClosed && now >= server.ejectedUntil && now >= server.unresponsiveUntil && !isStalled(server, now)
 }
 
-/** Returns whether a server may have capacity: it did not reject a request as full within the last pause. */
+/** Returns whether a server may have capacity: it has not rejected a request as full within `fullBackoffMs`. */
 export function hasCapacity (server: FleetServer, now: Millis): boolean {
   return now >= server.fullUntil
 }
@@ -201,7 +201,7 @@
   server.unansweredSince = server.running.size > 1 ? now : undefined
 }
 
-/** Returns for how long the server has left this VM's requests unanswered, including abandoned ones; 0 if no answer is outstanding. */
+/** Returns how long this VM's requests have been unanswered, including abandoned ones; 0 if no answer is outstanding. */
 export function getUnansweredMs (server: FleetServer, now: Millis): Millis {
   return server.unansweredSince === undefined ? 0 : now - server.unansweredSince
 }
