--- a/packages/placement/src/core/request/requestRun.ts
+++ b/packages/placement/src/core/request/requestRun.ts
@@ -101,18 +101,18 @@
 }
 
 /** Adds a request to the number of those that wait for capacity, or removes it. */
-export function noteWaiting ({ waitingForRoom }: EntryState, { request: { service } }: RequestRun, change: 1 | -1): void {
-  waitingForRoom.set(service, (waitingForRoom.get(service) ?? 0) + change)
+export function noteWaiting ({ waitingForRoom: waitingForCapacity }: EntryState, { request: { service } }: RequestRun, change: 1 | -1): void {
+  waitingForCapacity.set(service, (waitingForCapacity.get(service) ?? 0) + change)
 }
 
 /** Records the start of a send and returns its timeouts. */
 export function beginSend ({ fleet }: EntryState, state: RequestRun, placement: Placed, now: Millis): Sending {
   const { route, service } = state.request
-  const { server, travelMs, waitMs, workMs, maxExpectedMs } = placement
+  const { server, travelMs: roundTripMs, waitMs, workMs, maxExpectedMs } = placement
   state.sends += 1
   state.tried.add(server.facts.id)
   if (isCold(server, now)) consumeColdToken(server)
-  const expectedMs = travelMs + waitMs + workMs
+  const expectedMs = roundTripMs + waitMs + workMs
   const running = recordRequestStart(server, expectedMs, maxExpectedMs, now)
   const concurrency = concurrencyOf(fleet, service)
   // If all servers are slow, abandoning unfinished work only adds load at the next server.
@@ -126,8 +126,8 @@
  * Returns whether a request may fail over to another server now. Without a server to take it, failing over would replace a late
  * answer by a failure. A VM that is stopping must not abort requests in flight.
  */
-export function mayLeaveServer ({ fleet }: EntryState, state: RequestRun, { isLeaving }: EntryTerms, now: Millis): boolean {
-  return !isLeaving && placeRequest(fleet, state.request, now).type === 'send'
+export function mayLeaveServer ({ fleet }: EntryState, state: RequestRun, { isLeaving: isStopping }: EntryTerms, now: Millis): boolean {
+  return !isStopping && placeRequest(fleet, state.request, now).type === 'send'
 }
 
 /**
@@ -137,8 +137,8 @@
  * failure domain. The VM can't see whether the request is still in transit or already running, so it abandons the request even if
  * that loses a late answer.
  */
-export function isStranded ({ fleet }: EntryState, { placed: { server }, startedAt, overdueAt }: Sending, { isLeaving }: EntryTerms, now: Millis): boolean {
-  if (isLeaving || now < overdueAt || server.answeredAt > startedAt) return false
+export function isStranded ({ fleet }: EntryState, { placed: { server }, startedAt, overdueAt }: Sending, { isLeaving: isStopping }: EntryTerms, now: Millis): boolean {
+  if (isStopping || now < overdueAt || server.answeredAt > startedAt) return false
   return server.facts.isClosed || fleet.byId.get(server.facts.id) !== server
 }
 
@@ -183,10 +183,10 @@
   return { type: 'refuse', refused: { type: 'refuse', reason, retryAfterMs: fullRetryAfterMs } }
 }
 
-function mayWaitForCapacity ({ fleet, waitingForRoom }: EntryState, { request, maxWaitUntil }: RequestRun, refusal: Refused, { isLeaving }: EntryTerms, now: Millis): boolean {
-  if (refusal.reason !== 'busy' || isLeaving || fleet.setup.without.has('roomWait')) return false
+function mayWaitForCapacity ({ fleet, waitingForRoom: waitingForCapacity }: EntryState, { request, maxWaitUntil }: RequestRun, refusal: Refused, { isLeaving: isStopping }: EntryTerms, now: Millis): boolean {
+  if (refusal.reason !== 'busy' || isStopping || fleet.setup.without.has('roomWait')) return false
   const { route, service } = request
   const { limit } = concurrencyOf(fleet, service)
-  const pace = { limit, meanMs: fleet.meanSlotTimes.get(service) ?? route.aimMs, waiting: waitingForRoom.get(service) ?? 0 }
+  const pace = { limit, meanMs: fleet.meanSlotTimes.get(service) ?? route.aimMs, waiting: waitingForCapacity.get(service) ?? 0 }
   return expectsRoom(pace, maxWaitUntil, now)
 }
