--- a/packages/placement/__tests__/placement.test.ts
+++ b/packages/placement/__tests__/placement.test.ts
@@ -112,7 +112,7 @@
   assert.equal(getTargetOrReason(fleet, request()), newPrimary, 'the object moves if its warm server is full')
 })
 
-/** Guards against this failure: under load, requests of a route whose timeout is hardly longer than its cold work time out at cold servers. */
+/** Guards against this failure: under load, a route whose timeout is hardly longer than its cold work times out at cold servers. */
 test('a request waits at its warm primary server if cold work might exceed its deadline', () => {
   const fleet = fleetOf(...['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(id => server(id)))
   const primary = getTargetOrReason(fleet, request())
--- a/packages/placement/__tests__/requestRun.test.ts
+++ b/packages/placement/__tests__/requestRun.test.ts
@@ -105,7 +105,10 @@
   assert.equal(nextStep(entry, startRun(entry, incoming, createPolledCaller(), stopping, startedAt), stopping, startedAt).type, 'refuse')
 })
 
-/** Guards against requests that reach an evacuated failure domain long after they were sent, and against abandoning work that is still running. */
+/**
+ * Guards against requests that reach an evacuated failure domain long after they were sent, and against abandoning work that is
+ * still running.
+ */
 test('a send is stranded if it is overdue at a closed server that has answered nothing since the send started', () => {
   const entry = createEntry()
   const { tried: _, ...incoming } = request({ route: route('read', { isIdempotent: false }), arrivedAt: startedAt, deadline: startedAt + 60_000 })
--- a/packages/placement/src/core/request/fleet.ts
+++ b/packages/placement/src/core/request/fleet.ts
@@ -136,7 +136,7 @@
   return `${request.route.name} ${request.service}`
 }
 
-/** Returns the slot time of a request at a server that is warm for its object, or the mean of its service for a request without an object. */
+/** Returns the slot time of a request at a server that is warm for its object; without an object, the mean slot time of the service. */
 export function estimateSlotTime (fleet: Fleet, request: RoutedService, object: string): Millis {
   const times = workOf(fleet.workModel, workKey(request), request.route.aimMs)
   if (request.route.isSticky && object !== '') return times.warmMs
--- a/packages/placement/src/core/request/placeRequest.ts
+++ b/packages/placement/src/core/request/placeRequest.ts
@@ -40,7 +40,7 @@
   readonly retryAfterMs: Millis
 }
 
-/** Accepted wait beyond the latency objective, as a fraction of the round trip and the work, by rank: the most urgent requests wait longest. */
+/** Accepted wait beyond the latency objective, by rank, as a factor of the time without the wait: the most urgent wait longest. */
 const maxWaitFactors = [1.5, 0.8, 0.5]
 /** Bounds of the retry time that a refused caller receives. */
 const minRetryAfterMs = 100
--- a/packages/placement/src/core/request/requestRun.ts
+++ b/packages/placement/src/core/request/requestRun.ts
@@ -23,11 +23,11 @@
 import type { Placed, Refused } from './placeRequest.js'
 import type { PlaceRequest } from './scoring.js'
 
-/** Number of full servers that a request may meet and still be sent again: each send costs a round trip and a unit of the retry budget. */
+/** Number of full servers after which a request is still sent again: each send costs a round trip and a unit of the retry budget. */
 const maxFullServers = 2
 /** Delay after the response timeout before an idempotent request may fail over to another server. */
 const failoverSlackMs: Millis = 200
-/** Retry time for the caller after all tried servers were full. */
+/** Retry time for the caller of a request that is refused after it waited or met full servers. */
 const fullRetryAfterMs: Millis = 150
 
 /** A request and the results of its sends so far. */
--- a/packages/placement/src/core/request/scoring.ts
+++ b/packages/placement/src/core/request/scoring.ts
@@ -209,7 +209,7 @@
   return latestEndAt > deadline ? route.aimMs * timeoutRiskCostFraction : 0
 }
 
-/** Changes `primary` to `movedPrimary` if the object is warm at another server of the region: its new primary server is probably still cold. */
+/** Changes `primary` to `movedPrimary` if the object is warm at another server of the region: its new primary server may be cold. */
 function adjustHashRank (hashRank: HashPlace | undefined, wasWarm: boolean, { hasWarmNonPrimary }: ScoreInput): HashPlace | undefined {
   return hashRank === 'primary' && hasWarmNonPrimary && !wasWarm ? 'movedPrimary' : hashRank
 }
