--- a/packages/daemon/src/core/entry/connectionPool.ts
+++ b/packages/daemon/src/core/entry/connectionPool.ts
@@ -3,7 +3,7 @@
 import { Client, buildConnector } from 'undici'
 import { createRestMemory, hasOpenedLate, longestRest, noteRestedReset, noteSilence } from '@lynxcourse/placement'
 import type { RestMemory } from '@lynxcourse/placement'
-import { createConnectionState, mayCarry, noteProgress, takeConnectionEvent } from '@lynxcourse/routing'
+import { createConnectionState, isReusable, recordProgress, applyConnectionEvent } from '@lynxcourse/routing'
 import type { ConnectionCfg, ConnectionState } from '@lynxcourse/routing'
 import type { Chart, Millis } from '@lynxcourse/base'
 import { presentTime } from '../../utils/clock.js'
@@ -65,11 +65,11 @@
   const held = pool.byAddress.get(address) ?? []
   for (let place = held.length - 1; place >= 0; place--) {
     const connection = held[place] as Connection
-    if (!mayCarry(pool.cfg, connection.state, mustNotRepeat, now)) continue
+    if (!isReusable(pool.cfg, connection.state, mustNotRepeat, now)) continue
     const restedMs = now - connection.state.progressAt
     if (mustNotRepeat && restedMs > longestRest(pool.rests, now)) continue
     connection.restedMs = restedMs
-    takeConnectionEvent(pool.chart, connection.state, 'take')
+    applyConnectionEvent(pool.chart, connection.state, 'take')
     connection.reused = true
     return connection
   }
@@ -92,7 +92,7 @@
   })
   client.on('connectionError', () => undefined)
   const state = createConnectionState(pool.chart, now)
-  takeConnectionEvent(pool.chart, state, 'take')
+  applyConnectionEvent(pool.chart, state, 'take')
   const connection: Connection = { client, state, address, reused: false, restedMs: 0, wasReset: false }
   return connection
 }
@@ -133,20 +133,20 @@
 
 /** Notes that bytes came. */
 export function progressConnection (pool: ConnectionPool, connection: Connection, now: Millis): void {
-  if (connection.state.state === 'busy') noteProgress(pool.chart, connection.state, now)
+  if (connection.state.state === 'busy') recordProgress(pool.chart, connection.state, now)
 }
 
 /** Gives a connection back whose answer was read to its end. */
 export function releaseConnection (pool: ConnectionPool, connection: Connection, now: Millis): void {
   if (connection.state.state !== 'busy') return
-  noteProgress(pool.chart, connection.state, now)
-  takeConnectionEvent(pool.chart, connection.state, 'release')
+  recordProgress(pool.chart, connection.state, now)
+  applyConnectionEvent(pool.chart, connection.state, 'release')
 }
 
 /** Closes a connection for good: it failed, went silent, or its answer was not read to the end. */
 export function dropConnection (pool: ConnectionPool, connection: Connection, event: 'silent' | 'close' | 'quiet'): void {
   if (connection.state.state === 'closed') return
-  takeConnectionEvent(pool.chart, connection.state, event)
+  applyConnectionEvent(pool.chart, connection.state, event)
   const left = (pool.byAddress.get(connection.address) ?? []).filter(held => held !== connection)
   if (left.length === 0) pool.byAddress.delete(connection.address)
   else pool.byAddress.set(connection.address, left)
--- a/packages/daemon/src/core/fleet/fleetNode.ts
+++ b/packages/daemon/src/core/fleet/fleetNode.ts
@@ -1,5 +1,5 @@
 /** What the parts of one VM of a fleet share. */
-import { hashText, makeRandom } from '@lynxcourse/base'
+import { hashText, createRandom } from '@lynxcourse/base'
 import type { Millis, Random, RegionId } from '@lynxcourse/base'
 import { createConfig } from '@lynxcourse/state'
 import type { Config } from '@lynxcourse/state'
@@ -60,7 +60,7 @@
     cfg,
     logs,
     metrics,
-    random: makeRandom(hashText(`${cfg.name} ${now}`)),
+    random: createRandom(hashText(`${cfg.name} ${now}`)),
     client: createRpcClient({ timeoutMs: cfg.times.rpcTimeoutMs, localAddress: '', tls: () => undefined, metrics }),
     loop: openLoopWatch(
       forMs => log(logs, 'daemon', 'warn', 'Stood still.', { forMs: Math.round(forMs) }),
--- a/packages/daemon/src/core/gateway/fleetView.ts
+++ b/packages/daemon/src/core/gateway/fleetView.ts
@@ -3,7 +3,7 @@
 import { createFleetServer, forgetServer, regroupServers, takeWeights } from '@lynxcourse/placement'
 import type { Fleet, FleetServer, ServerFacts } from '@lynxcourse/placement'
 import { buildRouteTable } from '@lynxcourse/routing'
-import { listItems, routeSetOf } from '@lynxcourse/state'
+import { listItems, findRouteSet } from '@lynxcourse/state'
 import type { BackendItem, Config, RouteSet } from '@lynxcourse/state'
 import type { FleetNode } from '../fleet/fleetNode.js'
 import type { Gateway } from './gateway.js'
@@ -14,7 +14,7 @@
 /** Takes the present state over. */
 export function refreshGateway (gateway: Gateway, now: Millis): void {
   const { node, fleet } = gateway
-  const set = routeSetOf(node.config)
+  const set = findRouteSet(node.config)
   gateway.table = buildRouteTable(set?.routes ?? [])
   if (set !== undefined) {
     gateway.limits = set.limits
--- a/packages/daemon/src/core/gateway/gateway.ts
+++ b/packages/daemon/src/core/gateway/gateway.ts
@@ -3,7 +3,7 @@
 import { createFleet } from '@lynxcourse/placement'
 import type { EntryState, Mechanism } from '@lynxcourse/placement'
 import { buildRouteTable } from '@lynxcourse/routing'
-import type { RouteTable, SplitPicker } from '@lynxcourse/routing'
+import type { RouteTable, SplitStates } from '@lynxcourse/routing'
 import { defaultCallerLimits } from '@lynxcourse/state'
 import type { CallerLimits } from '@lynxcourse/state'
 import type { LoopWatch } from '../../utils/loopWatch.js'
@@ -18,7 +18,7 @@
   readonly callers: CallerDialect
   readonly servers: ServerDialect
   readonly pool: ConnectionPool
-  readonly splits: SplitPicker
+  readonly splits: SplitStates
   /** For the bound on how long requests lay unread. */
   readonly loop: LoopWatch
   table: RouteTable
--- a/packages/daemon/src/core/gateway/sending.ts
+++ b/packages/daemon/src/core/gateway/sending.ts
@@ -1,6 +1,6 @@
 /** Sends one request to one backend server and reads its whole answer. */
 import type { Dispatcher } from 'undici'
-import { messageOf } from '@lynxcourse/base'
+import { getErrorMessage } from '@lynxcourse/base'
 import type { Millis } from '@lynxcourse/base'
 import { noteReply, travelTo } from '@lynxcourse/placement'
 import type { LostReason, Placed, SendEnd } from '@lynxcourse/placement'
@@ -93,10 +93,10 @@
     else dropConnection(gateway.pool, connection, 'close')
     const isSoon = now - startedAt < soonMs + travelTo(gateway.fleet, facts.region)
     if (stop.reason() === 'failed' && isSoon) noteUnanswered(gateway.pool, connection, now)
-    if (stop.reason() === 'gone') return { type: 'lost', reason: 'gone', detail: messageOf(err) }
+    if (stop.reason() === 'gone') return { type: 'lost', reason: 'gone', detail: getErrorMessage(err) }
     // What was never begun to be written can't have run.
     if (exchange.startedAt === undefined) return { type: 'notRun', reason: 'unreached', status: undefined }
-    return { type: 'lost', reason: stop.reason(), detail: messageOf(err) }
+    return { type: 'lost', reason: stop.reason(), detail: getErrorMessage(err) }
   } finally {
     stop.end()
   }
--- a/packages/daemon/src/plugins/placementFile.ts
+++ b/packages/daemon/src/plugins/placementFile.ts
@@ -7,7 +7,7 @@
  */
 import { open, readFile, rename } from 'node:fs/promises'
 import { join } from 'node:path'
-import { LynxError, messageOf } from '@lynxcourse/base'
+import { LynxError, getErrorMessage } from '@lynxcourse/base'
 import * as z from 'zod'
 import type { LoadNews } from '@lynxcourse/placement'
 
@@ -56,6 +56,6 @@
     const placement = fileSchema.parse(JSON.parse(text))
     return { full: [], silent: [], ...placement } as unknown as LoadNews
   } catch (err) {
-    throw new LynxError('badRequest', messageOf(err), { step: 'read placement', field: fileName, cause: err })
+    throw new LynxError('badRequest', getErrorMessage(err), { step: 'read placement', field: fileName, cause: err })
   }
 }
--- a/packages/placement/__tests__/serverWeights.test.ts
+++ b/packages/placement/__tests__/serverWeights.test.ts
@@ -1,7 +1,7 @@
 /** Weights in rendezvous hashing: replays of load over many servers. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { brandId, makeRandom } from '@lynxcourse/base'
+import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { createFleetServer, leastWeight, placesOf, stepWeights } from '@lynxcourse/placement'
 import type { FleetServer } from '@lynxcourse/placement'
@@ -39,7 +39,7 @@
 
 /** Lets the weights follow fills that are measured with chance errors of a third; the moves to servers that had not held the object. */
 function balance (servers: readonly FleetServer[], objects: number, seconds: number): number {
-  const random = makeRandom(7)
+  const random = createRandom(7)
   const weights = new Map<ServerId, number>()
   let moves = 0
   let before = placeAll(servers, objects)
--- a/packages/placement/__tests__/support/fleet.ts
+++ b/packages/placement/__tests__/support/fleet.ts
@@ -1,5 +1,5 @@
 /** Builds a small fleet as one entry VM knows it, and requests for it. */
-import { brandId, makeRandom } from '@lynxcourse/base'
+import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { createFleet, createFleetServer, placeRequest } from '@lynxcourse/placement'
 import type { Fleet, FleetServer, PlaceRequest, ServerFacts } from '@lynxcourse/placement'
@@ -21,7 +21,7 @@
 
 /** Creates the fleet of a VM in Kochi that has learned the work times of the route and has no region plan. */
 export function fleetOf (...servers: FleetServer[]): Fleet {
-  const fleet = createFleet({ self: 'vm-1', region: kochi, random: makeRandom(seed), without: new Set() }, ['vm-1'])
+  const fleet = createFleet({ self: 'vm-1', region: kochi, random: createRandom(seed), without: new Set() }, ['vm-1'])
   for (const known of servers) fleet.byId.set(known.facts.id, known)
   fleet.byService.set(desk, servers)
   fleet.workModel.set('read desk', { coldMs: 240, warmMs: 72, longestMs: 240 })
--- a/packages/placement/src/core/admission/callerView.ts
+++ b/packages/placement/src/core/admission/callerView.ts
@@ -28,7 +28,7 @@
   return now - seenAt > oldestMs
 }
 
-/** Notes a look that began at `seenAt`. */
+/** Notes a look that began at `firstSeenAt`. */
 export function noteLook (view: CallerView, seenAt: Millis): void {
   view.seenAt = seenAt
 }
--- a/packages/placement/src/core/object/hashPlaces.ts
+++ b/packages/placement/src/core/object/hashPlaces.ts
@@ -1,5 +1,5 @@
 /** Which servers hashing names for an object: all VMs agree on them without talking, so they warm the same ones. */
-import { hashText, mixHashes } from '@lynxcourse/base'
+import { hashText, combineHashes } from '@lynxcourse/base'
 import type { RegionId, ServerId } from '@lynxcourse/base'
 import type { FleetServer } from '../server/fleetServer.js'
 
@@ -19,7 +19,7 @@
       held = { first: undefined, firstScore: -1, second: undefined, secondScore: -1 }
       byRegion.set(server.facts.region, held)
     }
-    takeScore(held, server, weightedScore(mixHashes(objectHash, server.hash), server.weight))
+    takeScore(held, server, weightedScore(combineHashes(objectHash, server.hash), server.weight))
   }
   const places = new Map<ServerId, HashPlace>()
   for (const [region, { first, second }] of byRegion) {
--- a/packages/replay/src/core/loadExchange.ts
+++ b/packages/replay/src/core/loadExchange.ts
@@ -1,7 +1,7 @@
 /** Reports of entry VMs, the leader's board, and what VMs are told of it. */
 import { brandId } from '@lynxcourse/base'
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { after } from '@lynxcourse/base/timeline'
+import { scheduleAfter } from '@lynxcourse/base/timeline'
 import { createLoadIntake, noteDigest, noteLoadReport, takeDigest, takeLoadNews, takeLoadReport, updateBoard } from '@lynxcourse/placement'
 import type { ServerPlace, ServiceSlots } from '@lynxcourse/placement'
 import type { VmModel, World } from './world.js'
@@ -15,8 +15,8 @@
   updateBoard(world.board, openSlots(world), serverPlaces(world), world.timeline.now)
   world.told = world.board.news
   for (const vm of world.vms) takeLoadNews(vm.entry, world.told, vm.region, world.timeline.now)
-  for (const vm of world.vms) after(world.timeline, world.random() * reportMs, () => report(world, vm))
-  after(world.timeline, exchangeMs, () => exchange(world))
+  for (const vm of world.vms) scheduleAfter(world.timeline, world.random() * reportMs, () => report(world, vm))
+  scheduleAfter(world.timeline, exchangeMs, () => exchange(world))
 }
 
 function report (world: World, vm: VmModel): void {
@@ -26,7 +26,7 @@
     if (notes !== undefined) noteLoadReport(intakeOf(world, vm.region), vm.name, vm.region, notes, now)
     takeLoadNews(vm.entry, world.told, vm.region, now)
   }
-  after(world.timeline, reportMs, () => report(world, vm))
+  scheduleAfter(world.timeline, reportMs, () => report(world, vm))
 }
 
 function intakeOf (world: World, region: RegionId): ReturnType<typeof createLoadIntake> {
@@ -45,7 +45,7 @@
     for (const [region, intake] of world.intakes) noteDigest(world.board, region, takeDigest(intake, now), now)
     updateBoard(world.board, openSlots(world), serverPlaces(world), now)
   }
-  after(world.timeline, exchangeMs, () => exchange(world))
+  scheduleAfter(world.timeline, exchangeMs, () => exchange(world))
 }
 
 function openSlots (world: World): ServiceSlots {
--- a/packages/replay/src/core/vmModel.ts
+++ b/packages/replay/src/core/vmModel.ts
@@ -1,6 +1,6 @@
 /** An entry VM serves requests as the real one does, by the same decisions. */
 import type { Millis } from '@lynxcourse/base'
-import { after } from '@lynxcourse/base/timeline'
+import { scheduleAfter } from '@lynxcourse/base/timeline'
 import { beginSend, createCallerView, endSend, mayLeaveServer, nextStep, noteLook, noteReply, noteWaiting, startRun, takeLoadNews } from '@lynxcourse/placement'
 import type { EntryState, EntryTerms, Placed, RequestRun, SendEnd, Sending } from '@lynxcourse/placement'
 import { arriveAt, leaveBackend } from './backendModel.js'
@@ -56,7 +56,7 @@
 function useProcessor (world: World, vm: VmModel, act: () => void): void {
   const { timeline, pattern: { entryVm: { requestCpuMs, cores } } } = world
   vm.busyUntil = Math.max(vm.busyUntil, timeline.now) + requestCpuMs / 2 / cores
-  after(timeline, vm.busyUntil - timeline.now, act)
+  scheduleAfter(timeline, vm.busyUntil - timeline.now, act)
 }
 
 function goOn (world: World, serving: Serving): void {
@@ -70,7 +70,7 @@
       return goOn(world, serving)
     case 'wait':
       noteWaiting(entry, run, 1)
-      return after(world.timeline, step.pauseMs, () => {
+      return scheduleAfter(world.timeline, step.pauseMs, () => {
         noteWaiting(entry, run, -1)
         goOn(world, serving)
       })
@@ -92,7 +92,7 @@
   if (!isReused) score.opened += 1
   if (vm.region !== backend.region) score.farSends += 1
   const sending = beginSend(entry, run, placed, timeline.now)
-  const job = jobOf(world, arrival, end => after(timeline, wayMs, () => takeEnd(end)))
+  const job = jobOf(world, arrival, end => scheduleAfter(timeline, wayMs, () => takeEnd(end)))
   let isOver = false
   const finish = (end: SendEnd): void => {
     if (isOver) return
@@ -115,19 +115,19 @@
     finish({ type: 'lost', reason })
   }
   let cause: ColdCause | undefined
-  after(timeline, openMs + wayMs, () => {
+  scheduleAfter(timeline, openMs + wayMs, () => {
     if (isOver) return
     if (backend.isUp && !backend.warm.has(job.object)) cause = coldCauseOf(world, backend, job, placed)
     arriveAt(timeline, backend, job, random() < backend.shedPart)
   })
-  after(timeline, arrival.deadline - timeline.now, () => giveUp('deadline'))
+  scheduleAfter(timeline, arrival.deadline - timeline.now, () => giveUp('deadline'))
   watchPatience(world, serving, sending, () => giveUp('slow'))
 }
 
 function watchPatience (world: World, { entry, run }: Serving, { leaveAt }: Sending, giveUp: () => void): void {
   const { timeline } = world
   if (leaveAt === undefined) return
-  after(timeline, leaveAt - timeline.now, () => { if (mayLeaveServer(entry, run, terms, timeline.now)) giveUp() })
+  scheduleAfter(timeline, leaveAt - timeline.now, () => { if (mayLeaveServer(entry, run, terms, timeline.now)) giveUp() })
 }
 
 function jobOf ({ pattern, random }: World, { route, object, deadline }: Arrival, onEnd: Job['onEnd']): Job {
--- a/packages/replay/src/core/world.ts
+++ b/packages/replay/src/core/world.ts
@@ -1,5 +1,5 @@
 /** State of a replay. */
-import { brandId, makeRandom } from '@lynxcourse/base'
+import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, Millis, Random, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { createTimeline } from '@lynxcourse/base/timeline'
 import type { Timeline } from '@lynxcourse/base/timeline'
@@ -54,7 +54,7 @@
 const noNews: LoadNews = { full: [], plans: [], silent: [] }
 
 export function createWorld (pattern: Pattern, seed: number, without: ReadonlySet<Mechanism>): World {
-  const random = makeRandom(seed)
+  const random = createRandom(seed)
   const places = vmPlaces(pattern)
   const backends = new Map(makeBackends(pattern).map(backend => [backend.id, backend]))
   const world: World = {
--- a/packages/routing/__tests__/connections.test.ts
+++ b/packages/routing/__tests__/connections.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { loadChart } from '@lynxcourse/base'
-import { createConnectionState, defaultConnections, isSilent, mayCarry, noteProgress, takeConnectionEvent } from '@lynxcourse/routing'
+import { createConnectionState, defaultConnections, isSilent, isReusable, recordProgress, applyConnectionEvent } from '@lynxcourse/routing'
 import { createRestMemory, longestRest, noteRestedReset, noteSilence } from '@lynxcourse/placement'
 
 test('an idle connection that was quiet is not used, sooner for what must not repeat', () => {
@@ -10,13 +10,13 @@
   const connections = loadChart('connection')
   const connection = createConnectionState(connections, 0)
   const { staleMs, silentMs } = defaultConnections
-  assert.equal(mayCarry(defaultConnections, connection, true, staleMs / 2 - 1), true)
-  assert.equal(mayCarry(defaultConnections, connection, true, staleMs / 2), false)
-  assert.equal(mayCarry(defaultConnections, connection, false, staleMs / 2), true)
-  assert.equal(mayCarry(defaultConnections, connection, false, staleMs), false)
-  takeConnectionEvent(connections, connection, 'take')
+  assert.equal(isReusable(defaultConnections, connection, true, staleMs / 2 - 1), true)
+  assert.equal(isReusable(defaultConnections, connection, true, staleMs / 2), false)
+  assert.equal(isReusable(defaultConnections, connection, false, staleMs / 2), true)
+  assert.equal(isReusable(defaultConnections, connection, false, staleMs), false)
+  applyConnectionEvent(connections, connection, 'take')
   assert.equal(isSilent(defaultConnections, connection, silentMs + 1), true)
-  noteProgress(connections, connection, silentMs)
+  recordProgress(connections, connection, silentMs)
   assert.equal(isSilent(defaultConnections, connection, silentMs + 1), false)
 })
 
