--- a/packages/daemon/src/core/fleet/fleetMethods.ts
+++ b/packages/daemon/src/core/fleet/fleetMethods.ts
@@ -4,7 +4,7 @@
 import { LynxError, brandId, getErrorMessage } from '@lynxcourse/base'
 import type { Millis, RegionId, ServerId } from '@lynxcourse/base'
 import { chooseEntries, isGathering, newsFor, noteDigest, noteLoadReport } from '@lynxcourse/placement'
-import type { EntryPresence, LoadNews, LoadReport } from '@lynxcourse/placement'
+import type { EntryPresence, LoadUpdate, LoadReport } from '@lynxcourse/placement'
 import * as z from 'zod'
 import type { Cancel } from '../../utils/cancel.js'
 import { presentTime } from '../../utils/clock.js'
@@ -38,7 +38,7 @@
   readonly controls: readonly ControlPlace[]
   /** Names of the entry VMs. */
   readonly entries: readonly string[]
-  readonly news: LoadNews
+  readonly news: LoadUpdate
 }
 
 const text = z.string().min(1).max(200)
--- a/packages/daemon/src/core/fleet/fleetNode.ts
+++ b/packages/daemon/src/core/fleet/fleetNode.ts
@@ -13,7 +13,7 @@
 import type { RpcClient } from '../rpc/rpcClient.js'
 import type { FleetSettings } from '../../types/fleetSettings.js'
 import { createLoadNotes } from '@lynxcourse/placement'
-import type { LoadNews, LoadNotes } from '@lynxcourse/placement'
+import type { LoadUpdate, LoadNotes } from '@lynxcourse/placement'
 
 /** A control VM as others find it. */
 export interface ControlPlace {
@@ -41,7 +41,7 @@
   /** What this VM has seen of the load since its last report. */
   readonly load: LoadNotes
   /** What all VMs together saw of the load, by the last word of it. */
-  loadNews: LoadNews
+  loadNews: LoadUpdate
   /** Called when the copy changed. */
   readonly onChange: Array<() => void>
   /** Called when there is news of the load. */
--- a/packages/daemon/src/core/gateway/gateway.ts
+++ b/packages/daemon/src/core/gateway/gateway.ts
@@ -35,7 +35,7 @@
 
 export function createGateway (node: FleetNode, callers: CallerDialect, servers: ServerDialect): Gateway {
   const { connectTimeoutMs, staleConnectionMs } = node.cfg.times
-  const setup = { self: node.cfg.name, region: node.cfg.region, random: node.random, without: new Set<Mechanism>() }
+  const setup = { self: node.cfg.name, region: node.cfg.region, random: node.random, disabledMechanisms: new Set<Mechanism>() }
   const { loop } = node
   return {
     node,
@@ -51,7 +51,7 @@
     limits: defaultCallerLimits,
     pipelines: new WeakMap(),
     open: 0,
-    waitingForRoom: new Map(),
+    waitingForCapacity: new Map(),
     waiting: 0,
     heldBytes: 0
   }
--- a/packages/placement/__tests__/fleetBounds.test.ts
+++ b/packages/placement/__tests__/fleetBounds.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check'
 import { hasColdToken, isWarmingVm, noteRequest, computeSlotShare, spendRepeat, consumeColdToken } from '@lynxcourse/placement'
 import type { RetryShare } from '@lynxcourse/placement'
-import { desk, fleetOf, server } from './support/fleet.js'
+import { desk, createTestFleet, server } from './support/fleet.js'
 
 const seed = 23
 console.log(`seed ${seed}`)
@@ -55,7 +55,7 @@
 
 /** Guards against this failure: the only VM of a failure domain refuses requests twice as often as other VMs. */
 test('a VM\'s share of the slots is proportional to its fraction of the demand, within limits', () => {
-  const fleet = { ...fleetOf(server('a'), server('b'), server('c'), server('d')), vms: ['vm-1', 'vm-2', 'vm-3', 'vm-4'] }
+  const fleet = { ...createTestFleet(server('a'), server('b'), server('c'), server('d')), vms: ['vm-1', 'vm-2', 'vm-3', 'vm-4'] }
   assert.equal(computeSlotShare(fleet, desk), 3)
   fleet.demandFractions.set(desk, 0.5)
   assert.equal(computeSlotShare(fleet, desk), 6)
--- a/packages/placement/__tests__/fleetServer.test.ts
+++ b/packages/placement/__tests__/fleetServer.test.ts
@@ -5,12 +5,12 @@
 import type { ServerId } from '@lynxcourse/base'
 import { isStalled, learnCutWork, recordAnswer, recordFailure, recordSuccess, recordSharedResponsiveness, recordRequestStart, recordRequestEnd, getUnansweredMs } from '@lynxcourse/placement'
 import type { FleetServer } from '@lynxcourse/placement'
-import { mumbai, server, fleetOf, request, getTargetOrReason } from './support/fleet.js'
+import { mumbai, server, createTestFleet, request, getTargetOrReason } from './support/fleet.js'
 
 /** Guards against this failure: requests accumulate at a server that answers nothing. */
 test('a server that keeps a request far longer than expected gets no further requests', () => {
   const unresponsive = server('unresponsive')
-  const fleet = fleetOf(unresponsive, server('other', mumbai))
+  const fleet = createTestFleet(unresponsive, server('other', mumbai))
   recordRequestStart(unresponsive, 100, 100, 1000)
   assert.equal(isStalled(unresponsive, 1400), false)
   assert.equal(isStalled(unresponsive, 1600), true)
@@ -25,11 +25,11 @@
   assert.equal(failing.ejectedUntil, 1400)
   recordFailure(failing, false, 1400)
   assert.equal(failing.ejectedUntil, 2200)
-  assert.equal(getTargetOrReason(fleetOf(failing), request(), 1500), 'failing')
+  assert.equal(getTargetOrReason(createTestFleet(failing), request(), 1500), 'failing')
 })
 
 test('a server that answers no VM gets no request while another server is open, until it answers this VM', () => {
-  const fleet = fleetOf(server('a'), server('b'))
+  const fleet = createTestFleet(server('a'), server('b'))
   const primary = getTargetOrReason(fleet, request())
   const primaryServer = fleet.byId.get(brandId<ServerId>(primary)) as FleetServer
   recordSharedResponsiveness(primaryServer, true, 900)
--- a/packages/placement/__tests__/learning.test.ts
+++ b/packages/placement/__tests__/learning.test.ts
@@ -2,19 +2,19 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createLoadNotes, recordSendOutcome, placeRequest } from '@lynxcourse/placement'
-import type { EntryState, Placed, SendEnd } from '@lynxcourse/placement'
-import { fleetOf, request, server } from './support/fleet.js'
+import type { EntryState, Placement, SendOutcome } from '@lynxcourse/placement'
+import { createTestFleet, request, server } from './support/fleet.js'
 
 const now = 1000
 
-function createSend (): { entry: EntryState, placement: Placed } {
-  const fleet = fleetOf(server('a'))
+function createSend (): { entry: EntryState, placement: Placement } {
+  const fleet = createTestFleet(server('a'))
   const placement = placeRequest(fleet, request(), now)
   assert.ok(placement.type === 'send')
-  return { entry: { fleet, load: createLoadNotes(now), retries: new Map(), waitingForRoom: new Map() }, placement }
+  return { entry: { fleet, load: createLoadNotes(now), retries: new Map(), waitingForCapacity: new Map() }, placement }
 }
 
-function countReportedAfter (outcome: SendEnd): number {
+function countReportedAfter (outcome: SendOutcome): number {
   const { entry, placement } = createSend()
   recordSendOutcome(entry, request(), placement, outcome, 5, now + 5)
   return entry.load.failed.size
--- a/packages/placement/__tests__/requestRun.test.ts
+++ b/packages/placement/__tests__/requestSteps.test.ts
@@ -2,14 +2,14 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { beginSend, concurrencyOf, createCallerView, createLoadNotes, endSend, isStranded, nextStep, noteLook, startRun } from '@lynxcourse/placement'
-import type { CallerView, EntryState, EntryTerms, RequestRun, RunStep, SendEnd } from '@lynxcourse/placement'
-import { desk, fleetOf, request, route, server } from './support/fleet.js'
+import { beginSend, getConcurrency, createCallerView, createLoadNotes, endSend, isServerUnresponsive, decideNextStep, noteLook, startRequest } from '@lynxcourse/placement'
+import type { CallerView, EntryState, DecisionConditions, RequestState, RequestStep, SendOutcome } from '@lynxcourse/placement'
+import { desk, createTestFleet, request, route, server } from './support/fleet.js'
 
 const seed = 53
 console.log(`seed ${seed}`)
 
-const conditions: EntryTerms = { retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 1000 }, isLeaving: false }
+const conditions: DecisionConditions = { retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 1000 }, isStopping: false }
 const startedAt = 1000
 const serverCount = 8
 
@@ -21,30 +21,30 @@
 }
 
 function createEntry (): EntryState {
-  return { fleet: fleetOf(...Array.from({ length: serverCount }, (_, index) => server(`s${index}`))), load: createLoadNotes(startedAt), retries: new Map(), waitingForRoom: new Map() }
+  return { fleet: createTestFleet(...Array.from({ length: serverCount }, (_, index) => server(`s${index}`))), load: createLoadNotes(startedAt), retries: new Map(), waitingForCapacity: new Map() }
 }
 
-const outcomeArbitrary: fc.Arbitrary<SendEnd> = fc.oneof(
-  fc.record({ type: fc.constant('answered' as const), status: fc.constantFrom(200, 404, 500, 503), openMs: fc.constant(0) }),
+const outcomeArbitrary: fc.Arbitrary<SendOutcome> = fc.oneof(
+  fc.record({ type: fc.constant('answered' as const), status: fc.constantFrom(200, 404, 500, 503), connectMs: fc.constant(0) }),
   fc.record({ type: fc.constant('notRun' as const), reason: fc.constantFrom('full' as const, 'elsewhere' as const, 'unreached' as const) }),
   fc.record({ type: fc.constant('lost' as const), reason: fc.constantFrom('failed' as const, 'spoiled' as const, 'deadline' as const, 'slow' as const, 'stranded' as const, 'gone' as const) })
 )
 
 /** The result of running one request to its final step. */
 interface Course {
-  readonly run: RequestRun
-  readonly sent: SendEnd[]
-  readonly last: RunStep
+  readonly run: RequestState
+  readonly sent: SendOutcome[]
+  readonly last: RequestStep
 }
 
 /** Runs a request to its final step; its sends have the given outcomes, each after `tookMs`. */
-function runRequest (entry: EntryState, isIdempotent: boolean, maxAttempts: number, outcomes: readonly SendEnd[], tookMs: number): Course {
+function runRequest (entry: EntryState, isIdempotent: boolean, maxAttempts: number, outcomes: readonly SendOutcome[], tookMs: number): Course {
   const { tried: _, ...incoming } = request({ route: route('read', { isIdempotent, maxAttempts }), arrivedAt: startedAt, deadline: startedAt + 1000 })
   let now = startedAt
-  const run = startRun(entry, incoming, createPolledCaller(), conditions, now)
-  const sent: SendEnd[] = []
+  const run = startRequest(entry, incoming, createPolledCaller(), conditions, now)
+  const sent: SendOutcome[] = []
   for (;;) {
-    const step = nextStep(entry, run, conditions, now)
+    const step = decideNextStep(entry, run, conditions, now)
     if (step.type === 'look') {
       noteLook(run.caller, now)
       continue
@@ -55,7 +55,7 @@
     }
     const outcome = outcomes[sent.length]
     if (step.type !== 'send' || outcome === undefined) return { run, sent, last: step }
-    const sending = beginSend(entry, run, step.placed, now)
+    const sending = beginSend(entry, run, step.placement, now)
     now += tookMs
     sent.push(outcome)
     endSend(entry, run, sending, outcome, now)
@@ -64,7 +64,7 @@
 
 const cases = fc.record({ isIdempotent: fc.boolean(), maxAttempts: fc.integer({ min: 1, max: 4 }), outcomes: fc.array(outcomeArbitrary, { minLength: 12, maxLength: 12 }), tookMs: fc.integer({ min: 1, max: 600 }) })
 
-function mayHaveRun (outcome: SendEnd): boolean {
+function mayHaveRun (outcome: SendOutcome): boolean {
   return outcome.type !== 'notRun'
 }
 
@@ -91,7 +91,7 @@
   fc.assert(fc.property(cases, given => {
     const entry = createEntry()
     runRequest(entry, given.isIdempotent, given.maxAttempts, given.outcomes, given.tookMs)
-    assert.equal(concurrencyOf(entry.fleet, desk).underWay, 0)
+    assert.equal(getConcurrency(entry.fleet, desk).underWay, 0)
     for (const { running } of entry.fleet.byId.values()) assert.equal(running.size, 0)
   }), { seed })
 })
@@ -99,10 +99,10 @@
 test('a VM that is stopping lets no request wait for capacity', () => {
   const entry = createEntry()
   const { tried: _, ...incoming } = request()
-  concurrencyOf(entry.fleet, desk).underWay = 1000
-  assert.equal(nextStep(entry, startRun(entry, incoming, createPolledCaller(), conditions, startedAt), conditions, startedAt).type, 'wait')
-  const stopping = { ...conditions, isLeaving: true }
-  assert.equal(nextStep(entry, startRun(entry, incoming, createPolledCaller(), stopping, startedAt), stopping, startedAt).type, 'refuse')
+  getConcurrency(entry.fleet, desk).underWay = 1000
+  assert.equal(decideNextStep(entry, startRequest(entry, incoming, createPolledCaller(), conditions, startedAt), conditions, startedAt).type, 'wait')
+  const stopping = { ...conditions, isStopping: true }
+  assert.equal(decideNextStep(entry, startRequest(entry, incoming, createPolledCaller(), stopping, startedAt), stopping, startedAt).type, 'refuse')
 })
 
 /**
@@ -112,16 +112,16 @@
 test('a send is stranded if it is overdue at a closed server that has answered nothing since the send started', () => {
   const entry = createEntry()
   const { tried: _, ...incoming } = request({ route: route('read', { isIdempotent: false }), arrivedAt: startedAt, deadline: startedAt + 60_000 })
-  const step = nextStep(entry, startRun(entry, incoming, createPolledCaller(), conditions, startedAt), conditions, startedAt)
+  const step = decideNextStep(entry, startRequest(entry, incoming, createPolledCaller(), conditions, startedAt), conditions, startedAt)
   assert.ok(step.type === 'send')
-  const { placed } = step
-  const sending = beginSend(entry, startRun(entry, incoming, createPolledCaller(), conditions, startedAt), placed, startedAt)
+  const { placement: placed } = step
+  const sending = beginSend(entry, startRequest(entry, incoming, createPolledCaller(), conditions, startedAt), placed, startedAt)
   const overdueAt = sending.overdueAt
-  assert.equal(isStranded(entry, sending, conditions, overdueAt), false)
+  assert.equal(isServerUnresponsive(entry, sending, conditions, overdueAt), false)
   placed.server.facts = { ...placed.server.facts, isClosed: true }
-  assert.equal(isStranded(entry, sending, conditions, overdueAt - 1), false)
-  assert.equal(isStranded(entry, sending, conditions, overdueAt), true)
-  assert.equal(isStranded(entry, sending, { ...conditions, isLeaving: true }, overdueAt), false)
-  placed.server.answeredAt = startedAt + 1
-  assert.equal(isStranded(entry, sending, conditions, overdueAt), false)
+  assert.equal(isServerUnresponsive(entry, sending, conditions, overdueAt - 1), false)
+  assert.equal(isServerUnresponsive(entry, sending, conditions, overdueAt), true)
+  assert.equal(isServerUnresponsive(entry, sending, { ...conditions, isStopping: true }, overdueAt), false)
+  placed.server.lastAnsweredAt = startedAt + 1
+  assert.equal(isServerUnresponsive(entry, sending, conditions, overdueAt), false)
 })
--- a/packages/placement/src/core/board/boardPlans.ts
+++ b/packages/placement/src/core/board/boardPlans.ts
@@ -2,8 +2,8 @@
 import type { Millis, RegionId, ServiceId } from '@lynxcourse/base'
 import { assumedHeight, firstPlan, mustMove, stepPlan, targetPlan } from '../region/regionPlan.js'
 import type { RegionLoad } from '../region/regionPlan.js'
-import { busyForMs } from '../../types/loads.js'
-import type { ServerPlaces, ServiceSlots } from '../../types/loads.js'
+import { loadReportTtlMs } from '../../types/loads.js'
+import type { KnownServers, ServiceSlots } from '../../types/loads.js'
 import type { LoadBoard } from './loadBoard.js'
 
 /** Smoothing of the demand in a second: about three seconds of a wave of callers. */
@@ -22,12 +22,12 @@
 export function smoothDemand (board: LoadBoard, passedMs: Millis, now: Millis): void {
   const present = new Map<string, number>()
   for (const [control, { busy, at }] of board.byControl) {
-    if (now - at > busyForMs) board.byControl.delete(control)
+    if (now - at > loadReportTtlMs) board.byControl.delete(control)
     else for (const [service, region, slots] of busy) present.set(`${service} ${region}`, (present.get(`${service} ${region}`) ?? 0) + slots)
   }
   // The demand of a former leader's measuring stands until the VMs' reports have come; taken for the fall of demand that it
   // looks like, their lack would move objects away from the servers that are warm for them.
-  if (board.demand.size > 0 && now - board.resumedAt < busyForMs) return
+  if (board.demand.size > 0 && now - board.resumedAt < loadReportTtlMs) return
   if (board.measuringSince === undefined && present.size > 0) board.measuringSince = now
   const measuredMs = now - (board.measuringSince ?? now)
   // The first reports are averaged: smoothed up from nothing, a demand that has just begun looks so small that objects come
@@ -56,14 +56,14 @@
 }
 
 /** Moves the plan of each service on. */
-export function planRegions (board: LoadBoard, slots: ServiceSlots, places: ServerPlaces, passedMs: Millis, now: Millis): void {
+export function planRegions (board: LoadBoard, slots: ServiceSlots, places: KnownServers, passedMs: Millis, now: Millis): void {
   if (noteSlots(board, slots)) board.lossUntil = now + lossForMs
   const serverSlots = meanSlots(places)
   for (const [service, byRegion] of slots) planService(board, service, byRegion, serverSlots.get(service) ?? 1, passedMs, now)
 }
 
 /** Slots of one server on the mean, by service. */
-function meanSlots (places: ServerPlaces): Map<ServiceId, number> {
+function meanSlots (places: KnownServers): Map<ServiceId, number> {
   const sums = new Map<ServiceId, { slots: number, servers: number }>()
   for (const { service, slots } of places.values()) {
     const sum = sums.get(service) ?? { slots: 0, servers: 0 }
@@ -83,7 +83,7 @@
   const demand = loads.reduce((sum, load) => sum + load.demand, 0)
   const total = loads.reduce((sum, load) => sum + load.slots, 0)
   const measuredMs = now - (board.measuringSince ?? now)
-  if (demand >= total * leastFill && measuredMs >= busyForMs) board.measured.add(service)
+  if (demand >= total * leastFill && measuredMs >= loadReportTtlMs) board.measured.add(service)
   if (held === undefined || !board.measured.has(service)) {
     board.plans.set(service, firstPlan(loads, serverSlots))
     return
--- a/packages/placement/src/core/board/loadBoard.ts
+++ b/packages/placement/src/core/board/loadBoard.ts
@@ -13,7 +13,7 @@
 import { planRegions, smoothDemand } from './boardPlans.js'
 import { createSilentServers, noteSilences, silentNow } from './silentServers.js'
 import type { SilentServers } from './silentServers.js'
-import type { BusySlots, LoadDigest, LoadNews, PlanNews, ServerPlaces, ServiceSlots, WeightNews } from '../../types/loads.js'
+import type { SlotDemand, LoadDigest, LoadUpdate, PlanUpdate, KnownServers, ServiceSlots, WeightUpdate } from '../../types/loads.js'
 
 /** Kept up by the leader; every other control VM holds the last news and plans, so that it can go on from them. */
 export interface LoadBoard {
@@ -22,7 +22,7 @@
   /** Fills of servers over some seconds, from which weights move. */
   readonly fills: Map<ServerId, number>
   /** Busy slots by control VM. */
-  readonly byControl: Map<string, { readonly busy: BusySlots, readonly at: Millis }>
+  readonly byControl: Map<string, { readonly busy: SlotDemand, readonly at: Millis }>
   /** Smoothed demand by service and region, and its highest value of late. */
   readonly demand: Map<string, number>
   readonly peaks: Map<string, number>
@@ -44,7 +44,7 @@
   keptAt: Millis
   /** Part that stays near by service and region, as the log last said. */
   readonly told: Map<string, number>
-  news: LoadNews
+  news: LoadUpdate
 }
 
 /** Smoothing of a server's load by its reports, some five a second. */
@@ -98,7 +98,7 @@
 }
 
 /** Smooths the demand, moves the plans on and names the full servers; at the leader, once an exchange. */
-export function updateBoard (board: LoadBoard, slots: ServiceSlots, places: ServerPlaces, now: Millis): void {
+export function updateBoard (board: LoadBoard, slots: ServiceSlots, places: KnownServers, now: Millis): void {
   const passedMs = Number.isFinite(board.plannedAt) ? Math.min(1000, now - board.plannedAt) : 0
   if (now - board.plannedAt > pauseMs) board.resumedAt = now
   board.plannedAt = now
@@ -111,7 +111,7 @@
   board.news = { full, silent, plans: encodePlans(board, fillsOf(board, places, slots)), weights: weightNews(board, places, now) }
 }
 
-function fullServers (board: LoadBoard, places: ServerPlaces, now: Millis): LoadNews['full'] {
+function fullServers (board: LoadBoard, places: KnownServers, now: Millis): LoadUpdate['full'] {
   const named: Array<readonly [ServerId, number]> = []
   for (const [server, { ahead, at }] of board.smoothed) {
     const slots = places.get(server)?.slots
@@ -122,7 +122,7 @@
 }
 
 /** Follows the servers' fills over some seconds; what is left of chance in them moves no weights. */
-function smoothFills (board: LoadBoard, places: ServerPlaces, passedMs: Millis): void {
+function smoothFills (board: LoadBoard, places: KnownServers, passedMs: Millis): void {
   const part = Math.min(1, passedMs / fillSmoothingMs)
   for (const [id, { ahead }] of board.smoothed) {
     const slots = places.get(id)?.slots ?? 1
@@ -133,7 +133,7 @@
 }
 
 /** Fills of the servers that were heard of lately and take work like their neighbours. */
-function settledFills (board: LoadBoard, places: ServerPlaces): ServerFill[] {
+function settledFills (board: LoadBoard, places: KnownServers): ServerFill[] {
   const fills: ServerFill[] = []
   for (const [id, fill] of board.fills) {
     const place = places.get(id)
@@ -143,7 +143,7 @@
 }
 
 /** The weights to be told; the last ones until it is time for new ones, so that VMs hear of each version once. */
-function weightNews (board: LoadBoard, places: ServerPlaces, now: Millis): WeightNews {
+function weightNews (board: LoadBoard, places: KnownServers, now: Millis): WeightUpdate {
   const told = board.news.weights
   if (told !== undefined && now - board.weightsToldAt < weightsEveryMs) return told
   board.weightsToldAt = now
@@ -153,13 +153,13 @@
 }
 
 /** The news for a VM that holds a version of the weights. */
-export function newsFor (news: LoadNews, heldWeights: number): LoadNews {
+export function newsFor (news: LoadUpdate, heldWeights: number): LoadUpdate {
   if (news.weights?.version !== heldWeights) return news
   return { full: news.full, plans: news.plans, silent: news.silent }
 }
 
 /** Requests ahead for each slot, by service; a server that nobody reported lately counts as idle. */
-function fillsOf (board: LoadBoard, places: ServerPlaces, slots: ServiceSlots): Map<ServiceId, number> {
+function fillsOf (board: LoadBoard, places: KnownServers, slots: ServiceSlots): Map<ServiceId, number> {
   const ahead = new Map<ServiceId, number>()
   for (const [server, held] of board.smoothed) {
     const service = places.get(server)?.service
@@ -171,7 +171,7 @@
   }))
 }
 
-function encodePlans ({ plans, measured, demand, peaks }: LoadBoard, fills: ReadonlyMap<ServiceId, number>): PlanNews[] {
+function encodePlans ({ plans, measured, demand, peaks }: LoadBoard, fills: ReadonlyMap<ServiceId, number>): PlanUpdate[] {
   const round = (slots: number): number => Math.round(slots * 10) / 10
   const rounded = (shares: ReadonlyMap<RegionId, number>): Array<readonly [RegionId, number]> => [...shares].map(([region, share]) => [region, Math.round(share * 1000) / 1000])
   return [...plans].map(([service, plan]) => ({
@@ -185,7 +185,7 @@
 }
 
 /** Takes the leader's news at another control VM, which may lead next and then goes on from these plans. */
-export function takeNews (board: LoadBoard, news: LoadNews): void {
+export function takeNews (board: LoadBoard, news: LoadUpdate): void {
   const weights = news.weights ?? board.news.weights
   board.news = weights === undefined ? news : { ...news, weights }
   board.weights.clear()
--- a/packages/placement/src/core/board/loadIntake.ts
+++ b/packages/placement/src/core/board/loadIntake.ts
@@ -1,6 +1,6 @@
 /** A control VM's intake of its entry VMs' load reports, handed on to the leader as one digest. */
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { busyForMs } from '../../types/loads.js'
+import { loadReportTtlMs } from '../../types/loads.js'
 import type { LoadDigest, LoadReport } from '../../types/loads.js'
 
 /** An entry VM's busy slots as a control VM remembers them. */
@@ -33,7 +33,7 @@
   intake.failed.clear()
   const sums = new Map<string, [ServiceId, RegionId, number]>()
   for (const [vm, { region, at, busy }] of intake.byVm) {
-    if (now - at > busyForMs) {
+    if (now - at > loadReportTtlMs) {
       intake.byVm.delete(vm)
       continue
     }
--- a/packages/placement/src/core/board/loadLog.ts
+++ b/packages/placement/src/core/board/loadLog.ts
@@ -1,6 +1,6 @@
 /** The log's lines for what the leader makes of the load: region plans, servers left alone, weights. */
 import type { RegionId, ServiceId } from '@lynxcourse/base'
-import type { LoadNews } from '../../types/loads.js'
+import type { LoadUpdate } from '../../types/loads.js'
 import type { LoadBoard } from './loadBoard.js'
 
 /** A plan that moved by this much since its last line gets another one; it may move 1.2 % an exchange. */
@@ -39,7 +39,7 @@
 }
 
 /** Lines for what VMs are now told otherwise than before. */
-export function newsLines (before: LoadNews, after: LoadNews): NewsLine[] {
+export function newsLines (before: LoadUpdate, after: LoadUpdate): NewsLine[] {
   const lines: NewsLine[] = []
   const silent = after.silent.filter(id => !before.silent.includes(id))
   const tried = before.silent.filter(id => !after.silent.includes(id))
--- a/packages/placement/src/core/request/entryState.ts
+++ b/packages/placement/src/core/request/entryState.ts
@@ -3,7 +3,7 @@
 import type { LoadNotes } from '../board/loadReport.js'
 import type { RetryBudgetCfg, RetryShare } from '../retries/retryShare.js'
 import { recordSharedQueueDepth, recordSharedResponsiveness } from '../server/fleetServer.js'
-import type { LoadNews, WeightNews } from '../../types/loads.js'
+import type { LoadUpdate, WeightUpdate } from '../../types/loads.js'
 import type { Fleet } from './fleet.js'
 
 /** The decision state of an entry VM. */
@@ -13,27 +13,27 @@
   readonly load: LoadNotes
   readonly retries: RetryShare
   /** Number of requests that wait for server capacity, by service. */
-  readonly waitingForRoom: Map<ServiceId, number>
+  readonly waitingForCapacity: Map<ServiceId, number>
 }
 
 /** Conditions of one decision; they may differ at the next one. */
-export interface EntryTerms {
+export interface DecisionConditions {
   readonly retryBudget: RetryBudgetCfg
   /** Whether this VM is stopping: it then aborts no request in flight and lets no request wait for capacity. */
-  readonly isLeaving: boolean
+  readonly isStopping: boolean
 }
 
 /** Applies the load data that the leader published: plans, weights, unresponsive servers and queue depths. */
-export function takeLoadNews ({ fleet, load }: EntryState, update: LoadNews, region: RegionId, now: Millis): void {
-  const { without: disabledMechanisms } = fleet.setup
+export function applyLoadUpdate ({ fleet, load }: EntryState, update: LoadUpdate, region: RegionId, now: Millis): void {
+  const { disabledMechanisms } = fleet.setup
   for (const { service, shares, fill, busy } of update.plans) {
-    fleet.sharedFill.set(service, fill)
+    fleet.sharedUtilization.set(service, fill)
     const ownDemand = load.demand.get(service)
     if (ownDemand !== undefined && busy > 0) fleet.demandFractions.set(service, ownDemand / busy)
     const ownShares = shares.find(([from]) => from === region)?.[1]
     if (ownShares !== undefined && !disabledMechanisms.has('regionPlan')) fleet.shares.set(service, new Map(ownShares))
   }
-  takeWeights(fleet, update.weights)
+  applyWeights(fleet, update.weights)
   const unresponsive = new Set<ServerId>(disabledMechanisms.has('silentServers') ? [] : update.silent)
   for (const server of fleet.byId.values()) {
     recordSharedQueueDepth(server, 0, now)
@@ -50,7 +50,7 @@
  * Applies the hash weights of the servers. Must be called again when servers were added: weights can arrive before the servers
  * that they belong to, since a VM that starts receives both in one reply.
  */
-export function takeWeights (fleet: Fleet, update: WeightNews | undefined): void {
-  const weights = new Map(fleet.setup.without.has('weights') ? [] : update?.servers)
+export function applyWeights (fleet: Fleet, update: WeightUpdate | undefined): void {
+  const weights = new Map(fleet.setup.disabledMechanisms.has('weights') ? [] : update?.servers)
   for (const server of fleet.byId.values()) server.weight = weights.get(server.facts.id) ?? 1
 }
--- a/packages/placement/src/core/request/fleet.ts
+++ b/packages/placement/src/core/request/fleet.ts
@@ -19,7 +19,7 @@
   readonly region: RegionId
   readonly random: Random
   /** Disabled mechanisms. */
-  readonly without: ReadonlySet<Mechanism>
+  readonly disabledMechanisms: ReadonlySet<Mechanism>
 }
 
 /** Servers, estimates learned from their answers, and the entry VMs of the fleet. */
@@ -32,15 +32,15 @@
   /** Smoothed time that a request occupies a slot, by service. */
   readonly meanSlotTimes: Map<ServiceId, Millis>
   /** Smoothed round-trip time to other regions, learned from opening connections. */
-  readonly travel: Map<RegionId, Millis>
+  readonly roundTripTimes: Map<RegionId, Millis>
   /** Requests per second that a cold server can handle, by service. */
-  readonly coldRates: Map<ServiceId, number>
+  readonly coldRequestRates: Map<ServiceId, number>
   /** Names of the entry VMs, this one included. */
   vms: readonly string[]
   /** Fractions of this region's objects that each region serves, by service; empty until the first plan arrives. */
   readonly shares: Map<ServiceId, RegionShares>
   /** Utilization over the reports of all VMs: running and waiting requests per slot, by service. */
-  readonly sharedFill: Map<ServiceId, number>
+  readonly sharedUtilization: Map<ServiceId, number>
   /** This VM's fraction of the demand of all VMs, by service. */
   readonly demandFractions: Map<ServiceId, number>
   /** Probability that an object is warm at a server where this VM has not seen it, by route, service and hash rank. */
@@ -60,11 +60,11 @@
     warmth: createWarmth(),
     workModel: new Map(),
     meanSlotTimes: new Map(),
-    travel: new Map(),
-    coldRates: new Map(),
+    roundTripTimes: new Map(),
+    coldRequestRates: new Map(),
     vms,
     shares: new Map(),
-    sharedFill: new Map(),
+    sharedUtilization: new Map(),
     demandFractions: new Map(),
     warmProbabilities: new Map(),
     meanSlowdowns: new Map(),
@@ -73,7 +73,7 @@
 }
 
 /** Rebuilds the groups of servers by service. Must be called after servers were added or removed. */
-export function regroupServers (fleet: Fleet): void {
+export function groupServersByService (fleet: Fleet): void {
   fleet.byService = new Map()
   for (const server of fleet.byId.values()) {
     const group = fleet.byService.get(server.facts.service)
@@ -105,7 +105,7 @@
 const meanSlowdownSmoothing = 0.02
 
 /** Returns the concurrency state of a service at this VM and creates it on first use. */
-export function concurrencyOf (fleet: Fleet, service: ServiceId): Concurrency {
+export function getConcurrency (fleet: Fleet, service: ServiceId): Concurrency {
   const known = fleet.concurrency.get(service)
   if (known !== undefined) return known
   const created = createConcurrency(computeSlotShare(fleet, service))
@@ -163,6 +163,6 @@
 }
 
 /** Returns the estimated round-trip time to the servers of a region. */
-export function travelTo (fleet: Fleet, region: RegionId): Millis {
-  return fleet.travel.get(region) ?? (region === fleet.setup.region ? 0 : defaultRoundTripMs)
+export function estimateRoundTrip (fleet: Fleet, region: RegionId): Millis {
+  return fleet.roundTripTimes.get(region) ?? (region === fleet.setup.region ? 0 : defaultRoundTripMs)
 }
--- a/packages/placement/src/core/request/learning.ts
+++ b/packages/placement/src/core/request/learning.ts
@@ -1,7 +1,7 @@
 /** Updates an entry VM's estimates of servers, work times and load from the outcomes of sends. */
 import type { Millis } from '@lynxcourse/base'
-import { isServerError } from '../../types/sends.js'
-import type { LostReason, SendEnd } from '../../types/sends.js'
+import { isServerError } from '../../types/sendOutcome.js'
+import type { LostReason, SendOutcome } from '../../types/sendOutcome.js'
 import { learnConcurrency } from '../admission/concurrency.js'
 import { noteAhead, noteFailedServer } from '../board/loadReport.js'
 import { noteHandled } from '../object/warmth.js'
@@ -9,16 +9,16 @@
 import { recordAnswer, recordFailure, recordServerFull, recordSuccess, recordLoadReport, getUnansweredMs } from '../server/fleetServer.js'
 import type { FleetServer } from '../server/fleetServer.js'
 import type { EntryState } from './entryState.js'
-import { concurrencyOf, updateMeanSlowdown, updateWarmProbability, computeSlotShare, travelTo, workKey } from './fleet.js'
-import type { Placed } from './placeRequest.js'
-import type { PlaceRequest } from './scoring.js'
+import { getConcurrency, updateMeanSlowdown, updateWarmProbability, computeSlotShare, estimateRoundTrip, workKey } from './fleet.js'
+import type { Placement } from './placeRequest.js'
+import type { PlacementRequest } from './scoring.js'
 
 /**
  * Records that a server answered, whatever the status.
  *
  * @param queueDepth running and waiting requests that the server reported; undefined if it reported none
  */
-export function noteReply ({ load }: EntryState, server: FleetServer, queueDepth: number | undefined, now: Millis): void {
+export function recordReply ({ load }: EntryState, server: FleetServer, queueDepth: number | undefined, now: Millis): void {
   recordAnswer(server, now)
   if (queueDepth === undefined) return
   recordLoadReport(server, queueDepth, now)
@@ -33,7 +33,7 @@
  *
  * @param tookMs time from when the connection was open until the outcome
  */
-export function recordSendOutcome (entry: EntryState, request: PlaceRequest, placement: Placed, outcome: SendEnd, tookMs: Millis, now: Millis): void {
+export function recordSendOutcome (entry: EntryState, request: PlacementRequest, placement: Placement, outcome: SendOutcome, tookMs: Millis, now: Millis): void {
   const { server } = placement
   switch (outcome.type) {
     case 'answered':
@@ -65,7 +65,7 @@
  * requests time out in turn; the symptom is ejected servers that still answer other requests. A timeout therefore counts only if
  * the server had the time of the longest work: for this request, or since it last answered this VM.
  */
-function recordUnanswered (entry: EntryState, request: PlaceRequest, placement: Placed, reason: LostReason, tookMs: Millis, now: Millis): void {
+function recordUnanswered (entry: EntryState, request: PlacementRequest, placement: Placement, reason: LostReason, tookMs: Millis, now: Millis): void {
   const { server } = placement
   // It is unknown whether a stranded request reached its server, and the server takes no more work anyway.
   if (reason === 'gone' || reason === 'stranded') return
@@ -81,22 +81,22 @@
 }
 
 /** Updates the limit of the service's requests in flight with the outcome of a send. */
-export function updateConcurrencyLimit (entry: EntryState, request: PlaceRequest, placement: Placed, outcome: SendEnd, tookMs: Millis, now: Millis): void {
+export function updateConcurrencyLimit (entry: EntryState, request: PlacementRequest, placement: Placement, outcome: SendOutcome, tookMs: Millis, now: Millis): void {
   const { fleet } = entry
   const isTimeout = outcome.type === 'lost' && (outcome.reason === 'deadline' || outcome.reason === 'slow')
   const isSuccess = outcome.type === 'answered' && !isServerError(outcome.status)
   if (!isTimeout && !isSuccess) return
   const ratio = isTimeout ? Infinity : estimateServerTime(entry, placement, tookMs) / getExpectedWorkTime(entry, request, placement)
-  learnConcurrency(concurrencyOf(fleet, request.service), ratio, computeSlotShare(fleet, request.service), now)
+  learnConcurrency(getConcurrency(fleet, request.service), ratio, computeSlotShare(fleet, request.service), now)
 }
 
 /** Estimates the time that a request spent at its server, waiting or running. */
-function estimateServerTime (entry: EntryState, placement: Placed, tookMs: Millis): Millis {
-  return Math.max(1, tookMs - travelTo(entry.fleet, placement.server.facts.region))
+function estimateServerTime (entry: EntryState, placement: Placement, tookMs: Millis): Millis {
+  return Math.max(1, tookMs - estimateRoundTrip(entry.fleet, placement.server.facts.region))
 }
 
 /** Returns the expected time of the work alone, for a warm or a cold object. */
-function getExpectedWorkTime (entry: EntryState, request: PlaceRequest, placement: Placed): Millis {
+function getExpectedWorkTime (entry: EntryState, request: PlacementRequest, placement: Placement): Millis {
   const times = workOf(entry.fleet.workModel, workKey(request), request.route.aimMs)
   return placement.wasWarm ? times.warmMs : times.coldMs
 }
@@ -104,7 +104,7 @@
 /** A smaller ratio is random variation, not a slow server. */
 const minSlowRatio = 1.6
 
-function learnFromAnswer (entry: EntryState, request: PlaceRequest, placement: Placed, tookMs: Millis, now: Millis): void {
+function learnFromAnswer (entry: EntryState, request: PlacementRequest, placement: Placement, tookMs: Millis, now: Millis): void {
   const { fleet } = entry
   const { server, wasWarm, waitMs } = placement
   const times = workOf(fleet.workModel, workKey(request), request.route.aimMs)
--- a/packages/placement/src/core/request/placeRequest.ts
+++ b/packages/placement/src/core/request/placeRequest.ts
@@ -5,17 +5,17 @@
 import type { Millis, ServiceId } from '@lynxcourse/base'
 import { mayStart } from '../admission/concurrency.js'
 import type { Concurrency } from '../admission/concurrency.js'
-import { isCold } from '../server/coldShare.js'
-import { concurrencyOf, workKey } from './fleet.js'
+import { isCold } from '../server/coldRateLimit.js'
+import { getConcurrency, workKey } from './fleet.js'
 import type { Fleet } from './fleet.js'
 import type { HashPlace } from '../object/hashPlaces.js'
 import type { FleetServer } from '../server/fleetServer.js'
 import { selectBestServer, canServe } from './scoring.js'
-import type { PlaceRequest } from './scoring.js'
+import type { PlacementRequest } from './scoring.js'
 import { workOf } from '../object/workModel.js'
 
 /** The server that a request is sent to, and the expected times there. */
-export interface Placed {
+export interface Placement {
   readonly type: 'send'
   readonly server: FleetServer
   /** Whether this VM recently saw the server handle the object. */
@@ -26,14 +26,14 @@
   readonly isCold: boolean
   readonly waitMs: Millis
   /** Round-trip time to the server. */
-  readonly travelMs: Millis
+  readonly roundTripMs: Millis
   readonly workMs: Millis
   /** Longest expected time: the round trip, the wait, and the longest work for an object that is cold at the server. */
   readonly maxExpectedMs: Millis
 }
 
 /** Why a request is not sent to any server now. */
-export interface Refused {
+export interface Refusal {
   readonly type: 'refuse'
   readonly reason: 'noServer' | 'noTime' | 'busy'
   /** Time until a slot is expected to be free. */
@@ -49,8 +49,8 @@
 const noServerRetryAfterMs = 500
 
 /** Selects a server for a request, or refuses it with a time for the retry. */
-export function placeRequest (fleet: Fleet, request: PlaceRequest, now: Millis): Placed | Refused {
-  const concurrency = concurrencyOf(fleet, request.service)
+export function placeRequest (fleet: Fleet, request: PlacementRequest, now: Millis): Placement | Refusal {
+  const concurrency = getConcurrency(fleet, request.service)
   if (!mayStart(concurrency, request.route.rank, missesLatencyObjective(fleet, request, now))) return createRefusal(fleet, 'busy', estimateTimeToCapacity(fleet, request.service, concurrency))
   const best = selectBestServer(fleet, request, now)
   if (best === undefined) return refuseWithoutServer(fleet, request, concurrency)
@@ -59,16 +59,16 @@
   if (endsAt > request.deadline) return createRefusal(fleet, 'noTime', endsAt - request.deadline)
   const excessWaitMs = waitMs - computeMaxWait(request, roundTripMs + workMs, now)
   if (excessWaitMs > 0) return createRefusal(fleet, 'busy', excessWaitMs)
-  return { type: 'send', server, wasWarm, place, isCold: isCold(server, now), waitMs, travelMs: roundTripMs, workMs, maxExpectedMs: roundTripMs + waitMs + Math.max(workMs, maxWorkMs) }
+  return { type: 'send', server, wasWarm, place, isCold: isCold(server, now), waitMs, roundTripMs, workMs, maxExpectedMs: roundTripMs + waitMs + Math.max(workMs, maxWorkMs) }
 }
 
 /** Returns whether a request misses its latency objective even at a server that is warm for its object and has a free slot. */
-function missesLatencyObjective (fleet: Fleet, { route, service, arrivedAt }: PlaceRequest, now: Millis): boolean {
+function missesLatencyObjective (fleet: Fleet, { route, service, arrivedAt }: PlacementRequest, now: Millis): boolean {
   return now - arrivedAt + workOf(fleet.workModel, workKey({ route, service }), route.aimMs).warmMs > route.aimMs
 }
 
 /** Refuses a request that no server can take: all servers that may serve it are full at the moment, or there is none. */
-function refuseWithoutServer (fleet: Fleet, request: PlaceRequest, concurrency: Concurrency): Refused {
+function refuseWithoutServer (fleet: Fleet, request: PlacementRequest, concurrency: Concurrency): Refusal {
   const { service } = request
   const isBusy = (fleet.byService.get(service) ?? []).some(server => canServe(request, server))
   if (isBusy) return createRefusal(fleet, 'busy', estimateTimeToCapacity(fleet, service, concurrency))
@@ -85,13 +85,13 @@
  * many requests as long ones, and serve them in time. The wait beyond the latency objective is therefore short, and longest for
  * the most urgent requests.
  */
-function computeMaxWait (request: PlaceRequest, serviceMs: Millis, now: Millis): Millis {
+function computeMaxWait (request: PlacementRequest, serviceMs: Millis, now: Millis): Millis {
   const slack = request.route.aimMs - (now - request.arrivedAt) - serviceMs
   const factor = maxWaitFactors[Math.min(request.route.rank, maxWaitFactors.length - 1)] ?? 0
   return Math.max(slack * (factor >= 1 ? 1 : factor), serviceMs * factor)
 }
 
-function createRefusal (fleet: Fleet, reason: Refused['reason'], afterMs: Millis): Refused {
+function createRefusal (fleet: Fleet, reason: Refusal['reason'], afterMs: Millis): Refusal {
   // The retries are spread over 0.5 to 2 times the time, since slots become free one by one.
   const spread = afterMs * (0.5 + fleet.setup.random() * 1.5)
   return { type: 'refuse', reason, retryAfterMs: Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, spread)) }
--- a/packages/placement/src/core/request/requestRun.ts
+++ b/packages/placement/src/core/request/requestSteps.ts
@@ -5,23 +5,23 @@
  * connection alone decides this, so no other VM sends the request.
  */
 import type { Millis, ServerId } from '@lynxcourse/base'
-import { isServerError } from '../../types/sends.js'
-import type { SendEnd } from '../../types/sends.js'
+import { isServerError } from '../../types/sendOutcome.js'
+import type { SendOutcome } from '../../types/sendOutcome.js'
 import { mustLook } from '../admission/callerView.js'
 import type { CallerView } from '../admission/callerView.js'
 import { isCalm } from '../admission/concurrency.js'
 import { expectsRoom, lookPause, waitEnd } from '../admission/roomWait.js'
 import { noteDemand } from '../board/loadReport.js'
 import { noteRequest, spendRepeat } from '../retries/retryShare.js'
-import { isCold, consumeColdToken } from '../server/coldShare.js'
+import { isCold, consumeColdToken } from '../server/coldRateLimit.js'
 import { recordRequestStart, recordRequestEnd, computeResponseTimeout } from '../server/fleetServer.js'
 import type { RunningRequest } from '../server/fleetServer.js'
-import type { EntryState, EntryTerms } from './entryState.js'
-import { concurrencyOf, estimateSlotTime } from './fleet.js'
+import type { EntryState, DecisionConditions } from './entryState.js'
+import { getConcurrency, estimateSlotTime } from './fleet.js'
 import { updateConcurrencyLimit, recordSendOutcome } from './learning.js'
 import { placeRequest } from './placeRequest.js'
-import type { Placed, Refused } from './placeRequest.js'
-import type { PlaceRequest } from './scoring.js'
+import type { Placement, Refusal } from './placeRequest.js'
+import type { PlacementRequest } from './scoring.js'
 
 /** Number of full servers after which a request is still sent again: each send costs a round trip and a unit of the retry budget. */
 const maxFullServers = 2
@@ -31,8 +31,8 @@
 const fullRetryAfterMs: Millis = 150
 
 /** A request and the results of its sends so far. */
-export interface RequestRun {
-  readonly request: PlaceRequest
+export interface RequestState {
+  readonly request: PlacementRequest
   /** Servers to which the request was sent; `request.tried` is the same set. */
   readonly tried: Set<ServerId>
   readonly caller: CallerView
@@ -44,18 +44,18 @@
   full: number
   sends: number
   /** Outcome of the last send. */
-  last: SendEnd | undefined
+  last: SendOutcome | undefined
 }
 
 /** The next step for a request. */
-export type RunStep =
-  | { readonly type: 'send', readonly placed: Placed }
-  /** Poll the caller's connection, record that poll, and call `nextStep` again. */
+export type RequestStep =
+  | { readonly type: 'send', readonly placement: Placement }
+  /** Poll the caller's connection, record that poll, and call `decideNextStep` again. */
   | { readonly type: 'look' }
-  /** Wait for capacity and call `nextStep` again after `pauseMs`. */
+  /** Wait for capacity and call `decideNextStep` again after `pauseMs`. */
   | { readonly type: 'wait', readonly pauseMs: Millis }
   /** The request has not run and will not run; the caller may retry it. */
-  | { readonly type: 'refuse', readonly refused: Refused }
+  | { readonly type: 'refuse', readonly refused: Refusal }
   /** The caller gets the answer of the last server. */
   | { readonly type: 'answer' }
   /** Some server may have run the request, and no answer can be returned. */
@@ -64,18 +64,18 @@
   | { readonly type: 'gone' }
 
 /** A send in flight. */
-export interface Sending {
-  readonly placed: Placed
+export interface InFlightSend {
+  readonly placement: Placement
   readonly running: RunningRequest
   readonly startedAt: Millis
-  /** When to check `mayLeaveServer`; undefined if the request must stay at its server until the deadline. */
-  readonly leaveAt: Millis | undefined
+  /** When to check `mayFailOver`; undefined if the request must stay at its server until the deadline. */
+  readonly failoverAt: Millis | undefined
   /** Time from which the expected work no longer explains the duration of the send. */
   readonly overdueAt: Millis
 }
 
 /** Creates the state of a request that has arrived, and counts it in the retry budget and the demand. */
-export function startRun (entry: EntryState, request: Omit<PlaceRequest, 'tried'>, caller: CallerView, conditions: EntryTerms, now: Millis): RequestRun {
+export function startRequest (entry: EntryState, request: Omit<PlacementRequest, 'tried'>, caller: CallerView, conditions: DecisionConditions, now: Millis): RequestState {
   const { fleet, load, retries } = entry
   const { service, route, object, deadline } = request
   noteRequest(retries, conditions.retryBudget, service, now)
@@ -85,7 +85,7 @@
 }
 
 /** Decides the next step for a request that is not in flight at a server. */
-export function nextStep (entry: EntryState, state: RequestRun, conditions: EntryTerms, now: Millis): RunStep {
+export function decideNextStep (entry: EntryState, state: RequestState, conditions: DecisionConditions, now: Millis): RequestStep {
   if (state.last !== undefined && isFinalOutcome(state, state.last)) return stepAfterOutcome(state, state.last)
   if (now >= state.request.deadline) return state.possibleRuns === 0 ? createRefuseStep('noTime') : { type: 'fail', reason: 'deadline' }
   if (mustLook(state.caller, now)) return { type: 'look' }
@@ -97,36 +97,36 @@
   const { retries, fleet } = entry
   const isFirstSend = state.sends === 0
   if (!isFirstSend && !spendRepeat(retries, conditions.retryBudget, state.request.service, fleet.vms.length, now)) return stepWithoutRetry(state)
-  return { type: 'send', placed: placement }
+  return { type: 'send', placement }
 }
 
 /** Adds a request to the number of those that wait for capacity, or removes it. */
-export function noteWaiting ({ waitingForRoom: waitingForCapacity }: EntryState, { request: { service } }: RequestRun, change: 1 | -1): void {
+export function updateWaitingCount ({ waitingForCapacity }: EntryState, { request: { service } }: RequestState, change: 1 | -1): void {
   waitingForCapacity.set(service, (waitingForCapacity.get(service) ?? 0) + change)
 }
 
 /** Records the start of a send and returns its timeouts. */
-export function beginSend ({ fleet }: EntryState, state: RequestRun, placement: Placed, now: Millis): Sending {
+export function beginSend ({ fleet }: EntryState, state: RequestState, placement: Placement, now: Millis): InFlightSend {
   const { route, service } = state.request
-  const { server, travelMs: roundTripMs, waitMs, workMs, maxExpectedMs } = placement
+  const { server, roundTripMs, waitMs, workMs, maxExpectedMs } = placement
   state.sends += 1
   state.tried.add(server.facts.id)
   if (isCold(server, now)) consumeColdToken(server)
   const expectedMs = roundTripMs + waitMs + workMs
   const running = recordRequestStart(server, expectedMs, maxExpectedMs, now)
-  const concurrency = concurrencyOf(fleet, service)
+  const concurrency = getConcurrency(fleet, service)
   // If all servers are slow, abandoning unfinished work only adds load at the next server.
   const canFailOver = route.isIdempotent && state.possibleRuns + 1 < route.maxAttempts && isCalm(concurrency)
   concurrency.underWay += 1
   const overdueAt = now + computeResponseTimeout(expectedMs, maxExpectedMs) + failoverSlackMs
-  return { placed: placement, running, startedAt: now, leaveAt: canFailOver ? overdueAt : undefined, overdueAt }
+  return { placement, running, startedAt: now, failoverAt: canFailOver ? overdueAt : undefined, overdueAt }
 }
 
 /**
  * Returns whether a request may fail over to another server now. Without a server to take it, failing over would replace a late
  * answer by a failure. A VM that is stopping must not abort requests in flight.
  */
-export function mayLeaveServer ({ fleet }: EntryState, state: RequestRun, { isLeaving: isStopping }: EntryTerms, now: Millis): boolean {
+export function mayFailOver ({ fleet }: EntryState, state: RequestState, { isStopping }: DecisionConditions, now: Millis): boolean {
   return !isStopping && placeRequest(fleet, state.request, now).type === 'send'
 }
 
@@ -137,17 +137,17 @@
  * failure domain. The VM can't see whether the request is still in transit or already running, so it abandons the request even if
  * that loses a late answer.
  */
-export function isStranded ({ fleet }: EntryState, { placed: { server }, startedAt, overdueAt }: Sending, { isLeaving: isStopping }: EntryTerms, now: Millis): boolean {
-  if (isStopping || now < overdueAt || server.answeredAt > startedAt) return false
+export function isServerUnresponsive ({ fleet }: EntryState, { placement: { server }, startedAt, overdueAt }: InFlightSend, { isStopping }: DecisionConditions, now: Millis): boolean {
+  if (isStopping || now < overdueAt || server.lastAnsweredAt > startedAt) return false
   return server.facts.isClosed || fleet.byId.get(server.facts.id) !== server
 }
 
 /** Records the outcome of a send and learns from it. */
-export function endSend (entry: EntryState, state: RequestRun, { placed: placement, running, startedAt }: Sending, outcome: SendEnd, now: Millis): void {
-  concurrencyOf(entry.fleet, state.request.service).underWay -= 1
+export function endSend (entry: EntryState, state: RequestState, { placement, running, startedAt }: InFlightSend, outcome: SendOutcome, now: Millis): void {
+  getConcurrency(entry.fleet, state.request.service).underWay -= 1
   recordRequestEnd(placement.server, running)
   // Opening a connection takes a round trip. Counted as server time, it would make servers in remote regions look overloaded.
-  const tookMs = now - startedAt - (outcome.type === 'answered' ? outcome.openMs : 0)
+  const tookMs = now - startedAt - (outcome.type === 'answered' ? outcome.connectMs : 0)
   recordSendOutcome(entry, state.request, placement, outcome, tookMs, now)
   updateConcurrencyLimit(entry, state.request, placement, outcome, tookMs, now)
   if (outcome.type === 'answered' || outcome.type === 'lost') state.possibleRuns += 1
@@ -155,7 +155,7 @@
   state.last = outcome
 }
 
-function isFinalOutcome (state: RequestRun, outcome: SendEnd): boolean {
+function isFinalOutcome (state: RequestState, outcome: SendOutcome): boolean {
   const { route } = state.request
   if (outcome.type === 'notRun') return state.full > maxFullServers
   if (outcome.type === 'lost' && (outcome.reason === 'gone' || outcome.reason === 'deadline')) return true
@@ -163,7 +163,7 @@
   return !isFailure || !route.isIdempotent || state.possibleRuns >= route.maxAttempts
 }
 
-function stepAfterOutcome (state: RequestRun, outcome: SendEnd): RunStep {
+function stepAfterOutcome (state: RequestState, outcome: SendOutcome): RequestStep {
   switch (outcome.type) {
     case 'answered': return { type: 'answer' }
     case 'notRun': return stepWithoutRetry(state)
@@ -174,19 +174,19 @@
 }
 
 /** Returns the step for a request that is not sent again, from the results of its sends so far. */
-function stepWithoutRetry ({ last, possibleRuns }: RequestRun): RunStep {
+function stepWithoutRetry ({ last, possibleRuns }: RequestState): RequestStep {
   if (last?.type === 'answered') return { type: 'answer' }
   return possibleRuns > 0 ? { type: 'fail', reason: 'serverFailed' } : createRefuseStep('busy')
 }
 
-function createRefuseStep (reason: Refused['reason']): RunStep {
+function createRefuseStep (reason: Refusal['reason']): RequestStep {
   return { type: 'refuse', refused: { type: 'refuse', reason, retryAfterMs: fullRetryAfterMs } }
 }
 
-function mayWaitForCapacity ({ fleet, waitingForRoom: waitingForCapacity }: EntryState, { request, maxWaitUntil }: RequestRun, refusal: Refused, { isLeaving: isStopping }: EntryTerms, now: Millis): boolean {
-  if (refusal.reason !== 'busy' || isStopping || fleet.setup.without.has('roomWait')) return false
+function mayWaitForCapacity ({ fleet, waitingForCapacity }: EntryState, { request, maxWaitUntil }: RequestState, refusal: Refusal, { isStopping }: DecisionConditions, now: Millis): boolean {
+  if (refusal.reason !== 'busy' || isStopping || fleet.setup.disabledMechanisms.has('roomWait')) return false
   const { route, service } = request
-  const { limit } = concurrencyOf(fleet, service)
+  const { limit } = getConcurrency(fleet, service)
   const pace = { limit, meanMs: fleet.meanSlotTimes.get(service) ?? route.aimMs, waiting: waitingForCapacity.get(service) ?? 0 }
   return expectsRoom(pace, maxWaitUntil, now)
 }
--- a/packages/placement/src/core/request/scoring.ts
+++ b/packages/placement/src/core/request/scoring.ts
@@ -1,10 +1,10 @@
 /** Scores servers for a request by the expected time to completion and the cost for other requests. */
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import type { Route } from '@lynxcourse/state'
-import { hasColdToken, isCold, isWarmingVm } from '../server/coldShare.js'
-import { travelTo, estimateWarmProbability, workKey } from './fleet.js'
+import { hasColdToken, isCold, isWarmingVm } from '../server/coldRateLimit.js'
+import { estimateRoundTrip, estimateWarmProbability, workKey } from './fleet.js'
 import type { Fleet } from './fleet.js'
-import { aheadOf, hasCapacity, isStalled, isHealthy, estimateSharedQueueDepth, getSlowdown } from '../server/fleetServer.js'
+import { estimateQueueDepth, hasCapacity, isStalled, isHealthy, estimateSharedQueueDepth, getSlowdown } from '../server/fleetServer.js'
 import type { FleetServer } from '../server/fleetServer.js'
 import { placesOf } from '../object/hashPlaces.js'
 import type { HashPlace } from '../object/hashPlaces.js'
@@ -14,7 +14,7 @@
 import type { WorkTimes } from '../object/workModel.js'
 
 /** A request for which a server is to be selected. */
-export interface PlaceRequest {
+export interface PlacementRequest {
   readonly route: Route
   readonly service: ServiceId
   /** Key of the request's object; empty if unknown. */
@@ -68,7 +68,7 @@
 }
 
 /** Returns the server with the lowest cost for a request; undefined if no server can take it now. */
-export function selectBestServer (fleet: Fleet, request: PlaceRequest, now: Millis): ScoredServer | undefined {
+export function selectBestServer (fleet: Fleet, request: PlacementRequest, now: Millis): ScoredServer | undefined {
   const eligible = findEligibleServers(fleet, request, now)
   const open = eligible.filter(server => hasCapacity(server, now))
   const region = choosePlannedRegion(fleet, request, eligible)
@@ -78,7 +78,7 @@
   const utilization = estimateServiceUtilization(fleet, request.service, now)
   const candidates = places === undefined ? open : findCandidates(fleet, request, open, places, utilization, now)
   const times = workOf(fleet.workModel, workKey(request), request.route.aimMs)
-  const { without: disabledMechanisms } = fleet.setup
+  const { disabledMechanisms } = fleet.setup
   const hasWarmNonPrimary = places !== undefined && !disabledMechanisms.has('movedPrimaries') && candidates.some(server => isWarmNonPrimary(fleet, request, server, places, region, now))
   const input: ScoreInput = { times, places, region, workWeight: disabledMechanisms.has('workWeight') ? 1 : 1 + computeExtraWorkWeight(utilization), hasWarmNonPrimary }
   const planned = findCheapest(fleet, request, candidates.filter(server => server.facts.region === region), input, now)
@@ -87,12 +87,12 @@
 }
 
 /** Returns whether the server is in the planned region, not the object's primary server there, and recently handled the object. */
-function isWarmNonPrimary (fleet: Fleet, request: PlaceRequest, { facts }: FleetServer, hashRanks: ReadonlyMap<ServerId, HashPlace>, region: RegionId | undefined, now: Millis): boolean {
+function isWarmNonPrimary (fleet: Fleet, request: PlacementRequest, { facts }: FleetServer, hashRanks: ReadonlyMap<ServerId, HashPlace>, region: RegionId | undefined, now: Millis): boolean {
   return facts.region === region && hashRanks.get(facts.id) !== 'primary' && isWarm(fleet.warmth, facts.id, request.object, now)
 }
 
 function estimateServiceUtilization (fleet: Fleet, service: ServiceId, now: Millis): number {
-  return Math.max(fleet.sharedFill.get(service) ?? 0, computeUtilization(fleet.byService.get(service) ?? [], now))
+  return Math.max(fleet.sharedUtilization.get(service) ?? 0, computeUtilization(fleet.byService.get(service) ?? [], now))
 }
 
 /**
@@ -100,21 +100,21 @@
  * all slots are busy, only the object's primary server is a candidate: work at other servers is cold, takes four times the slot
  * time and evicts other objects from their caches, so that cold work keeps the fleet full although warm work would fit.
  */
-function findCandidates (fleet: Fleet, request: PlaceRequest, open: readonly FleetServer[], hashRanks: ReadonlyMap<ServerId, HashPlace>, utilization: number, now: Millis): FleetServer[] {
+function findCandidates (fleet: Fleet, request: PlacementRequest, open: readonly FleetServer[], hashRanks: ReadonlyMap<ServerId, HashPlace>, utilization: number, now: Millis): FleetServer[] {
   if (utilization > primaryOnlyUtilization) return open.filter(server => hashRanks.get(server.facts.id) === 'primary')
   const holders = holdersOf(fleet.warmth, request.object)
   return open.filter(({ facts: { id } }) => hashRanks.has(id) || (holders.has(id) && isWarm(fleet.warmth, id, request.object, now)))
 }
 
 /** Returns the region that the plan assigns to an object. A request without an object gets a random region, with the same shares. */
-function choosePlannedRegion (fleet: Fleet, request: PlaceRequest, eligible: readonly FleetServer[]): RegionId | undefined {
+function choosePlannedRegion (fleet: Fleet, request: PlacementRequest, eligible: readonly FleetServer[]): RegionId | undefined {
   const localRegion = fleet.setup.region
   const shares = fleet.shares.get(request.service) ?? new Map([[localRegion, 1]])
   const object = request.object === '' ? String(fleet.setup.random()) : request.object
   return regionOf(shares, localRegion, object, new Set(eligible.map(server => server.facts.region)))
 }
 
-function findCheapest (fleet: Fleet, request: PlaceRequest, candidates: readonly FleetServer[], input: ScoreInput, now: Millis): ScoredServer | undefined {
+function findCheapest (fleet: Fleet, request: PlacementRequest, candidates: readonly FleetServer[], input: ScoreInput, now: Millis): ScoredServer | undefined {
   let best: ScoredServer | undefined
   for (const server of candidates) {
     const scored = scoreServer(fleet, request, server, input, now)
@@ -138,19 +138,19 @@
   let slots = 0
   for (const server of servers) {
     if (server.facts.isClosed) continue
-    queueDepth += aheadOf(server, now)
+    queueDepth += estimateQueueDepth(server, now)
     slots += server.facts.slots
   }
   return slots === 0 ? 0 : queueDepth / slots
 }
 
 /** Returns whether a server is open to requests like this one, whatever its load and health are now. */
-export function canServe ({ route: { homes }, tried }: PlaceRequest, { facts }: FleetServer): boolean {
+export function canServe ({ route: { homes }, tried }: PlacementRequest, { facts }: FleetServer): boolean {
   return !facts.isClosed && !tried.has(facts.id) && (homes.length === 0 || homes.includes(facts.region))
 }
 
 /** Returns the servers that may get a request, now or once they have capacity. */
-function findEligibleServers (fleet: Fleet, request: PlaceRequest, now: Millis): FleetServer[] {
+function findEligibleServers (fleet: Fleet, request: PlacementRequest, now: Millis): FleetServer[] {
   const healthy: FleetServer[] = []
   const unhealthy: FleetServer[] = []
   for (const server of fleet.byService.get(request.service) ?? []) {
@@ -166,7 +166,7 @@
 /** Returns whether the rate limit of a cold server permits a request of this VM; other servers have no such limit. */
 function mayReceiveRequest (fleet: Fleet, service: ServiceId, server: FleetServer, now: Millis): boolean {
   if (!isCold(server, now)) return true
-  return isWarmingVm(server, fleet.setup.self, fleet.vms) && hasColdToken(server, fleet.coldRates.get(service) ?? 0, now)
+  return isWarmingVm(server, fleet.setup.self, fleet.vms) && hasColdToken(server, fleet.coldRequestRates.get(service) ?? 0, now)
 }
 
 interface ScoreInput {
@@ -181,7 +181,7 @@
   readonly hasWarmNonPrimary: boolean
 }
 
-function scoreServer (fleet: Fleet, request: PlaceRequest, server: FleetServer, input: ScoreInput, now: Millis): ScoredServer {
+function scoreServer (fleet: Fleet, request: PlacementRequest, server: FleetServer, input: ScoreInput, now: Millis): ScoredServer {
   const { facts } = server
   const { times, places, workWeight } = input
   const wasWarm = places !== undefined && isWarm(fleet.warmth, facts.id, request.object, now)
@@ -191,12 +191,12 @@
   const workMs = (times.coldMs + (times.warmMs - times.coldMs) * warmProbability) * slowdown
   const meanSlotMs = (fleet.meanSlotTimes.get(facts.service) ?? times.coldMs) * slowdown
   const sharedQueueDepth = estimateSharedQueueDepth(server, now)
-  const waitMs = estimateQueueWait(aheadOf(server, now), facts.slots, meanSlotMs)
+  const waitMs = estimateQueueWait(estimateQueueDepth(server, now), facts.slots, meanSlotMs)
   const sharedWaitMs = estimateQueueWait(sharedQueueDepth, facts.slots, meanSlotMs)
-  const roundTripMs = travelTo(fleet, facts.region)
+  const roundTripMs = estimateRoundTrip(fleet, facts.region)
   const remoteCostMs = facts.region === input.region ? 0 : remoteRegionCostMs
   const maxWorkMs = Math.max(times.coldMs, times.longestMs) * slowdown
-  const riskCostMs = fleet.setup.without.has('cutRisk') ? 0 : (1 - warmProbability) * computeTimeoutRiskCost(request, now + roundTripMs + sharedWaitMs + maxWorkMs)
+  const riskCostMs = fleet.setup.disabledMechanisms.has('cutRisk') ? 0 : (1 - warmProbability) * computeTimeoutRiskCost(request, now + roundTripMs + sharedWaitMs + maxWorkMs)
   const cost = roundTripMs + sharedWaitMs + workMs * workWeight + remoteCostMs + (sharedQueueDepth / facts.slots) ** 2 * utilizationCostMs + riskCostMs + fleet.setup.random()
   return { server, cost, waitMs, sharedWaitMs, roundTripMs, workMs, maxWorkMs, wasWarm, place }
 }
@@ -205,7 +205,7 @@
  * Computes the additional cost of cold work that may exceed its deadline. If a route's timeout is hardly longer than its cold work,
  * requests time out at servers that are cold for an object although another server is warm for it.
  */
-function computeTimeoutRiskCost ({ route, deadline }: PlaceRequest, latestEndAt: Millis): Millis {
+function computeTimeoutRiskCost ({ route, deadline }: PlacementRequest, latestEndAt: Millis): Millis {
   return latestEndAt > deadline ? route.aimMs * timeoutRiskCostFraction : 0
 }
 
--- a/packages/placement/src/core/server/fleetServer.ts
+++ b/packages/placement/src/core/server/fleetServer.ts
@@ -33,16 +33,16 @@
   weight: number
   readonly running: Set<RunningRequest>
   /** Queue depth in the server's last load report: its running and waiting requests from all VMs. */
-  reportedAhead: number
+  reportedQueueDepth: number
   reportedAt: Millis
   /** When the server last answered any request of this VM. */
-  answeredAt: Millis
+  lastAnsweredAt: Millis
   /** Time since which requests of this VM have been unanswered; undefined if no answer is outstanding. */
   unansweredSince: Millis | undefined
   /** Requests that this VM sent since the last load report. */
   sentSinceReport: number
   /** Smoothed queue depth over the reports of all VMs; 0 unless the server is nearly full. */
-  sharedAhead: number
+  sharedQueueDepth: number
   sharedReportAt: Millis
   /** Smoothed ratio of observed to expected response time. */
   slowdown: number
@@ -97,12 +97,12 @@
     hash: hashText(facts.id),
     weight: 1,
     running: new Set(),
-    reportedAhead: 0,
+    reportedQueueDepth: 0,
     reportedAt: -Infinity,
-    answeredAt: -Infinity,
+    lastAnsweredAt: -Infinity,
     unansweredSince: undefined,
     sentSinceReport: 0,
-    sharedAhead: 0,
+    sharedQueueDepth: 0,
     sharedReportAt: -Infinity,
     slowdown: 1,
     consecutiveFailures: 0,
@@ -119,10 +119,10 @@
  * Estimates the queue depth that a new request would meet. The reported requests complete over time, but other VMs continue to
  * send at their rates: the last report therefore decays slowly, and this VM's requests since the report are added to it.
  */
-export function aheadOf (server: FleetServer, now: Millis): number {
+export function estimateQueueDepth (server: FleetServer, now: Millis): number {
   const age = now - server.reportedAt
   if (!Number.isFinite(age)) return server.running.size
-  return Math.max(server.running.size, server.reportedAhead * 2 ** (-age / reportHalfLifeMs) + server.sentSinceReport)
+  return Math.max(server.running.size, server.reportedQueueDepth * 2 ** (-age / reportHalfLifeMs) + server.sentSinceReport)
 }
 
 /**
@@ -130,13 +130,13 @@
  * to refuse a request by.
  */
 export function estimateSharedQueueDepth (server: FleetServer, now: Millis): number {
-  const sharedDepth = now - server.sharedReportAt < sharedReportTtlMs ? server.sharedAhead : 0
-  return Math.max(aheadOf(server, now), sharedDepth)
+  const sharedDepth = now - server.sharedReportAt < sharedReportTtlMs ? server.sharedQueueDepth : 0
+  return Math.max(estimateQueueDepth(server, now), sharedDepth)
 }
 
 /** Records the queue depth that all VMs together observed. */
 export function recordSharedQueueDepth (server: FleetServer, queueDepth: number, now: Millis): void {
-  server.sharedAhead = queueDepth
+  server.sharedQueueDepth = queueDepth
   server.sharedReportAt = now
 }
 
@@ -164,7 +164,7 @@
 }
 
 function computeStallTimeout (server: FleetServer, { startedAt, expectedMs, maxExpectedMs }: RunningRequest): Millis {
-  if (server.answeredAt > startedAt) return maxExpectedMs * responsiveStallFactor + stallSlackMs
+  if (server.lastAnsweredAt > startedAt) return maxExpectedMs * responsiveStallFactor + stallSlackMs
   return computeResponseTimeout(expectedMs, maxExpectedMs) + stallSlackMs
 }
 
@@ -196,7 +196,7 @@
 
 /** Records that the server answered a request, whatever the status. */
 export function recordAnswer (server: FleetServer, now: Millis): void {
-  server.answeredAt = now
+  server.lastAnsweredAt = now
   // The answered request is still in `running` here.
   server.unansweredSince = server.running.size > 1 ? now : undefined
 }
@@ -208,7 +208,7 @@
 
 /** Records the queue depth that the server reported itself. */
 export function recordLoadReport (server: FleetServer, queueDepth: number, now: Millis): void {
-  server.reportedAhead = queueDepth
+  server.reportedQueueDepth = queueDepth
   server.reportedAt = now
   server.sentSinceReport = 0
 }
--- a/packages/placement/src/core/server/restMemory.ts
+++ b/packages/placement/src/core/server/idleConnectionHistory.ts
@@ -19,7 +19,7 @@
 interface UnansweredRequest { readonly address: string, readonly lastActiveAt: Millis, readonly at: Millis }
 
 /** Recent resets and unanswered requests on connections that were idle before, oldest first. */
-export interface RestMemory {
+export interface IdleConnectionHistory {
   resets: IdleReset[]
   unanswered: UnansweredRequest[]
 }
@@ -35,12 +35,12 @@
 const maxEvents = 200
 
 /** Creates a history without events. */
-export function createRestMemory (): RestMemory {
+export function createIdleConnectionHistory (): IdleConnectionHistory {
   return { resets: [], unanswered: [] }
 }
 
 /** Records that a request on a previously idle connection was reset without an answer. */
-export function noteRestedReset (history: RestMemory, address: string, restedMs: Millis, now: Millis): void {
+export function recordResetAfterIdle (history: IdleConnectionHistory, address: string, restedMs: Millis, now: Millis): void {
   if (restedMs < minIdleMs) return
   history.resets = [...history.resets.filter(reset => now - reset.at < eventTtlMs), { address, restedMs, at: now }].slice(-maxEvents)
 }
@@ -50,22 +50,22 @@
  *
  * @param takenAt when the request took the connection from the pool
  */
-export function noteSilence (history: RestMemory, address: string, idleMs: Millis, takenAt: Millis, now: Millis): void {
+export function recordUnansweredAfterIdle (history: IdleConnectionHistory, address: string, idleMs: Millis, takenAt: Millis, now: Millis): void {
   if (idleMs < minIdleMs) return
   history.unanswered = [...history.unanswered.filter(request => now - request.at < eventTtlMs), { address, lastActiveAt: takenAt - idleMs, at: now }].slice(-maxEvents)
 }
 
 /** Returns the maximum idle time of a connection for a non-idempotent request; Infinity without recent events at several servers. */
-export function longestRest (history: RestMemory, now: Millis): Millis {
+export function getMaxIdleMs (history: IdleConnectionHistory, now: Millis): Millis {
   return Math.min(maxIdleByResets(history, now), maxIdleByUnanswered(history, now))
 }
 
-function maxIdleByResets ({ resets }: RestMemory, now: Millis): Millis {
+function maxIdleByResets ({ resets }: IdleConnectionHistory, now: Millis): Millis {
   const recent = resets.filter(reset => now - reset.at < eventTtlMs)
   return involvesSeveralServers(recent) ? Math.min(...recent.map(reset => reset.restedMs)) * safeFraction : Infinity
 }
 
-function maxIdleByUnanswered ({ unanswered }: RestMemory, now: Millis): Millis {
+function maxIdleByUnanswered ({ unanswered }: IdleConnectionHistory, now: Millis): Millis {
   const recent = unanswered.filter(request => now - request.at < eventTtlMs)
   return involvesSeveralServers(recent) ? now - Math.max(...recent.map(request => request.lastActiveAt)) : Infinity
 }
--- a/packages/placement/src/types/loads.ts
+++ b/packages/placement/src/types/loads.ts
@@ -12,18 +12,18 @@
 }
 
 /** Slots that callers need, by service and region of the entry VMs. */
-export type BusySlots = ReadonlyArray<readonly [ServiceId, RegionId, number]>
+export type SlotDemand = ReadonlyArray<readonly [ServiceId, RegionId, number]>
 
 /** Reports that a control VM received since the last exchange, aggregated for the leader. */
 export interface LoadDigest {
   readonly servers: ReadonlyArray<readonly [ServerId, number]>
-  readonly busy: BusySlots
+  readonly busy: SlotDemand
   /** Servers with the number of entry VMs whose requests they left unanswered. */
   readonly failed: ReadonlyArray<readonly [ServerId, number]>
 }
 
 /** The region plan of one service, as the leader publishes it. */
-export interface PlanNews {
+export interface PlanUpdate {
   readonly service: ServiceId
   /** Whether the plan follows measured demand; until demand is known, it follows the slots alone. */
   readonly isMeasured: boolean
@@ -38,18 +38,18 @@
 }
 
 /** Load data that the leader publishes to all VMs. */
-export interface LoadNews {
+export interface LoadUpdate {
   /** Nearly full servers with their smoothed queue depth. */
   readonly full: ReadonlyArray<readonly [ServerId, number]>
-  readonly plans: readonly PlanNews[]
+  readonly plans: readonly PlanUpdate[]
   /** Servers that answer no VM now. */
   readonly silent: readonly ServerId[]
   /** Omitted for a VM that already has this version of the weights. */
-  readonly weights?: WeightNews
+  readonly weights?: WeightUpdate
 }
 
 /** Weights of servers in rendezvous hashing; servers that are not listed have weight 1. */
-export interface WeightNews {
+export interface WeightUpdate {
   /** Time at which the leader published the weights, so that two leaders never use one version for different weights. */
   readonly version: Millis
   readonly servers: ReadonlyArray<readonly [ServerId, number]>
@@ -59,7 +59,7 @@
 export type ServiceSlots = ReadonlyMap<ServiceId, ReadonlyMap<RegionId, number>>
 
 /** A server as the load board knows it. */
-export interface ServerPlace {
+export interface KnownServer {
   readonly service: ServiceId
   readonly region: RegionId | undefined
   readonly slots: number
@@ -68,7 +68,7 @@
 }
 
 /** The servers that the load board knows. */
-export type ServerPlaces = ReadonlyMap<ServerId, ServerPlace>
+export type KnownServers = ReadonlyMap<ServerId, KnownServer>
 
 /** How long a load report is valid: longer than the maximum interval between two watch calls. */
-export const busyForMs: Millis = 3000
+export const loadReportTtlMs: Millis = 3000
--- a/packages/placement/src/types/sends.ts
+++ b/packages/placement/src/types/sendOutcome.ts
@@ -2,9 +2,9 @@
 import type { Millis } from '@lynxcourse/base'
 
 /** The outcome of one send. */
-export type SendEnd =
-  /** The server answered; opening the connection took `openMs`. */
-  | { readonly type: 'answered', readonly status: number, readonly openMs: Millis }
+export type SendOutcome =
+  /** The server answered; opening the connection took `connectMs`. */
+  | { readonly type: 'answered', readonly status: number, readonly connectMs: Millis }
   /**
    * The request certainly did not run: the server rejected it as full, could not be reached, or is not the server that the request
    * names (`elsewhere`).
