--- a/packages/placement/__tests__/loadBoard.test.ts
+++ b/packages/placement/__tests__/loadBoard.test.ts
@@ -45,7 +45,7 @@
   const board = createLoadBoard()
   const now = play(board, 1, 2, 2)
   updateBoard(board, slots, places, now + 3000)
-  assert.deepEqual([board.news.full, board.smoothed.size], [[], 0])
+  assert.deepEqual([board.news.full, board.queueDepths.size], [[], 0])
 })
 
 test('demand over the region\'s slots moves its objects away, a little each second', () => {
@@ -156,11 +156,11 @@
   const quiet = { full: [], plans: [], silent: [], weights: { version: 4, servers: [] } }
   const loud = { ...quiet, silent: [server], weights: { version: 5, servers: [[server, 0.5] as const] } }
   assert.deepEqual(newsLines(quiet, loud), [
-    { message: 'Servers answer nobody.', fields: { servers: 'i-1' } },
-    { message: 'Weights told.', fields: { version: 5, servers: 1, least: 0.5, most: 0.5 } }
+    { message: 'Servers stopped answering all VMs.', fields: { servers: 'i-1' } },
+    { message: 'Server weights published.', fields: { version: 5, servers: 1, least: 0.5, most: 0.5 } }
   ])
   assert.deepEqual(newsLines(loud, loud), [])
-  assert.deepEqual(newsLines(loud, quiet).map(({ message }) => message), ['Servers are tried again.'])
+  assert.deepEqual(newsLines(loud, quiet).map(({ message }) => message), ['Silent servers are tried again.'])
 })
 
 const swingSeconds = 36
--- a/packages/placement/__tests__/regionPlan.test.ts
+++ b/packages/placement/__tests__/regionPlan.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check'
 import { brandId } from '@lynxcourse/base'
 import type { RegionId } from '@lynxcourse/base'
-import { assumedHeight, bearableFill, firstPlan, lossStepPerSecond, regionOf, shareStepPerSecond, stepPlan, targetPlan } from '@lynxcourse/placement'
+import { estimatePeakDemand, maxUtilizationForWait, createInitialPlan, maxShareChangeAfterLossPerSecond, regionOf, maxShareChangePerSecond, advancePlan, computeTargetPlan } from '@lynxcourse/placement'
 import type { RegionLoad, RegionPlan, RegionShares } from '@lynxcourse/placement'
 
 const seed = 31
@@ -26,11 +26,11 @@
 
 test('all objects of a region are served somewhere, and no region gets more than the others\' fill', () => {
   fc.assert(fc.property(anyLoads, fc.integer({ min: 1, max: 12 }), (given, serverSlots) => {
-    const plan = targetPlan(given, serverSlots)
+    const plan = computeTargetPlan(given, serverSlots)
     const slots = given.reduce((sum, load) => sum + load.slots, 0)
     const demand = given.reduce((sum, load) => sum + load.demand, 0)
     if (slots === 0) return true
-    const fill = Math.max(bearableFill(serverSlots), demand / slots + 0.2)
+    const fill = Math.max(maxUtilizationForWait(serverSlots), demand / slots + 0.2)
     return given.every(load => {
       const total = [...plan.get(load.region)?.values() ?? []].reduce((sum, share) => sum + share, 0)
       const arriving = given.reduce((sum, from) => sum + from.demand * shareOf(plan, from.region, load.region), 0)
@@ -44,41 +44,41 @@
  * fill made nobody wait: what a region may be filled to depends on the slots of its servers.
  */
 test('servers with few slots are filled less, so that requests wait no longer than the way to another region takes', () => {
-  assert.ok(Math.abs(bearableFill(3) - 0.55) < 0.01 && Math.abs(bearableFill(6) - 0.73) < 0.01, `${bearableFill(3)} ${bearableFill(6)}`)
-  for (let slots = 1; slots < 40; slots++) assert.ok(bearableFill(slots) < bearableFill(slots + 1) && bearableFill(slots + 1) < 1)
+  assert.ok(Math.abs(maxUtilizationForWait(3) - 0.55) < 0.01 && Math.abs(maxUtilizationForWait(6) - 0.73) < 0.01, `${maxUtilizationForWait(3)} ${maxUtilizationForWait(6)}`)
+  for (let slots = 1; slots < 40; slots++) assert.ok(maxUtilizationForWait(slots) < maxUtilizationForWait(slots + 1) && maxUtilizationForWait(slots + 1) < 1)
 })
 
 test('the height of a demand that was not seen yet is assumed by the sum of all regions', () => {
-  assert.equal(assumedHeight(loads([kochi, 100, 10], [chennai, 100, 30], [mumbai, 100, 50])), 45)
+  assert.equal(estimatePeakDemand(loads([kochi, 100, 10], [chennai, 100, 30], [mumbai, 100, 50])), 45)
 })
 
 test('with room at home everything stays at home', () => {
-  const plan = targetPlan(loads([kochi, 100, 50], [chennai, 100, 10], [mumbai, 100, 50]), serverSlots)
+  const plan = computeTargetPlan(loads([kochi, 100, 50], [chennai, 100, 10], [mumbai, 100, 50]), serverSlots)
   assert.deepEqual([shareOf(plan, kochi, kochi), shareOf(plan, chennai, chennai), shareOf(plan, mumbai, mumbai)], [1, 1, 1])
 })
 
 /** Guards against this failure: a third of the callers is answered late all day. */
 test('a region with a third of the demand and a tenth of the slots keeps what fits and no more', () => {
-  const plan = targetPlan(loads([kochi, 280, 100], [chennai, 60, 100], [mumbai, 280, 100]), serverSlots)
-  assert.ok(Math.abs(shareOf(plan, chennai, chennai) - 0.6 * bearableFill(serverSlots)) < 0.01)
+  const plan = computeTargetPlan(loads([kochi, 280, 100], [chennai, 60, 100], [mumbai, 280, 100]), serverSlots)
+  assert.ok(Math.abs(shareOf(plan, chennai, chennai) - 0.6 * maxUtilizationForWait(serverSlots)) < 0.01)
   assert.ok(Math.abs(shareOf(plan, chennai, kochi) - shareOf(plan, chennai, mumbai)) < 1e-9)
   assert.equal(shareOf(plan, kochi, kochi), 1)
 })
 
 test('before any demand is known, a region with few servers already sends objects away', () => {
-  const plan = firstPlan(loads([kochi, 280, 0], [chennai, 60, 0], [mumbai, 280, 0]), serverSlots)
+  const plan = createInitialPlan(loads([kochi, 280, 0], [chennai, 60, 0], [mumbai, 280, 0]), serverSlots)
   assert.ok(shareOf(plan, chennai, chennai) < 0.5)
 })
 
 /** Guards against this failure: a third of a region's requests run in another region from one second to the next. */
 test('a plan moves no more of a region\'s objects in two seconds than callers are promised', () => {
   fc.assert(fc.property(anyLoads, anyLoads, fc.integer({ min: 50, max: 1000 }), (before, after, passedMs) => {
-    let plan = targetPlan(before, serverSlots)
+    let plan = computeTargetPlan(before, serverSlots)
     const first = plan
-    for (let now = 0; now < 2000; now += passedMs) plan = stepPlan(plan, targetPlan(after, serverSlots), false, Math.min(passedMs, 2000 - now))
-    return before.every(({ region }) => movedBetween(first.get(region) ?? new Map(), plan.get(region) ?? new Map()) <= shareStepPerSecond * 2 + 1e-6)
+    for (let now = 0; now < 2000; now += passedMs) plan = advancePlan(plan, computeTargetPlan(after, serverSlots), false, Math.min(passedMs, 2000 - now))
+    return before.every(({ region }) => movedBetween(first.get(region) ?? new Map(), plan.get(region) ?? new Map()) <= maxShareChangePerSecond * 2 + 1e-6)
   }), { seed })
-  assert.ok(lossStepPerSecond > shareStepPerSecond)
+  assert.ok(maxShareChangeAfterLossPerSecond > maxShareChangePerSecond)
 })
 
 function movedBetween (from: RegionShares, to: RegionShares): number {
--- a/packages/placement/__tests__/serverWeights.test.ts
+++ b/packages/placement/__tests__/serverWeights.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import { brandId, makeRandom } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { createFleetServer, leastWeight, placesOf, stepWeights } from '@lynxcourse/placement'
+import { createFleetServer, minWeight, placesOf, adjustWeights } from '@lynxcourse/placement'
 import type { FleetServer } from '@lynxcourse/placement'
 
 const desk = brandId<ServiceId>('desk')
@@ -46,7 +46,7 @@
   const held = before.homes.map(home => new Set([home]))
   for (let now = 0; now < seconds * 1000; now += stepMs) {
     const fills = [...before.fills].map(([id, fill]) => ({ id, service: desk, region: kochi, fill: fill * (1 + (random() - 0.5) * 0.66) }))
-    stepWeights(weights, fills, stepMs)
+    adjustWeights(weights, fills, stepMs)
     for (const server of servers) server.weight = weights.get(server.facts.id) ?? 1
     const after = placeAll(servers, objects)
     moves += after.homes.filter((home, object) => held[object]?.has(home) === false).length
@@ -72,7 +72,7 @@
 test('a server whose queue is endless keeps a part of its weight, and one that nobody hears of all', () => {
   const weights = new Map<ServerId, number>()
   const fills = [9, 0.5, 0.5, 0.5].map((fill, place) => ({ id: brandId<ServerId>(`i-${place}`), service: desk, region: kochi, fill }))
-  for (let step = 0; step < 200; step++) stepWeights(weights, fills, stepMs)
-  assert.equal(weights.get(brandId<ServerId>('i-0')), leastWeight)
+  for (let step = 0; step < 200; step++) adjustWeights(weights, fills, stepMs)
+  assert.equal(weights.get(brandId<ServerId>('i-0')), minWeight)
   assert.equal(weights.has(brandId<ServerId>('i-9')), false)
 })
--- a/packages/placement/src/core/admission/callerView.ts
+++ b/packages/placement/src/core/admission/callerView.ts
@@ -1,44 +1,48 @@
 /**
- * How old a VM's view of a caller may be when it begins the caller's request at a server.
+ * Limits how old a VM's knowledge of a caller's connection may be when it sends the caller's request to a server.
  *
- * What can go wrong: a caller that closes its connection is seen only once the close is read. It lies behind the bytes of the request
- * and is read one turn of the event loop after them, and timers run before sockets are read. A VM that is short of processor time, or
- * stood still, then begins work for callers that left long ago. It shows as requests that servers cut right after they began.
+ * A closed connection is noticed only when the close is read. The close follows the bytes of the request and is read
+ * one iteration of the event loop after them, and timers run before sockets are polled. Without this limit, a VM that
+ * is short of processor time or was stopped for a while starts work for callers that disconnected long ago. The symptom
+ * is that servers abort requests right after they started.
  */
 import type { Millis } from '@lynxcourse/base'
 
-/** What a VM knows of a caller. */
+/** What a VM knows of a caller's connection. */
 export interface CallerView {
-  /** A close of its connection that came before then has been read. */
+  /** A close of the connection that arrived before this time has been read. */
   seenAt: Millis
 }
 
-/** An older view is renewed before a send; with the way to a server it stays within half a second. */
-const oldestMs: Millis = 250
-/** A connection to a server that opens after this opens late: the view ages meanwhile. */
-const openMs: Millis = 100
+/** Older knowledge is refreshed before a send. Together with the delay to a server, this keeps it within 500 ms. */
+const maxAgeMs: Millis = 250
+/** A server connection that takes longer to open counts as late: the knowledge of the caller ages meanwhile. */
+const lateOpenMs: Millis = 100
 
-/** The view of a caller whose request was read, and what lies behind it was not. */
+/** Returns the state for a caller whose request was read, but whose connection has not been polled for a close since. */
 export function createCallerView (): CallerView {
   return { seenAt: -Infinity }
 }
 
-/** Whether the caller's connection has to be looked at before its request is begun at a server. */
+/** Returns whether the caller's connection has to be polled before its request is sent to a server. */
 export function mustLook ({ seenAt }: CallerView, now: Millis): boolean {
-  return now - seenAt > oldestMs
+  return now - seenAt > maxAgeMs
 }
 
-/** Notes a look that began at `seenAt`. */
-export function noteLook (view: CallerView, seenAt: Millis): void {
-  view.seenAt = seenAt
+/** Records that sockets were polled, with the time at which the poll phase started. */
+export function noteLook (view: CallerView, startedAt: Millis): void {
+  view.seenAt = startedAt
 }
 
-/** Notes that more of the caller's request was read since the last look: its close may lie behind that. */
+/** Records that more of the caller's request was read since the last poll: a close may follow the bytes just read. */
 export function noteMoreRead (view: CallerView): void {
   view.seenAt = -Infinity
 }
 
-/** Whether a connection that was asked for at `askedAt` has opened so late that callers have to be looked at before it is written to. */
-export function hasOpenedLate (askedAt: Millis, now: Millis): boolean {
-  return now - askedAt > openMs
+/**
+ * Returns whether a server connection requested at `requestedAt` opened so late that callers have to be polled before
+ * anything is written to it.
+ */
+export function hasOpenedLate (requestedAt: Millis, now: Millis): boolean {
+  return now - requestedAt > lateOpenMs
 }
--- a/packages/placement/src/core/admission/roomWait.ts
+++ b/packages/placement/src/core/admission/roomWait.ts
@@ -1,43 +1,50 @@
 /**
- * Requests that wait in a VM for room at the servers.
+ * Lets requests wait in a VM for free capacity at the servers.
  *
- * The load pattern: a burst, or all that was held while VMs started, comes within a few hundred milliseconds and is more than
- * the free slots. Refused at once, such a request costs its caller the one retry that it has, is late when it comes back, and
- * often meets the same burst. Sent at once, it stands in a server's queue before requests that could still be in time. A short
- * wait here lets it take the next slot that comes free anywhere, behind those that can still be in time.
+ * A burst, or the requests that queued up while VMs started, may arrive within a few hundred milliseconds and exceed
+ * the free slots. A request that is rejected at once costs its caller the single retry, is late when it comes back, and
+ * often meets the same burst. A request that is sent at once stands in a server's queue ahead of requests that could
+ * still be in time. After a short wait here, it takes the next slot that becomes free at any server, behind requests
+ * that can still be in time.
  *
- * Limits: only so many wait as slots come free within their wait, by the pace of the service, so that few wait in vain; what
- * does not fit is refused at once.
+ * The number of waiting requests is limited to the slots that the service is expected to free within their wait, so
+ * that few wait in vain. Requests above that limit are rejected at once.
  */
 import type { Millis, Random } from '@lynxcourse/base'
 
-/** Pause between two looks for room, with as much again by chance; a slot of a service comes free at a VM every ten to fifty. */
-const lookEveryMs: Millis = 25
-/** Longest wait, in parts of the latency objective and of the time that the request has; a fifth is far from its timeout. */
-const aimPart = 0.6
-const timePart = 0.2
+/**
+ * Minimum time between two checks for capacity; up to the same time is added at random. At one VM, a service frees a
+ * slot every 10 to 50 ms.
+ */
+const recheckIntervalMs: Millis = 25
+/**
+ * Longest wait, as a fraction of the latency objective and of the time left until the deadline. A fifth of the
+ * remaining time ends well before the request's timeout.
+ */
+const maxWaitPerObjective = 0.6
+const maxWaitPerRemainingTime = 0.2
 
-/** Until when a request may wait for room. */
-export function waitEnd (aimMs: Millis, deadline: Millis, now: Millis): Millis {
-  return now + Math.max(aimMs * aimPart, (deadline - now) * timePart)
+/** Returns the time until which a request may wait for capacity. */
+export function waitEnd (objectiveMs: Millis, deadline: Millis, now: Millis): Millis {
+  return now + Math.max(objectiveMs * maxWaitPerObjective, (deadline - now) * maxWaitPerRemainingTime)
 }
 
-/** What is known of the service that a request waits for. */
-export interface RoomPace {
-  /** Requests that this VM may have under way. */
+/** The throughput of the service that a request waits for. */
+export interface ServicePace {
+  /** Number of requests that this VM may have in flight. */
   readonly limit: number
-  /** Mean time in a slot. */
+  /** Mean time that a request occupies a slot. */
   readonly meanMs: Millis
-  /** Requests that wait here already. */
+  /** Number of requests that already wait at this VM. */
   readonly waiting: number
 }
 
-/** Whether a request that may wait until `endsAt` expects to find room by then. */
-export function expectsRoom ({ limit, meanMs, waiting }: RoomPace, endsAt: Millis, now: Millis): boolean {
+/** Returns whether a request that may wait until `endsAt` can expect to get a slot by then. */
+export function expectsRoom ({ limit, meanMs, waiting }: ServicePace, endsAt: Millis, now: Millis): boolean {
   return now < endsAt && waiting * meanMs < limit * (endsAt - now)
 }
 
-/** Pause until the next look for room. */
+/** Returns the delay until the next check for capacity. */
 export function lookPause (random: Random): Millis {
-  return lookEveryMs * (1 + random())
+  return recheckIntervalMs * (1 + random())
 }
--- a/packages/placement/src/core/admission/unreadBound.ts
+++ b/packages/placement/src/core/admission/unreadBound.ts
@@ -1,129 +1,148 @@
 /**
- * Since when a request can at most have lain unread at a VM whose event loop is busy.
+ * Estimates the longest time that a request can have waited unread at a VM whose event loop is busy.
  *
- * What can go wrong: a VM that is out of processor time gets to a request seconds after its bytes came. Counted from then, its
- * deadline lies seconds after the one that its caller and its route have. It shows as requests that are answered long past their
- * route's timeout by VMs whose own log lines show them in time. No system call tells when bytes came, but the loop's turns bound it:
- * what could be read when the loop last looked was read then, and while the loop sleeps nothing waits.
+ * A VM that is short of processor time reads a request seconds after its bytes arrived. If the deadline is computed
+ * from the time of reading, it lies seconds after the deadline of the caller and the route. The symptom is requests
+ * that are answered long after their route's timeout, by VMs whose own log lines show them in time. No system call
+ * returns the arrival time of bytes, but the iterations of the loop bound it: a poll phase reads everything that is
+ * readable at that time, and no input waits while the loop is idle.
  */
 import type { Millis } from '@lynxcourse/base'
 
-/** The turns of one event loop. A turn is what follows one look at the sockets; those that read from callers or servers are noted. */
+/**
+ * The iterations of one event loop. An iteration is what follows one poll of the sockets. Iterations that read from
+ * callers or servers are recorded.
+ */
 export interface LoopTurns {
-  /** Whether the present turn has been noted. */
+  /** Whether the current iteration has been recorded. */
   isOpen: boolean
-  /** When the last noted turn ended, or the last sample was taken. */
+  /** Time of the last checkpoint: the end of the last recorded iteration, or the last sample. */
   markedAt: Millis
-  /** Time that the loop had slept by then. */
+  /** Total idle time of the loop at the last checkpoint. */
   sleptMs: Millis
-  /** When its next timer is due: a wait for sockets that lasts longer waits for the processor. */
-  wakesBy: Millis
-  /** What can be read at that mark has come since then. */
-  readableSince: Millis
-  /** When the present turn was noted: about when it began to read. */
+  /** Time at which the loop's next timer is due. A longer wait for sockets is a wait for the processor. */
+  nextTimerAt: Millis
+  /** Earliest arrival of input that was unread at the last checkpoint. */
+  pendingSince: Millis
+  /** Time at which the current iteration was recorded: about the time at which reading began. */
   notedAt: Millis
-  /** Whether the loop slept before the present turn. */
+  /** Whether the loop was idle before the current iteration. */
   hasSlept: boolean
-  /** When the present turn's look at the sockets returned, at the earliest. */
-  beganAt: Millis
-  /** Since when what is read in the present turn can have lain unread. */
+  /** Earliest time at which the poll phase of the current iteration can have returned. */
+  polledAt: Millis
+  /** Earliest arrival of input that is read in the current iteration. */
   unreadSince: Millis
-  /** The same for the first bytes of a connection: it was accepted in the turn before, after it had waited for that. */
+  /**
+   * Earliest arrival of the first bytes of a connection. The connection was accepted in the iteration before, after it
+   * had waited for that.
+   */
   acceptedSince: Millis
 }
 
-/** A loop that waits for less found something at once: it may have lain there. */
+/** A shorter idle time means that the poll phase found input at once, which may have waited. */
 export const leastSleepMs: Millis = 1
 
 /**
- * Time between two marks of a loop that is quiet, and the least time that counts as unread: what a loop works between two marks
- * can't be told from waiting. A fifth of the half second by which a final answer may come after its route's timeout.
+ * Time between two checkpoints of a quiet loop, and the shortest time that counts as a read delay: between two
+ * checkpoints, work can't be distinguished from waiting. It is a fifth of the 500 ms within which a final answer may
+ * follow its route's timeout.
  */
 export const sampleMs: Millis = 100
 
 export function createLoopTurns (sleptMs: Millis, now: Millis): LoopTurns {
-  return { isOpen: false, markedAt: now, sleptMs, wakesBy: Infinity, readableSince: now, notedAt: now, hasSlept: true, beganAt: now, unreadSince: now, acceptedSince: now }
+  return { isOpen: false, markedAt: now, sleptMs, nextTimerAt: Infinity, pendingSince: now, notedAt: now, hasSlept: true, polledAt: now, unreadSince: now, acceptedSince: now }
 }
 
 /**
- * Notes that a turn is under way.
+ * Records the start of an iteration that reads from callers or servers.
  *
- * @param sleptMs time that the loop has slept since it started
+ * @param sleptMs total idle time of the loop since it started
  */
-export function beginTurn (turns: LoopTurns, sleptMs: Millis, now: Millis): void {
-  if (turns.isOpen) return
-  turns.isOpen = true
-  turns.notedAt = now
-  const sinceMark = sleptMs - turns.sleptMs
-  turns.beganAt = wokeAt(turns, sinceMark)
-  const hasSlept = sinceMark >= leastSleepMs
-  turns.hasSlept = hasSlept
-  const foundNothing = hasSlept && !mayHaveGathered(turns)
-  turns.acceptedSince = foundNothing ? turns.beganAt : turns.unreadSince
-  turns.unreadSince = foundNothing ? turns.beganAt : turns.readableSince
+export function beginTurn (iterations: LoopTurns, sleptMs: Millis, now: Millis): void {
+  if (iterations.isOpen) return
+  iterations.isOpen = true
+  iterations.notedAt = now
+  const idleSinceCheckpointMs = sleptMs - iterations.sleptMs
+  iterations.polledAt = estimateWakeTime(iterations, idleSinceCheckpointMs)
+  const hasSlept = idleSinceCheckpointMs >= leastSleepMs
+  iterations.hasSlept = hasSlept
+  const hadNoPendingInput = hasSlept && !mayHavePendingInput(iterations)
+  iterations.acceptedSince = hadNoPendingInput ? iterations.polledAt : iterations.unreadSince
+  iterations.unreadSince = hadNoPendingInput ? iterations.polledAt : iterations.pendingSince
 }
 
-/** Whether input can have gathered over a long turn: a process that has worked so long may wait for the processor next, not for input. */
-function mayHaveGathered ({ markedAt, readableSince }: LoopTurns): boolean {
-  return markedAt - readableSince >= sampleMs
+/**
+ * Returns whether input may have arrived unread during a long iteration: after that much work, the process may have
+ * waited for the processor instead of input.
+ */
+function mayHavePendingInput ({ markedAt, pendingSince }: LoopTurns): boolean {
+  return markedAt - pendingSince >= sampleMs
 }
 
-/** Notes that the turn has ended. */
-export function endTurn (turns: LoopTurns, sleptMs: Millis, now: Millis): void {
-  turns.isOpen = false
-  turns.readableSince = turns.beganAt
-  mark(turns, sleptMs, now)
+/** Records the end of the iteration. */
+export function endTurn (iterations: LoopTurns, sleptMs: Millis, now: Millis): void {
+  iterations.isOpen = false
+  iterations.pendingSince = iterations.polledAt
+  setCheckpoint(iterations, sleptMs, now)
 }
 
-/** Marks a loop that had no noted turn for a while, so that what it works over a long time does not add up. */
-export function sampleTurns (turns: LoopTurns, sleptMs: Millis, now: Millis): void {
-  if (!turns.isOpen && now - turns.markedAt >= sampleMs) {
-    const sinceMark = sleptMs - turns.sleptMs
-    if (sinceMark >= leastSleepMs) {
-      turns.readableSince = wokeAt(turns, sinceMark)
-      turns.unreadSince = turns.readableSince
+/**
+ * Sets a checkpoint for a loop without a recorded iteration for a while, so that its work does not add up over a long
+ * time.
+ */
+export function sampleTurns (iterations: LoopTurns, sleptMs: Millis, now: Millis): void {
+  if (!iterations.isOpen && now - iterations.markedAt >= sampleMs) {
+    const idleSinceCheckpointMs = sleptMs - iterations.sleptMs
+    if (idleSinceCheckpointMs >= leastSleepMs) {
+      iterations.pendingSince = estimateWakeTime(iterations, idleSinceCheckpointMs)
+      iterations.unreadSince = iterations.pendingSince
     }
-    mark(turns, sleptMs, now)
+    setCheckpoint(iterations, sleptMs, now)
   }
-  turns.wakesBy = now + sampleMs
+  iterations.nextTimerAt = now + sampleMs
 }
 
-/** When the loop last had something to do, at the earliest: a process that waits for the processor seems to sleep on. */
-function wokeAt ({ markedAt, wakesBy }: LoopTurns, sinceMark: Millis): Millis {
-  return Math.min(markedAt + sinceMark, Math.max(markedAt, wakesBy))
+/** Returns the earliest time at which the loop had something to do: a process that waits for the processor looks idle. */
+function estimateWakeTime ({ markedAt, nextTimerAt }: LoopTurns, idleSinceCheckpointMs: Millis): Millis {
+  return Math.min(markedAt + idleSinceCheckpointMs, Math.max(markedAt, nextTimerAt))
 }
 
-function mark (turns: LoopTurns, sleptMs: Millis, now: Millis): void {
-  turns.markedAt = now
-  turns.sleptMs = sleptMs
+function setCheckpoint (iterations: LoopTurns, sleptMs: Millis, now: Millis): void {
+  iterations.markedAt = now
+  iterations.sleptMs = sleptMs
 }
 
 /**
- * Since when a request that is read now can have lain unread; now, if that is too short a time to tell.
+ * Returns the earliest time at which a request that is read now can have arrived; `now` if the difference is too short
+ * to be measured.
  *
- * @param isFirst whether it is the first one of its connection
+ * @param isFirst whether it is the first request of its connection
  */
-export function arrivedSince (turns: LoopTurns, isFirst: boolean, now: Millis): Millis {
-  const since = isFirst ? turns.acceptedSince : turns.unreadSince
-  return now - since < sampleMs ? now : since
+export function arrivedSince (iterations: LoopTurns, isFirst: boolean, now: Millis): Millis {
+  const earliest = isFirst ? iterations.acceptedSince : iterations.unreadSince
+  return now - earliest < sampleMs ? now : earliest
 }
 
-/** When a connection was accepted, and since when it can have waited for that. */
+/** The time at which a connection was accepted, and the earliest time at which it can have arrived. */
 export interface Accepted {
   readonly at: Millis
   readonly since: Millis
 }
 
-/** A request that is read this soon after its connection was accepted may have come with it. */
-const withConnectionMs: Millis = 500
+/**
+ * A request that is read within this time after its connection was accepted may have arrived together with the
+ * connection.
+ */
+const maxFirstRequestDelayMs: Millis = 500
 
 /**
- * Since when the first request of a connection can have lain unread.
+ * Returns the earliest time at which the first request of a connection can have arrived.
  *
- * A loop that was behind when it accepted the connection reads the request a turn later, and may wait for its processor in between.
+ * A loop that was behind when it accepted the connection reads the request one iteration later, and may wait for the
+ * processor in between.
  */
-export function firstArrivedSince (turns: LoopTurns, { at, since }: Accepted, now: Millis): Millis {
-  const read = arrivedSince(turns, true, now)
-  const mayHaveComeWithIt = since < at && now - at < withConnectionMs
-  return mayHaveComeWithIt ? Math.min(read, since) : read
+export function firstArrivedSince (iterations: LoopTurns, { at, since }: Accepted, now: Millis): Millis {
+  const earliest = arrivedSince(iterations, true, now)
+  const mayHaveArrivedTogether = since < at && now - at < maxFirstRequestDelayMs
+  return mayHaveArrivedTogether ? Math.min(earliest, since) : earliest
 }
--- a/packages/placement/src/core/board/loadBoard.ts
+++ b/packages/placement/src/core/board/loadBoard.ts
@@ -1,202 +1,220 @@
 /**
- * The leader's board of loads: what all entry VMs see, put together and given back to all of them.
+ * The leader's load board: combines what all entry VMs observe, and publishes the result to all of them.
  *
- * What can go wrong: each of many entry VMs sends a given server one request in seconds, so none of
- * them knows of a queue that the others built there. It shows as requests that wait behind full queues
- * while servers beside them are idle. Together the VMs hear of each server several times a second, since
- * each answer tells its server's load; the leader smooths that and names the servers that are nearly full.
+ * With many entry VMs, each of them sends a given server only one request in several seconds, so none of them knows of
+ * the queues that the others caused. The symptom is requests that wait behind full queues while other servers are idle.
+ * Every answer reports its server's load, so all VMs together receive several reports per second for each server. The
+ * leader smooths these reports and publishes the servers that are nearly full.
  */
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { stepWeights } from '../object/serverWeights.js'
-import type { ServerFill } from '../object/serverWeights.js'
+import { adjustWeights } from '../object/serverWeights.js'
+import type { ServerUtilization } from '../object/serverWeights.js'
 import type { RegionPlan } from '../region/regionPlan.js'
 import { planRegions, smoothDemand } from './boardPlans.js'
-import { createSilentServers, noteSilences, silentNow } from './silentServers.js'
+import { createSilentServers, recordFailures, listSilentServers } from './silentServers.js'
 import type { SilentServers } from './silentServers.js'
 import type { BusySlots, LoadDigest, LoadNews, PlanNews, ServerPlaces, ServiceSlots, WeightNews } from '../../types/loads.js'
 
-/** Kept up by the leader; every other control VM holds the last news and plans, so that it can go on from them. */
+/**
+ * Maintained by the leader. Every other control VM stores the last published update and plans, so that it can continue
+ * from them when it becomes the leader.
+ */
 export interface LoadBoard {
-  /** Smoothed requests ahead by server. */
-  readonly smoothed: Map<ServerId, { ahead: number, at: Millis }>
-  /** Fills of servers over some seconds, from which weights move. */
-  readonly fills: Map<ServerId, number>
-  /** Busy slots by control VM. */
+  /** Smoothed queue depth by server: requests running and waiting there. */
+  readonly queueDepths: Map<ServerId, { ahead: number, at: Millis }>
+  /** Utilization of servers, smoothed over some seconds; weights are adjusted by it. */
+  readonly utilizations: Map<ServerId, number>
+  /** Demand in slots, by the control VM that reported it. */
   readonly byControl: Map<string, { readonly busy: BusySlots, readonly at: Millis }>
-  /** Smoothed demand by service and region, and its highest value of late. */
+  /** Smoothed demand by service and region, and its recent peak. */
   readonly demand: Map<string, number>
   readonly peaks: Map<string, number>
   readonly plans: Map<ServiceId, RegionPlan>
   readonly silent: SilentServers
   readonly weights: Map<ServerId, number>
-  weightsToldAt: Millis
+  weightsPublishedAt: Millis
   /** Services whose plan follows measured demand. */
-  readonly measured: Set<ServiceId>
+  readonly measuredServices: Set<ServiceId>
   plannedAt: Millis
-  /** Since when there are reports of demand; undefined before the first. */
-  measuringSince: Millis | undefined
-  /** When this VM began to lead, or went on after a pause: until it has heard of all, what it measures is too little. */
+  /** Time of the first reports of demand; undefined before them. */
+  measurementStartedAt: Millis | undefined
+  /**
+   * Time at which this VM began to lead or continued after a pause. Until all VMs have reported, the measured demand is
+   * too low.
+   */
   resumedAt: Millis
-  /** Slots of each region at the last plan, and until when a loss of some lets objects move fast. */
+  /** Slots of each region at the last plan, and the time until which the loss of some lets objects move fast. */
   readonly slots: Map<string, number>
-  lossUntil: Millis
-  /** When the news was last written to disk. */
+  fastMoveUntil: Millis
+  /** Time at which the published update was last written to disk. */
   keptAt: Millis
-  /** Part that stays near by service and region, as the log last said. */
-  readonly told: Map<string, number>
+  /** Fraction of objects that stays in its own region, by service and region, as last logged. */
+  readonly loggedShares: Map<string, number>
   news: LoadNews
 }
 
-/** Smoothing of a server's load by its reports, some five a second. */
-const aheadSmoothing = 0.35
-/** A server not heard of for this long has no queue that anybody feeds. */
-const aheadForMs: Millis = 2500
-/** Requests ahead for each slot from which a server is named: a shorter queue is gone when the word of it arrives, and what left for it is cold elsewhere. */
-const namedFill = 2
-/** Most servers named at once, the fullest first: about 8 KB. */
-const maxNamed = 400
-/** Time over which a server's fill is followed for its weight: at five slots, half of what a moment shows is chance. */
-const fillSmoothingMs: Millis = 3000
-/** Weights are told this often: 175 of them are 4 KB, and the objects that they move should get warm before the next ones move. */
-const weightsEveryMs: Millis = 2000
-/** A weight nearer to 1 than this moves next to nothing. */
-const leastToldChange = 0.03
-/** A leader that did not plan for this long has perhaps just begun to lead; entry VMs report within the time after it. */
-const pauseMs: Millis = 2000
+/** Smoothing of a server's queue depth per report; about five reports arrive per second. */
+const queueDepthSmoothing = 0.35
+/** A server without a report for this long gets no requests that could form a queue. */
+const maxQueueDepthAgeMs: Millis = 2500
+/**
+ * Queue depth per slot from which a server is published as full. A shorter queue is empty by the time the VMs receive
+ * the update, and the objects that are moved away because of it are cold at other servers.
+ */
+const fullUtilization = 2
+/** Largest number of full servers in one update, the fullest first: about 8 KB. */
+const maxFullServers = 400
+/** Time constant of the utilization that weights follow. At five slots, half of a momentary value is chance. */
+const utilizationSmoothingMs: Millis = 3000
+/**
+ * Time between two published versions of the weights. 175 weights take 4 KB, and the objects that they move should
+ * become warm before the next ones move.
+ */
+const weightsIntervalMs: Millis = 2000
+/** A weight that differs less than this from 1 moves almost no objects. */
+const minPublishedWeightChange = 0.03
+/** A leader that did not plan for this long may have just begun to lead. Entry VMs report within this time. */
+const leadershipPauseMs: Millis = 2000
 export function createLoadBoard (): LoadBoard {
   return {
-    smoothed: new Map(),
-    fills: new Map(),
+    queueDepths: new Map(),
+    utilizations: new Map(),
     byControl: new Map(),
     demand: new Map(),
     peaks: new Map(),
     plans: new Map(),
     silent: createSilentServers(),
     weights: new Map(),
-    weightsToldAt: -Infinity,
-    measured: new Set(),
+    weightsPublishedAt: -Infinity,
+    measuredServices: new Set(),
     plannedAt: -Infinity,
-    measuringSince: undefined,
+    measurementStartedAt: undefined,
     resumedAt: -Infinity,
     slots: new Map(),
-    lossUntil: -Infinity,
+    fastMoveUntil: -Infinity,
     keptAt: -Infinity,
-    told: new Map(),
+    loggedShares: new Map(),
     news: { full: [], plans: [], silent: [] }
   }
 }
 
-/** Takes a control VM's digest at the leader. */
+/** Applies a control VM's digest at the leader. */
 export function noteDigest (board: LoadBoard, control: string, digest: LoadDigest, now: Millis): void {
   board.byControl.set(control, { busy: digest.busy, at: now })
-  noteSilences(board.silent, digest, now)
+  recordFailures(board.silent, digest, now)
   for (const [server, ahead] of digest.servers) {
-    const held = board.smoothed.get(server)
-    const before = held === undefined || now - held.at > aheadForMs ? ahead : held.ahead
-    board.smoothed.set(server, { ahead: before + (ahead - before) * aheadSmoothing, at: now })
+    const stored = board.queueDepths.get(server)
+    const previous = stored === undefined || now - stored.at > maxQueueDepthAgeMs ? ahead : stored.ahead
+    board.queueDepths.set(server, { ahead: previous + (ahead - previous) * queueDepthSmoothing, at: now })
   }
 }
 
-/** Smooths the demand, moves the plans on and names the full servers; at the leader, once an exchange. */
-export function updateBoard (board: LoadBoard, slots: ServiceSlots, places: ServerPlaces, now: Millis): void {
+/** Smooths the demand, updates plans and weights, and lists the full servers. The leader calls it once per exchange. */
+export function updateBoard (board: LoadBoard, slots: ServiceSlots, knownServers: ServerPlaces, now: Millis): void {
   const passedMs = Number.isFinite(board.plannedAt) ? Math.min(1000, now - board.plannedAt) : 0
-  if (now - board.plannedAt > pauseMs) board.resumedAt = now
+  if (now - board.plannedAt > leadershipPauseMs) board.resumedAt = now
   board.plannedAt = now
   smoothDemand(board, passedMs, now)
-  planRegions(board, slots, places, passedMs, now)
-  const full = fullServers(board, places, now)
-  smoothFills(board, places, passedMs)
-  stepWeights(board.weights, settledFills(board, places), passedMs)
-  const silent = silentNow(board.silent, id => places.has(id), now)
-  board.news = { full, silent, plans: encodePlans(board, fillsOf(board, places, slots)), weights: weightNews(board, places, now) }
+  planRegions(board, slots, knownServers, passedMs, now)
+  const full = listFullServers(board, knownServers, now)
+  smoothUtilizations(board, knownServers, passedMs)
+  adjustWeights(board.weights, listSettledUtilizations(board, knownServers), passedMs)
+  const silent = listSilentServers(board.silent, id => knownServers.has(id), now)
+  board.news = { full, silent, plans: encodePlans(board, computeServiceUtilizations(board, knownServers, slots)), weights: buildWeightUpdate(board, knownServers, now) }
 }
 
-function fullServers (board: LoadBoard, places: ServerPlaces, now: Millis): LoadNews['full'] {
-  const named: Array<readonly [ServerId, number]> = []
-  for (const [server, { ahead, at }] of board.smoothed) {
-    const slots = places.get(server)?.slots
-    if (slots === undefined || now - at > aheadForMs) board.smoothed.delete(server)
-    else if (ahead >= slots * namedFill) named.push([server, Math.round(ahead * 10) / 10])
+function listFullServers (board: LoadBoard, knownServers: ServerPlaces, now: Millis): LoadNews['full'] {
+  const fullest: Array<readonly [ServerId, number]> = []
+  for (const [server, { ahead, at }] of board.queueDepths) {
+    const slots = knownServers.get(server)?.slots
+    if (slots === undefined || now - at > maxQueueDepthAgeMs) board.queueDepths.delete(server)
+    else if (ahead >= slots * fullUtilization) fullest.push([server, Math.round(ahead * 10) / 10])
   }
-  return named.sort((a, b) => b[1] - a[1]).slice(0, maxNamed)
+  return fullest.sort((a, b) => b[1] - a[1]).slice(0, maxFullServers)
 }
 
-/** Follows the servers' fills over some seconds; what is left of chance in them moves no weights. */
-function smoothFills (board: LoadBoard, places: ServerPlaces, passedMs: Millis): void {
-  const part = Math.min(1, passedMs / fillSmoothingMs)
-  for (const [id, { ahead }] of board.smoothed) {
-    const slots = places.get(id)?.slots ?? 1
-    const held = board.fills.get(id) ?? ahead / slots
-    board.fills.set(id, held + (ahead / slots - held) * part)
+/** Smooths the servers' utilization over some seconds, so that chance variations move no weights. */
+function smoothUtilizations (board: LoadBoard, knownServers: ServerPlaces, passedMs: Millis): void {
+  const gain = Math.min(1, passedMs / utilizationSmoothingMs)
+  for (const [id, { ahead }] of board.queueDepths) {
+    const slots = knownServers.get(id)?.slots ?? 1
+    const previous = board.utilizations.get(id) ?? ahead / slots
+    board.utilizations.set(id, previous + (ahead / slots - previous) * gain)
   }
-  for (const id of board.fills.keys()) if (!board.smoothed.has(id)) board.fills.delete(id)
+  for (const id of board.utilizations.keys()) if (!board.queueDepths.has(id)) board.utilizations.delete(id)
 }
 
-/** Fills of the servers that were heard of lately and take work like their neighbours. */
-function settledFills (board: LoadBoard, places: ServerPlaces): ServerFill[] {
-  const fills: ServerFill[] = []
-  for (const [id, fill] of board.fills) {
-    const place = places.get(id)
-    if (place?.region !== undefined && place.isSettled) fills.push({ id, service: place.service, region: place.region, fill })
+/** Lists the utilization of the servers that were reported recently and take work like their neighbours. */
+function listSettledUtilizations (board: LoadBoard, knownServers: ServerPlaces): ServerUtilization[] {
+  const utilizations: ServerUtilization[] = []
+  for (const [id, fill] of board.utilizations) {
+    const server = knownServers.get(id)
+    if (server?.region !== undefined && server.isSettled) utilizations.push({ id, service: server.service, region: server.region, fill })
   }
-  return fills
+  return utilizations
 }
 
-/** The weights to be told; the last ones until it is time for new ones, so that VMs hear of each version once. */
-function weightNews (board: LoadBoard, places: ServerPlaces, now: Millis): WeightNews {
-  const told = board.news.weights
-  if (told !== undefined && now - board.weightsToldAt < weightsEveryMs) return told
-  board.weightsToldAt = now
-  for (const id of board.weights.keys()) if (!places.has(id)) board.weights.delete(id)
-  const servers = [...board.weights].filter(([, weight]) => Math.abs(weight - 1) > leastToldChange)
+/**
+ * Returns the weights to publish. The last version is returned until its interval has passed, so that VMs receive each
+ * version once.
+ */
+function buildWeightUpdate (board: LoadBoard, knownServers: ServerPlaces, now: Millis): WeightNews {
+  const published = board.news.weights
+  if (published !== undefined && now - board.weightsPublishedAt < weightsIntervalMs) return published
+  board.weightsPublishedAt = now
+  for (const id of board.weights.keys()) if (!knownServers.has(id)) board.weights.delete(id)
+  const servers = [...board.weights].filter(([, weight]) => Math.abs(weight - 1) > minPublishedWeightChange)
   return { version: Math.round(now), servers: servers.map(([id, weight]) => [id, Math.round(weight * 100) / 100]) }
 }
 
-/** The news for a VM that holds a version of the weights. */
-export function newsFor (news: LoadNews, heldWeights: number): LoadNews {
-  if (news.weights?.version !== heldWeights) return news
-  return { full: news.full, plans: news.plans, silent: news.silent }
+/**
+ * Returns the update for a VM that has a version of the weights: the weights are left out if that version is the
+ * current one.
+ */
+export function newsFor (update: LoadNews, knownVersion: number): LoadNews {
+  if (update.weights?.version !== knownVersion) return update
+  return { full: update.full, plans: update.plans, silent: update.silent }
 }
 
-/** Requests ahead for each slot, by service; a server that nobody reported lately counts as idle. */
-function fillsOf (board: LoadBoard, places: ServerPlaces, slots: ServiceSlots): Map<ServiceId, number> {
-  const ahead = new Map<ServiceId, number>()
-  for (const [server, held] of board.smoothed) {
-    const service = places.get(server)?.service
-    if (service !== undefined) ahead.set(service, (ahead.get(service) ?? 0) + held.ahead)
+/** Returns the queue depth per slot, by service. A server without a recent report counts as idle. */
+function computeServiceUtilizations (board: LoadBoard, knownServers: ServerPlaces, slots: ServiceSlots): Map<ServiceId, number> {
+  const queueDepths = new Map<ServiceId, number>()
+  for (const [server, stored] of board.queueDepths) {
+    const service = knownServers.get(server)?.service
+    if (service !== undefined) queueDepths.set(service, (queueDepths.get(service) ?? 0) + stored.ahead)
   }
   return new Map([...slots].map(([service, byRegion]) => {
     const total = [...byRegion.values()].reduce((sum, count) => sum + count, 0)
-    return [service, total === 0 ? 0 : (ahead.get(service) ?? 0) / total]
+    return [service, total === 0 ? 0 : (queueDepths.get(service) ?? 0) / total]
   }))
 }
 
-function encodePlans ({ plans, measured, demand, peaks }: LoadBoard, fills: ReadonlyMap<ServiceId, number>): PlanNews[] {
+function encodePlans ({ plans, measuredServices, demand, peaks }: LoadBoard, utilizations: ReadonlyMap<ServiceId, number>): PlanNews[] {
   const round = (slots: number): number => Math.round(slots * 10) / 10
   const rounded = (shares: ReadonlyMap<RegionId, number>): Array<readonly [RegionId, number]> => [...shares].map(([region, share]) => [region, Math.round(share * 1000) / 1000])
   return [...plans].map(([service, plan]) => ({
     service,
-    isMeasured: measured.has(service),
-    fill: Math.round((fills.get(service) ?? 0) * 100) / 100,
+    isMeasured: measuredServices.has(service),
+    fill: Math.round((utilizations.get(service) ?? 0) * 100) / 100,
     busy: round([...plan.keys()].reduce((sum, region) => sum + (demand.get(`${service} ${region}`) ?? 0), 0)),
     demand: [...plan.keys()].map(region => [region, round(peaks.get(`${service} ${region}`) ?? 0)]),
     shares: [...plan].map(([region, shares]) => [region, rounded(shares)])
   }))
 }
 
-/** Takes the leader's news at another control VM, which may lead next and then goes on from these plans. */
-export function takeNews (board: LoadBoard, news: LoadNews): void {
-  const weights = news.weights ?? board.news.weights
-  board.news = weights === undefined ? news : { ...news, weights }
+/** Applies the leader's update at another control VM, which continues from these plans if it becomes the leader. */
+export function takeNews (board: LoadBoard, update: LoadNews): void {
+  const weights = update.weights ?? board.news.weights
+  board.news = weights === undefined ? update : { ...update, weights }
   board.weights.clear()
   for (const [id, weight] of weights?.servers ?? []) board.weights.set(id, weight)
   board.plans.clear()
-  for (const { service, isMeasured, demand, shares } of news.plans) {
+  for (const { service, isMeasured, demand, shares } of update.plans) {
     for (const [region, slots] of demand) {
       board.demand.set(`${service} ${region}`, slots)
       board.peaks.set(`${service} ${region}`, slots)
     }
     board.plans.set(service, new Map(shares.map(([region, inRegion]) => [region, new Map(inRegion)])))
-    if (isMeasured) board.measured.add(service)
+    if (isMeasured) board.measuredServices.add(service)
   }
 }
--- a/packages/placement/src/core/board/loadLog.ts
+++ b/packages/placement/src/core/board/loadLog.ts
@@ -1,31 +1,31 @@
-/** The log's lines for what the leader makes of the load: region plans, servers left alone, weights. */
+/** Log lines for the leader's decisions about load: region plans, silent servers, weights. */
 import type { RegionId, ServiceId } from '@lynxcourse/base'
 import type { LoadNews } from '../../types/loads.js'
 import type { LoadBoard } from './loadBoard.js'
 
-/** A plan that moved by this much since its last line gets another one; it may move 1.2 % an exchange. */
-const loggedStep = 0.02
+/** Change of a region's share that is logged again. A plan changes by up to 1.2 % per exchange. */
+const minLoggedChange = 0.02
 
-/** One region's part of a plan, with what decided it. */
-export interface PlanLine {
+/** One region's share of a plan, with the values that it follows from. */
+export interface PlanLogLine {
   readonly service: ServiceId
   readonly region: RegionId
-  /** Part of the region's objects that stays in it. */
+  /** Fraction of the region's objects that stays in it. */
   readonly near: number
-  /** Slots that the region's callers need where their objects are warm, smoothed. */
+  /** Smoothed slots that the region's callers need if their objects are warm. */
   readonly demand: number
   readonly slots: number
 }
 
-/** Regions whose plan moved enough for a line; they count as told. */
-export function takePlanLines (board: LoadBoard): PlanLine[] {
-  const lines: PlanLine[] = []
+/** Returns the regions whose plan changed enough for a new log line, and records their shares as logged. */
+export function takePlanLines (board: LoadBoard): PlanLogLine[] {
+  const lines: PlanLogLine[] = []
   for (const [service, plan] of board.plans) {
     for (const [region, shares] of plan) {
       const key = `${service} ${region}`
       const near = shares.get(region) ?? 0
-      if (Math.abs(near - (board.told.get(key) ?? Infinity)) < loggedStep) continue
-      board.told.set(key, near)
+      if (Math.abs(near - (board.loggedShares.get(key) ?? Infinity)) < minLoggedChange) continue
+      board.loggedShares.set(key, near)
       lines.push({ service, region, near, demand: board.demand.get(key) ?? 0, slots: board.slots.get(key) ?? 0 })
     }
   }
@@ -33,22 +33,22 @@
 }
 
 /** One line of the log. */
-export interface NewsLine {
+export interface LogLine {
   readonly message: string
   readonly fields: Readonly<Record<string, string | number>>
 }
 
-/** Lines for what VMs are now told otherwise than before. */
-export function newsLines (before: LoadNews, after: LoadNews): NewsLine[] {
-  const lines: NewsLine[] = []
+/** Returns the log lines for the differences between two updates. */
+export function newsLines (before: LoadNews, after: LoadNews): LogLine[] {
+  const lines: LogLine[] = []
   const silent = after.silent.filter(id => !before.silent.includes(id))
-  const tried = before.silent.filter(id => !after.silent.includes(id))
-  if (silent.length > 0) lines.push({ message: 'Servers answer nobody.', fields: { servers: silent.join() } })
-  if (tried.length > 0) lines.push({ message: 'Servers are tried again.', fields: { servers: tried.join() } })
+  const retried = before.silent.filter(id => !after.silent.includes(id))
+  if (silent.length > 0) lines.push({ message: 'Servers stopped answering all VMs.', fields: { servers: silent.join() } })
+  if (retried.length > 0) lines.push({ message: 'Silent servers are tried again.', fields: { servers: retried.join() } })
   const { weights } = after
   if (weights !== undefined && weights.version !== before.weights?.version && weights.servers.length > 0) {
     const values = weights.servers.map(([, weight]) => weight)
-    lines.push({ message: 'Weights told.', fields: { version: weights.version, servers: values.length, least: Math.min(...values), most: Math.max(...values) } })
+    lines.push({ message: 'Server weights published.', fields: { version: weights.version, servers: values.length, least: Math.min(...values), most: Math.max(...values) } })
   }
   return lines
 }
--- a/packages/placement/src/core/board/loadReport.ts
+++ b/packages/placement/src/core/board/loadReport.ts
@@ -1,66 +1,66 @@
-/** What one entry VM has seen of the load since its last report to a control VM. */
+/** The load that one entry VM observed since its last report to a control VM. */
 import type { Millis, ServerId, ServiceId } from '@lynxcourse/base'
 import type { LoadReport } from '../../types/loads.js'
 
 export interface LoadNotes {
   readonly ahead: Map<ServerId, number>
-  /** Slot time that the requests which came since then need where their objects are warm. */
-  readonly busyMs: Map<ServiceId, Millis>
+  /** Slot time that the requests which arrived since then need if their objects are warm. */
+  readonly demandMs: Map<ServiceId, Millis>
   readonly failed: Set<ServerId>
-  /** Slots that this VM's callers need, smoothed over some reports. */
+  /** Smoothed number of slots that this VM's callers need. */
   readonly demand: Map<ServiceId, number>
   since: Millis
 }
 
-/** A shorter span tells of chance: it is left to the next report. */
-const leastSpanMs: Millis = 400
+/** A shorter interval depends on chance; its observations are left to the next report. */
+const minSpanMs: Millis = 400
 
-/** Smoothing of this VM's demand by its reports, about one a second. */
+/** Smoothing of this VM's demand per report; there is about one report per second. */
 const demandSmoothing = 0.3
 
 export function createLoadNotes (now: Millis): LoadNotes {
-  return { ahead: new Map(), busyMs: new Map(), failed: new Set(), demand: new Map(), since: now }
+  return { ahead: new Map(), demandMs: new Map(), failed: new Set(), demand: new Map(), since: now }
 }
 
-/** Notes what a server's answer said of the requests there. */
-export function noteAhead (notes: LoadNotes, server: ServerId, ahead: number): void {
-  notes.ahead.set(server, ahead)
-  notes.failed.delete(server)
+/** Records the queue depth that a server reported in an answer. */
+export function noteAhead (observations: LoadNotes, server: ServerId, ahead: number): void {
+  observations.ahead.set(server, ahead)
+  observations.failed.delete(server)
 }
 
-/** Notes that a server left a request without an answer. */
-export function noteFailedServer (notes: LoadNotes, server: ServerId): void {
-  notes.ahead.delete(server)
-  notes.failed.add(server)
+/** Records that a server left a request without an answer. */
+export function noteFailedServer (observations: LoadNotes, server: ServerId): void {
+  observations.ahead.delete(server)
+  observations.failed.add(server)
 }
 
 /**
- * Notes that a request came, whatever becomes of it, with the slot time that it needs where its object is warm.
+ * Records that a request arrived, whatever its outcome, with the slot time that it needs if its object is warm.
  *
- * What can go wrong: measured by the slot time of answers, demand falls where requests are refused and rises where objects are
- * cold. The region plan then brings objects back to just those servers that are too full, and takes them away from those that
- * are cold only since objects had moved. It shows as a plan that swings while callers send evenly.
+ * If demand were measured by the slot time of answers, it would fall where requests are rejected and rise where objects
+ * are cold. The region plan would then move objects back to the servers that are overloaded, and away from servers that
+ * are cold only because objects had moved. The symptom is a plan that oscillates while callers send evenly.
  */
-export function noteDemand (notes: LoadNotes, service: ServiceId, warmMs: Millis): void {
-  notes.busyMs.set(service, (notes.busyMs.get(service) ?? 0) + warmMs)
+export function noteDemand (observations: LoadNotes, service: ServiceId, warmMs: Millis): void {
+  observations.demandMs.set(service, (observations.demandMs.get(service) ?? 0) + warmMs)
 }
 
-/** Takes the report and begins the next one; undefined where too little time has passed. */
-export function takeLoadReport (notes: LoadNotes, now: Millis): LoadReport | undefined {
-  const spanMs = now - notes.since
-  if (spanMs < leastSpanMs) return undefined
+/** Returns the report and starts the next interval; undefined if too little time has passed. */
+export function takeLoadReport (observations: LoadNotes, now: Millis): LoadReport | undefined {
+  const spanMs = now - observations.since
+  if (spanMs < minSpanMs) return undefined
   const report: LoadReport = {
-    servers: [...notes.ahead],
-    busy: [...notes.busyMs].map(([service, busyMs]) => [service, Math.round(busyMs / spanMs * 100) / 100]),
-    failed: [...notes.failed]
+    servers: [...observations.ahead],
+    busy: [...observations.demandMs].map(([service, demandMs]) => [service, Math.round(demandMs / spanMs * 100) / 100]),
+    failed: [...observations.failed]
   }
   for (const [service, slots] of report.busy) {
-    const held = notes.demand.get(service) ?? slots
-    notes.demand.set(service, held + (slots - held) * demandSmoothing)
+    const previous = observations.demand.get(service) ?? slots
+    observations.demand.set(service, previous + (slots - previous) * demandSmoothing)
   }
-  notes.failed.clear()
-  notes.ahead.clear()
-  notes.busyMs.clear()
-  notes.since = now
+  observations.failed.clear()
+  observations.ahead.clear()
+  observations.demandMs.clear()
+  observations.since = now
   return report
 }
--- a/packages/placement/src/core/board/silentServers.ts
+++ b/packages/placement/src/core/board/silentServers.ts
@@ -1,38 +1,42 @@
 /**
- * The leader's judgement of servers that answer nobody.
+ * Detects servers that answer no VM.
  *
- * What can go wrong: servers go dark at once, with a failure domain or a region. Each entry VM finds each of them out by
- * requests of its own, and what must not repeat is lost with them: all VMs together lose thousands of requests before
- * announcements are missed. It shows as failures at the same servers from all VMs in turn. One VM's failure may be its own link's; a
- * server that fails several VMs while none has an answer from it is left alone by all, for a while.
+ * When a failure domain or a region fails, many servers stop answering at the same time. If each entry VM detected each
+ * of them by its own requests, the requests that must not be repeated would be lost: thousands over all VMs, before the
+ * missed announcements show. The symptom is failures at the same servers from one VM after the other. The failure of a
+ * single VM may be caused by its own link. A server that fails several VMs while none gets an answer from it is
+ * therefore excluded by all VMs for some time.
  */
 import type { Millis, ServerId } from '@lynxcourse/base'
 import type { LoadDigest } from '../../types/loads.js'
 
-interface Silence { vms: number, at: Millis }
+interface ServerFailures { vms: number, at: Millis }
 
 export interface SilentServers {
-  /** Entry VMs that a server failed since its last answer to anyone. */
-  readonly failed: Map<ServerId, Silence>
-  /** Servers that answered some VM with their load; of others nothing would show that they live. */
+  /** Number of entry VMs that a server failed since its last answer to any VM. */
+  readonly failed: Map<ServerId, ServerFailures>
+  /** Servers that answered some VM with their load. For other servers, an answer would not show here. */
   readonly answered: Set<ServerId>
 }
 
-/** One VM's failure may be its own link's. */
-const leastVms = 2
-/** Without a new failure a server is tried again after this; it costs the requests of about a second at all VMs. */
-const leftAloneMs: Millis = 3000
+/** A single VM's failure may be caused by its own link. */
+const minFailedVms = 2
+/**
+ * Time without a new failure after which a server is tried again. A trial costs all VMs the requests of about one
+ * second.
+ */
+const exclusionMs: Millis = 3000
 
 export function createSilentServers (): SilentServers {
   return { failed: new Map(), answered: new Set() }
 }
 
-/** Takes a control VM's digest; an answer in it counts for more than a failure, since their order is not known. */
-export function noteSilences (silent: SilentServers, digest: LoadDigest, now: Millis): void {
+/** Applies a control VM's digest. An answer in it outweighs a failure, since their order is not known. */
+export function recordFailures (silent: SilentServers, digest: LoadDigest, now: Millis): void {
   for (const [id, vms] of digest.failed) {
-    const held = silent.failed.get(id)
-    const before = held === undefined || now - held.at > leftAloneMs ? 0 : held.vms
-    silent.failed.set(id, { vms: before + vms, at: now })
+    const stored = silent.failed.get(id)
+    const previous = stored === undefined || now - stored.at > exclusionMs ? 0 : stored.vms
+    silent.failed.set(id, { vms: previous + vms, at: now })
   }
   for (const [id] of digest.servers) {
     silent.answered.add(id)
@@ -40,13 +44,13 @@
   }
 }
 
-/** Servers to be left alone now; forgets those that are not known any more. */
-export function silentNow (silent: SilentServers, isKnown: (id: ServerId) => boolean, now: Millis): ServerId[] {
+/** Returns the servers to exclude now, and forgets servers that are not known any more. */
+export function listSilentServers (silent: SilentServers, isKnown: (id: ServerId) => boolean, now: Millis): ServerId[] {
   for (const id of silent.answered) if (!isKnown(id)) silent.answered.delete(id)
-  const named: ServerId[] = []
+  const excluded: ServerId[] = []
   for (const [id, { vms, at }] of silent.failed) {
-    if (!isKnown(id) || now - at > leftAloneMs) silent.failed.delete(id)
-    else if (vms >= leastVms && silent.answered.has(id)) named.push(id)
+    if (!isKnown(id) || now - at > exclusionMs) silent.failed.delete(id)
+    else if (vms >= minFailedVms && silent.answered.has(id)) excluded.push(id)
   }
-  return named
+  return excluded
 }
--- a/packages/placement/src/core/entries/entryChoice.ts
+++ b/packages/placement/src/core/entries/entryChoice.ts
@@ -1,10 +1,10 @@
-/** Which entry VMs a caller is told to use. */
+/** Selects the entry VMs that a lookup returns to a caller. */
 import type { FailureDomainId, Millis, Random, RegionId } from '@lynxcourse/base'
 
-/** An entry VM as the control VMs hear of it. */
+/** An entry VM as control VMs know it. */
 export interface EntryPresence {
   readonly name: string
-  /** Where callers reach it. */
+  /** Address at which callers reach it. */
   readonly address: string
   readonly failureDomain: FailureDomainId
   readonly region: RegionId
@@ -16,32 +16,33 @@
   readonly heardAt: Millis
 }
 
-/** Most addresses in one answer. */
+/** Largest number of addresses in one answer. */
 const maxAddresses = 64
 
 /**
- * Addresses for a caller: the ready VMs of its region; where there are none, those of all regions,
- * since a far entry VM is better than no answer.
+ * Returns addresses for a caller: the ready VMs of its region or, if there are none, those of all regions, since a
+ * remote entry VM is better than no answer.
  */
 export function chooseEntries (entries: readonly HeardEntry[], region: RegionId | undefined, staleMs: Millis, now: Millis, random: Random): string[] {
   const ready = entries.filter(entry => entry.presence.isReady && now - entry.heardAt < staleMs)
-  const near = ready.filter(entry => entry.presence.region === region)
-  const chosen = near.length > 0 ? near : ready
-  return sampleOf(chosen, maxAddresses, random).map(entry => entry.presence.address)
+  const local = ready.filter(entry => entry.presence.region === region)
+  const chosen = local.length > 0 ? local : ready
+  return sampleItems(chosen, maxAddresses, random).map(entry => entry.presence.address)
 }
 
 /**
- * So many of them by chance, each as likely as the others. The first ones alone would get all callers where there are more VMs than
- * one answer names: it shows as VMs without callers beside others at the limit of their processors.
+ * Returns `count` random items, each with the same probability. If an answer always named the first VMs, these would
+ * get all callers where there are more VMs than one answer holds. The symptom is VMs without callers beside others
+ * whose processors are saturated.
  */
-function sampleOf<Item> (items: readonly Item[], count: number, random: Random): Item[] {
+function sampleItems<Item> (items: readonly Item[], count: number, random: Random): Item[] {
   if (items.length <= count) return [...items]
-  const left = [...items]
-  for (let place = 0; place < count; place++) {
-    const drawn = place + Math.floor(random() * (left.length - place))
-    const held = left[place] as Item
-    left[place] = left[drawn] as Item
-    left[drawn] = held
+  const remaining = [...items]
+  for (let index = 0; index < count; index++) {
+    const drawnIndex = index + Math.floor(random() * (remaining.length - index))
+    const swapped = remaining[index] as Item
+    remaining[index] = remaining[drawnIndex] as Item
+    remaining[drawnIndex] = swapped
   }
-  return left.slice(0, count)
+  return remaining.slice(0, count)
 }
--- a/packages/placement/src/core/object/serverWeights.ts
+++ b/packages/placement/src/core/object/serverWeights.ts
@@ -1,59 +1,62 @@
 /**
- * Weights of servers in rendezvous hashing, moved until the servers of a region are equally full.
+ * Adjusts the weights of servers in rendezvous hashing until the servers of a region are equally utilized.
  *
- * What can go wrong: hashing gives servers equal numbers of objects only on average. With eight objects a server one in
- * twenty gets thirteen and more, which fill all its slots, while others stand half idle; slow servers fill sooner still.
- * It shows as requests that wait at a few servers in calm hours. One place that hears of all servers moves the
- * weights a little each second, so that a full server gives up the few objects that it barely won.
+ * Hashing gives servers equal numbers of objects only on average. With a mean of eight objects per server, one server
+ * in twenty gets thirteen or more, which fill all its slots while others are half idle; slow servers fill up sooner.
+ * The symptom is requests that wait at a few servers at low load. The leader receives the load of all servers and
+ * adjusts the weights a little each second, so that a full server loses the few objects that it barely won.
  */
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 
-/** How full one server is. */
-export interface ServerFill {
+/** The utilization of one server. */
+export interface ServerUtilization {
   readonly id: ServerId
   readonly service: ServiceId
   readonly region: RegionId
-  /** Requests running and waiting for each slot. */
+  /** Requests running and waiting per slot. */
   readonly fill: number
 }
 
-/** Change of a weight in a second for a server that is twice as full as the mean: of eight objects one leaves in four seconds, and gets warm before the next. */
+/**
+ * Relative change of a weight per second for a server with twice the mean utilization. Of eight objects, one leaves in
+ * four seconds and becomes warm before the next one leaves.
+ */
 const gainPerSecond = 0.03
-/** Fills this near to the mean, in parts of it, are left alone: requests come unevenly, and each move makes an object cold. */
+/** Relative deviation from the mean that is ignored: requests arrive unevenly, and each move makes an object cold. */
 const deadBand = 0.25
-/** A queue is many times the mean; it must not empty its server at once. */
-const mostExcess = 2
-/** While no server of a region is this full, few requests wait, and a move only makes its object cold. */
-const crowdedFill = 0.7
-export const leastWeight = 0.25
-export const mostWeight = 2.5
+/** Bound of the deviation: a queue makes it many times the mean, which must not empty the server at once. */
+const maxExcess = 2
+/** While no server of a region reaches this utilization, few requests wait, and a move only makes its object cold. */
+const rebalanceUtilization = 0.7
+export const minWeight = 0.25
+export const maxWeight = 2.5
 
-/** Moves the weights on by the fills of servers that are heard of; others keep theirs. */
-export function stepWeights (weights: Map<ServerId, number>, fills: readonly ServerFill[], passedMs: Millis): void {
-  const means = meanFills(fills)
-  for (const { id, service, region, fill } of fills) {
-    const { mean, most } = means.get(`${service} ${region}`) ?? { mean: 0, most: 0 }
-    if (most < crowdedFill) continue
-    const excess = Math.min(mostExcess, fill / mean - 1)
+/** Adjusts the weights by the utilization of the given servers; other servers keep theirs. */
+export function adjustWeights (weights: Map<ServerId, number>, utilizations: readonly ServerUtilization[], passedMs: Millis): void {
+  const groups = summarizeGroups(utilizations)
+  for (const { id, service, region, fill } of utilizations) {
+    const { mean, max } = groups.get(`${service} ${region}`) ?? { mean: 0, max: 0 }
+    if (max < rebalanceUtilization) continue
+    const excess = Math.min(maxExcess, fill / mean - 1)
     if (Math.abs(excess) < deadBand) continue
-    const moved = (weights.get(id) ?? 1) * Math.exp(-gainPerSecond * excess * passedMs / 1000)
-    weights.set(id, Math.min(mostWeight, Math.max(leastWeight, moved)))
+    const adjusted = (weights.get(id) ?? 1) * Math.exp(-gainPerSecond * excess * passedMs / 1000)
+    weights.set(id, Math.min(maxWeight, Math.max(minWeight, adjusted)))
   }
 }
 
-interface GroupFill { readonly mean: number, readonly most: number }
+interface GroupUtilization { readonly mean: number, readonly max: number }
 
-function meanFills (fills: readonly ServerFill[]): Map<string, GroupFill> {
-  const sums = new Map<string, { fill: number, count: number, most: number }>()
-  for (const { service, region, fill } of fills) {
+function summarizeGroups (utilizations: readonly ServerUtilization[]): Map<string, GroupUtilization> {
+  const sums = new Map<string, { fill: number, count: number, max: number }>()
+  for (const { service, region, fill } of utilizations) {
     const key = `${service} ${region}`
     const sum = sums.get(key)
-    if (sum === undefined) sums.set(key, { fill, count: 1, most: fill })
+    if (sum === undefined) sums.set(key, { fill, count: 1, max: fill })
     else {
       sum.fill += fill
       sum.count += 1
-      sum.most = Math.max(sum.most, fill)
+      sum.max = Math.max(sum.max, fill)
     }
   }
-  return new Map([...sums].map(([key, { fill, count, most }]) => [key, { mean: fill / count, most }]))
+  return new Map([...sums].map(([key, { fill, count, max }]) => [key, { mean: fill / count, max }]))
 }
--- a/packages/placement/src/core/region/regionPlan.ts
+++ b/packages/placement/src/core/region/regionPlan.ts
@@ -1,191 +1,211 @@
 /**
- * Which part of a region's objects is served in which region.
+ * Plans which fraction of a region's objects is served in which region.
  *
- * What can go wrong: a region has a third of the callers and a tenth of the servers. Each VM sees a small
- * part of the requests, so none sees by itself that the region is full; objects then move between regions as
- * each VM guesses, are cold wherever they arrive, and the cold work fills the slots of all. It shows as
- * objects that are served in three regions within a second. So one plan is made from the demand and the
- * slots of all regions; it moves slowly, and every VM reads an object's region from it by hash.
+ * A region may have a third of the callers and a tenth of the servers. Each VM sees a small fraction of the requests,
+ * so none of them notices by itself that the region is full. If each VM guessed, objects would move between regions and
+ * be cold wherever they arrive, and the cold work would fill the slots of all regions. The symptom is objects that are
+ * served in three regions within a second. One plan is therefore computed from the demand and the slots of all regions.
+ * It changes slowly, and every VM derives an object's region from it by hash.
  */
 import { hashText } from '@lynxcourse/base'
 import type { Millis, RegionId } from '@lynxcourse/base'
 
-/** One region's part in a service. */
+/** The load of one region in a service. */
 export interface RegionLoad {
   readonly region: RegionId
-  /** Slots of its open servers. */
+  /** Number of slots of its open servers. */
   readonly slots: number
-  /** Slots that its callers' requests need where their objects are warm, in whatever region. */
+  /** Number of slots that its callers' requests need if their objects are warm, in any region. */
   readonly demand: number
-  /** Highest demand of late. */
+  /** Highest recent demand. */
   readonly peak: number
 }
 
-/** Parts of one region's objects by the region that serves them; they add up to 1. */
+/** Fractions of one region's objects by the region that serves them; they add up to 1. */
 export type RegionShares = ReadonlyMap<RegionId, number>
 
 /** A service's plan: the shares of each region's objects. */
 export type RegionPlan = ReadonlyMap<RegionId, RegionShares>
 
-/** Mean wait for a slot that a region's fill may cause at the height of its demand, in parts of the work: the way to another region takes no longer. */
-const waitPart = 0.25
-/** Fills that differ by less move next to no objects. */
-const fillPrecision = 0.001
 /**
- * Fill of a region by the plan in force from which it moves: below it the waits cost less than cold work elsewhere. Regions' demands rise and fall by turns;
- * a plan that follows each of them moves objects there and back, and makes each of them cold twice.
+ * Mean wait for a slot, as a fraction of the work time, that a region's utilization may cause at peak demand. A longer
+ * wait would exceed the network delay to another region.
  */
-const mostFill = 0.8
-/** Part of a region's objects that could come home from which it is worth their cold work: what stays away costs only its way. */
-const homecomingPart = 0.25
-/** Regions give way to each other's rest; after so many rounds their shares change by less than a hundredth. */
-const planRounds = 8
-/** The same above the mean fill of all regions, where that is high: regions reach their heights by turns. */
-const fillMargin = 0.2
-/** Fill that is assumed before there is any demand: callers of all regions alike, slots this full. */
-const firstFill = 0.6
-/** By how much a region's demand may be above its mean. */
-const firstSwing = 1.5
-/** Largest part of a region's objects that moves in a second: 6 % in two seconds, well below the 15 % that callers are promised. */
-export const shareStepPerSecond = 0.03
-/** The same where servers were lost: objects without a server must go somewhere at once. */
-export const lossStepPerSecond = 0.25
+const maxWaitRatio = 0.25
+/** Utilizations that differ by less move almost no objects. */
+const utilizationPrecision = 0.001
+/**
+ * Utilization of a region under the current plan above which the plan changes. Below it, waiting costs less than cold
+ * work in another region. The demands of regions rise and fall at different times, and a plan that follows each change
+ * would move objects back and forth and make each of them cold twice.
+ */
+const maxUtilization = 0.8
+/**
+ * Fraction of a region's objects that has to be able to return before the plan changes for it. A smaller fraction is
+ * not worth the cold work: objects in a remote region cost only the network delay.
+ */
+const minReturnFraction = 0.25
+/** Each region uses the capacity that the others leave. After this number of iterations, shares change by less than a hundredth. */
+const planIterations = 8
+/**
+ * Utilization above the mean of all regions that a region may reach where the mean is high: regions reach their peaks
+ * at different times.
+ */
+const utilizationMargin = 0.2
+/** Utilization that is assumed before any demand is known, with the same demand from the callers of each region. */
+const initialUtilization = 0.6
+/** Assumed ratio of a region's peak demand to its mean. */
+const peakToMeanRatio = 1.5
+/**
+ * Largest fraction of a region's objects that moves per second: 6 % in two seconds, well below the 15 % that callers
+ * are guaranteed.
+ */
+export const maxShareChangePerSecond = 0.03
+/** The same after a loss of servers: objects without a server have to move at once. */
+export const maxShareChangeAfterLossPerSecond = 0.25
 
 /**
- * The plan that demand and slots ask for, whatever is in force now: each region keeps what it can hold at the height of its own
- * demand beside what others send it on the mean, and sends the rest where there are slots.
+ * Returns the plan that demand and slots require, independent of the current one. Each region keeps what it can serve
+ * at the peak of its own demand beside the mean demand of other regions' callers, and sends the rest to regions with
+ * free slots.
  *
- * @param serverSlots slots of one server on the mean
+ * @param serverSlots mean number of slots per server
  */
-export function targetPlan (loads: readonly RegionLoad[], serverSlots: number): RegionPlan {
-  const slots = sumOf(loads.map(load => load.slots))
-  const demand = sumOf(loads.map(load => load.demand))
+export function computeTargetPlan (loads: readonly RegionLoad[], serverSlots: number): RegionPlan {
+  const slots = sumValues(loads.map(load => load.slots))
+  const demand = sumValues(loads.map(load => load.demand))
   if (slots === 0) return new Map(loads.map(({ region }) => [region, new Map([[region, 1]])]))
-  const fill = Math.max(bearableFill(serverSlots), demand / slots + fillMargin)
-  const plan = new Map(loads.map(load => [load.region, sharesOf(load, 1, loads)]))
-  for (let round = 0; round < planRounds; round++) {
+  const utilization = Math.max(maxUtilizationForWait(serverSlots), demand / slots + utilizationMargin)
+  const plan = new Map(loads.map(load => [load.region, computeShares(load, 1, loads)]))
+  for (let iteration = 0; iteration < planIterations; iteration++) {
     for (const load of loads) {
-      const room = Math.max(0, fill * load.slots - inflowOf(load.region, plan, loads))
-      plan.set(load.region, sharesOf(load, load.peak === 0 ? 1 : Math.min(1, room / load.peak), loads))
+      const capacity = Math.max(0, utilization * load.slots - computeInflow(load.region, plan, loads))
+      plan.set(load.region, computeShares(load, load.peak === 0 ? 1 : Math.min(1, capacity / load.peak), loads))
     }
   }
   return plan
 }
 
 /**
- * Fill at which requests wait for a slot no longer than `waitPart` of their work on the mean, by Sakasegawa's approximation for one
- * queue of so many slots.
+ * Returns the utilization at which the mean wait for a slot reaches the accepted fraction of the work time, by
+ * Sakasegawa's approximation for one queue with `serverSlots` slots.
  *
- * What can go wrong: the fewer slots a server has, the longer requests wait there before all of them are taken. It shows as a region
- * whose callers are answered late though its servers have slots free, while they would be in time in another region.
+ * The fewer slots a server has, the longer requests wait there before all slots are taken. Without this bound, callers
+ * of a region would be answered late although its servers have free slots, while another region could serve them in
+ * time.
  */
-export function bearableFill (serverSlots: number): number {
-  const power = Math.sqrt(2 * (serverSlots + 1)) - 1
-  let [least, most] = [0, 1]
-  while (most - least > fillPrecision) {
-    const fill = (least + most) / 2
-    const wait = fill ** power / (serverSlots * (1 - fill))
-    if (wait > waitPart) most = fill
-    else least = fill
+export function maxUtilizationForWait (serverSlots: number): number {
+  const exponent = Math.sqrt(2 * (serverSlots + 1)) - 1
+  let [min, max] = [0, 1]
+  while (max - min > utilizationPrecision) {
+    const utilization = (min + max) / 2
+    const wait = utilization ** exponent / (serverSlots * (1 - utilization))
+    if (wait > maxWaitRatio) max = utilization
+    else min = utilization
   }
-  return least
+  return min
 }
 
-/** Slots that other regions' callers keep busy in a region on the mean. */
-function inflowOf (region: RegionId, plan: RegionPlan, loads: readonly RegionLoad[]): number {
+/** Returns the mean number of slots in a region that other regions' callers use. */
+function computeInflow (region: RegionId, plan: RegionPlan, loads: readonly RegionLoad[]): number {
   const others = loads.filter(load => load.region !== region)
-  return sumOf(others.map(load => load.demand * (plan.get(load.region)?.get(region) ?? 0)))
+  return sumValues(others.map(load => load.demand * (plan.get(load.region)?.get(region) ?? 0)))
 }
 
-/** The plan before any demand was measured. */
-export function firstPlan (loads: readonly RegionLoad[], serverSlots: number): RegionPlan {
-  const slots = sumOf(loads.map(load => load.slots))
-  const demand = slots * firstFill / Math.max(1, loads.length)
-  return targetPlan(loads.map(load => ({ ...load, demand, peak: demand * firstSwing })), serverSlots)
+/** Returns the plan to use before any demand was measured. */
+export function createInitialPlan (loads: readonly RegionLoad[], serverSlots: number): RegionPlan {
+  const slots = sumValues(loads.map(load => load.slots))
+  const demand = slots * initialUtilization / Math.max(1, loads.length)
+  return computeTargetPlan(loads.map(load => ({ ...load, demand, peak: demand * peakToMeanRatio })), serverSlots)
 }
 
 /**
- * Height that a region's demand may reach, as far as the sum of all regions tells: callers of all regions alike, who rise and fall by turns.
+ * Estimates the peak of a region's demand from the sum of all regions, assuming equal callers in all regions whose
+ * demand rises and falls at different times.
  *
- * What can go wrong: a region is first seen at the bottom of its swing, looks as if all of its objects fitted, and they come home. Each
- * is cold there once; then demand rises, and its servers are too full to be left again without cold work. It shows as a region whose
- * callers are answered late at each height of its demand, the first one above all.
+ * Without the estimate, a region that is first observed at its lowest demand seems to have room for all of its objects,
+ * and they return. Each of them is cold there once. When demand rises, the region's servers are too full to give
+ * objects up without more cold work. The symptom is a region whose callers are answered late at each peak of its
+ * demand, above all at the first one.
  */
-export function assumedHeight (loads: readonly RegionLoad[]): number {
-  return sumOf(loads.map(load => load.demand)) / Math.max(1, loads.length) * firstSwing
+export function estimatePeakDemand (loads: readonly RegionLoad[]): number {
+  return sumValues(loads.map(load => load.demand)) / Math.max(1, loads.length) * peakToMeanRatio
 }
 
-/** Whether a plan in force is so far from the one asked for that objects have to move, or may well come home. */
-export function mustMove (held: RegionPlan, target: RegionPlan, loads: readonly RegionLoad[]): boolean {
-  const isFull = loads.some(({ region, slots }) => loadOf(region, held, loads) > mostFill * slots)
-  const mayReturn = loads.some(({ region }) => nearShare(target, region) - nearShare(held, region) > homecomingPart)
+/**
+ * Returns whether the current plan differs so much from the target that objects have to move, or enough of them can
+ * return.
+ */
+export function shouldMoveObjects (current: RegionPlan, target: RegionPlan, loads: readonly RegionLoad[]): boolean {
+  const isFull = loads.some(({ region, slots }) => computeLoad(region, current, loads) > maxUtilization * slots)
+  const mayReturn = loads.some(({ region }) => getLocalShare(target, region) - getLocalShare(current, region) > minReturnFraction)
   return isFull || mayReturn
 }
 
-/** Slots that a plan keeps busy in a region. */
-function loadOf (region: RegionId, plan: RegionPlan, loads: readonly RegionLoad[]): number {
-  return sumOf(loads.map(load => load.demand * (plan.get(load.region)?.get(region) ?? 0)))
+/** Returns the number of slots in a region that a plan uses. */
+function computeLoad (region: RegionId, plan: RegionPlan, loads: readonly RegionLoad[]): number {
+  return sumValues(loads.map(load => load.demand * (plan.get(load.region)?.get(region) ?? 0)))
 }
 
-function nearShare (plan: RegionPlan, region: RegionId): number {
+function getLocalShare (plan: RegionPlan, region: RegionId): number {
   return plan.get(region)?.get(region) ?? 0
 }
 
-/** A region's shares: a part stays near, the rest goes to the others by their slots. */
-function sharesOf ({ region, slots }: RegionLoad, part: number, loads: readonly RegionLoad[]): RegionShares {
-  const near = slots === 0 ? 0 : part
-  const elsewhere = loads.filter(load => load.region !== region)
-  const room = sumOf(elsewhere.map(load => load.slots))
-  const shares = new Map<RegionId, number>([[region, room === 0 ? 1 : near]])
-  for (const other of elsewhere) shares.set(other.region, room === 0 ? 0 : (1 - near) * other.slots / room)
+/** Returns a region's shares: the local share stays in the region, the rest is split among the others by their slots. */
+function computeShares ({ region, slots }: RegionLoad, localShare: number, loads: readonly RegionLoad[]): RegionShares {
+  const local = slots === 0 ? 0 : localShare
+  const remote = loads.filter(load => load.region !== region)
+  const remoteSlots = sumValues(remote.map(load => load.slots))
+  const shares = new Map<RegionId, number>([[region, remoteSlots === 0 ? 1 : local]])
+  for (const other of remote) shares.set(other.region, remoteSlots === 0 ? 0 : (1 - local) * other.slots / remoteSlots)
   return shares
 }
 
-/** Goes from one plan towards another, by the largest step that is allowed since the last one. */
-export function stepPlan (from: RegionPlan, to: RegionPlan, isLoss: boolean, passedMs: Millis): RegionPlan {
-  const step = (isLoss ? lossStepPerSecond : shareStepPerSecond) * passedMs / 1000
+/** Moves a plan towards another one by the largest change that is allowed for the time since the last step. */
+export function advancePlan (from: RegionPlan, to: RegionPlan, isLoss: boolean, passedMs: Millis): RegionPlan {
+  const maxChange = (isLoss ? maxShareChangeAfterLossPerSecond : maxShareChangePerSecond) * passedMs / 1000
   const next = new Map<RegionId, RegionShares>()
-  for (const [region, shares] of to) next.set(region, stepShares(from.get(region) ?? shares, shares, step))
+  for (const [region, shares] of to) next.set(region, advanceShares(from.get(region) ?? shares, shares, maxChange))
   return next
 }
 
-function stepShares (from: RegionShares, to: RegionShares, step: number): RegionShares {
+function advanceShares (from: RegionShares, to: RegionShares, maxChange: number): RegionShares {
   const regions = new Set([...from.keys(), ...to.keys()])
-  let moved = 0
-  for (const region of regions) moved += Math.max(0, (to.get(region) ?? 0) - (from.get(region) ?? 0))
-  const part = moved <= step ? 1 : step / moved
-  const stepped = new Map<RegionId, number>()
+  let change = 0
+  for (const region of regions) change += Math.max(0, (to.get(region) ?? 0) - (from.get(region) ?? 0))
+  const fraction = change <= maxChange ? 1 : maxChange / change
+  const advanced = new Map<RegionId, number>()
   for (const region of regions) {
-    const held = from.get(region) ?? 0
-    stepped.set(region, held + ((to.get(region) ?? 0) - held) * part)
+    const previous = from.get(region) ?? 0
+    advanced.set(region, previous + ((to.get(region) ?? 0) - previous) * fraction)
   }
-  return stepped
+  return advanced
 }
 
 const hashRange = 2 ** 32
 
 /**
- * The region that serves an object by the shares of its callers' region; undefined where none has a server.
- * Regions stand in one order, so that a changed share moves only the objects at its border.
+ * Returns the region that serves an object, by the shares of its callers' region; undefined if no region has a server.
+ * Regions have a fixed order, so that a changed share moves only the objects at its boundary.
  *
- * @param open regions with a server that may get it; where the plan gives them nothing, they count alike
+ * @param open regions with a server that may get the object; if the plan gives them no share, they count equally
  */
-export function regionOf (shares: RegionShares, near: RegionId, object: string, open: ReadonlySet<RegionId>): RegionId | undefined {
-  const regions = [...open].sort((a, b) => rankOf(a, near) - rankOf(b, near) || (a < b ? -1 : 1))
-  const planned = sumOf(regions.map(region => shares.get(region) ?? 0))
-  const partOf = (region: RegionId): number => planned === 0 ? 1 / regions.length : (shares.get(region) ?? 0) / planned
-  let left = hashText(`${object}|region`) / hashRange
+export function regionOf (shares: RegionShares, local: RegionId, object: string, open: ReadonlySet<RegionId>): RegionId | undefined {
+  const regions = [...open].sort((a, b) => getRegionOrder(a, local) - getRegionOrder(b, local) || (a < b ? -1 : 1))
+  const planned = sumValues(regions.map(region => shares.get(region) ?? 0))
+  const getFraction = (region: RegionId): number => planned === 0 ? 1 / regions.length : (shares.get(region) ?? 0) / planned
+  let remaining = hashText(`${object}|region`) / hashRange
   for (const region of regions) {
-    left -= partOf(region)
-    if (left < 0) return region
+    remaining -= getFraction(region)
+    if (remaining < 0) return region
   }
   return regions.at(-1)
 }
 
-function rankOf (region: RegionId, near: RegionId): number {
-  return region === near ? 0 : 1
+function getRegionOrder (region: RegionId, local: RegionId): number {
+  return region === local ? 0 : 1
 }
 
-function sumOf (values: readonly number[]): number {
+function sumValues (values: readonly number[]): number {
   return values.reduce((sum, value) => sum + value, 0)
 }
--- a/packages/placement/src/core/retries/retryShare.ts
+++ b/packages/placement/src/core/retries/retryShare.ts
@@ -1,58 +1,58 @@
 /**
- * One VM's share of the budget for sending requests once more.
+ * Limits the retries of one VM to its share of the retry budget.
  *
- * What can go wrong: servers fail, every VM sends its requests again, and the repeats bury the
- * servers that are left. The budget holds over all VMs and any window; each VM keeps to a part of it
- * that its own requests earn, so no VM needs to know what the others spend.
+ * When servers fail and every VM resends its requests, the retries overload the remaining servers. The budget holds for
+ * all VMs together in any time window. Each VM stays within the part that its own requests earn, so it need not know
+ * what the others use.
  */
 import type { Millis, ServiceId } from '@lynxcourse/base'
 
-/** The budget that all VMs share. */
+/** The retry budget that all VMs share. */
 export interface RetryBudgetCfg {
-  /** Repeats that each request earns. */
+  /** Number of retries that each request earns. */
   readonly ratio: number
   readonly windowMs: Millis
-  /** Repeats in a window beyond those earned, for all VMs together. */
+  /** Number of retries in a window beyond the earned ones, for all VMs together. */
   readonly slack: number
 }
 
-interface Bin { at: number, requests: number, repeats: number }
+interface Bin { at: number, requests: number, retries: number }
 
-/** Requests and repeats by service, in bins of a tenth of the window. */
+/** Requests and retries by service, in bins of a tenth of the window. */
 export type RetryShare = Map<ServiceId, Bin[]>
 
 const binsPerWindow = 10
-/** Part of the budget that is used, since requests reach VMs unevenly. */
-const usedPart = 0.8
+/** Fraction of the budget that is used, since requests reach VMs unevenly. */
+const usedFraction = 0.8
 
-function binsOf (share: RetryShare, cfg: RetryBudgetCfg, service: ServiceId, now: Millis): Bin[] {
+function getBins (share: RetryShare, cfg: RetryBudgetCfg, service: ServiceId, now: Millis): Bin[] {
   const size = cfg.windowMs / binsPerWindow
   const at = Math.floor(now / size)
   const bins = (share.get(service) ?? []).filter(bin => bin.at > at - binsPerWindow - 1)
-  if (bins.at(-1)?.at !== at) bins.push({ at, requests: 0, repeats: 0 })
+  if (bins.at(-1)?.at !== at) bins.push({ at, requests: 0, retries: 0 })
   share.set(service, bins)
   return bins
 }
 
-/** Counts a request that a caller sent. */
+/** Counts a request from a caller. */
 export function noteRequest (share: RetryShare, cfg: RetryBudgetCfg, service: ServiceId, now: Millis): void {
-  const bin = binsOf(share, cfg, service, now).at(-1)
+  const bin = getBins(share, cfg, service, now).at(-1)
   if (bin !== undefined) bin.requests += 1
 }
 
 /**
- * Takes one repeat from the budget.
+ * Uses one retry of the budget.
  *
- * @param vms VMs that share the slack
- * @returns whether there was one
+ * @param vms number of VMs that share the slack
+ * @returns whether a retry was left
  */
 export function spendRepeat (share: RetryShare, cfg: RetryBudgetCfg, service: ServiceId, vms: number, now: Millis): boolean {
-  const bins = binsOf(share, cfg, service, now)
+  const bins = getBins(share, cfg, service, now)
   const requests = bins.reduce((sum, bin) => sum + bin.requests, 0)
-  const repeats = bins.reduce((sum, bin) => sum + bin.repeats, 0)
-  const room = (requests * cfg.ratio + cfg.slack / Math.max(1, vms)) * usedPart
+  const retries = bins.reduce((sum, bin) => sum + bin.retries, 0)
+  const allowed = (requests * cfg.ratio + cfg.slack / Math.max(1, vms)) * usedFraction
   const bin = bins.at(-1)
-  if (bin === undefined || repeats + 1 > room) return false
-  bin.repeats += 1
+  if (bin === undefined || retries + 1 > allowed) return false
+  bin.retries += 1
   return true
 }
