--- a/packages/placement/__tests__/callerView.test.ts
+++ b/packages/placement/__tests__/callerView.test.ts
@@ -1,4 +1,4 @@
-/** How old a VM's view of a caller may be when it sends the caller's request. */
+/** How old a VM's knowledge of a caller's connection may be when it sends the caller's request. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -11,53 +11,53 @@
 
 const arrivedAt = 1000
 const deadline = 100_000
-/** Half a second less the time in which a connection opens, and the way to a server in another region. */
-const oldestMs = 250
+/** 500 ms less the time in which a connection opens and the network delay to a server in another region. */
+const maxAgeMs = 250
 const terms: EntryTerms = { retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 1000 }, isLeaving: false }
 
-function entryOf (): EntryState {
+function createEntry (): EntryState {
   return { fleet: fleetOf(server('s0'), server('s1')), load: createLoadNotes(arrivedAt), retries: new Map(), waitingForRoom: new Map() }
 }
 
-/** Guards against work begun for callers whose close lies unread behind their request. */
-test('a request that was just read is sent after one look', () => {
+/** Guards against work that is started for callers whose close follows their request and has not been read. */
+test('a request that was just read is sent after one poll', () => {
   const { tried: _, ...asked } = request({ arrivedAt, deadline })
-  const entry = entryOf()
+  const entry = createEntry()
   const run = startRun(entry, asked, createCallerView(), terms, arrivedAt)
   assert.equal(nextStep(entry, run, terms, arrivedAt).type, 'look')
   noteLook(run.caller, arrivedAt)
   assert.equal(nextStep(entry, run, terms, arrivedAt + 5).type, 'send')
 })
 
-/** Guards against work begun for callers that left while a VM was behind with reading. */
-test('whatever lay unread and however long looks take, no send begins long after the last look', () => {
-  fc.assert(fc.property(fc.integer({ min: 0, max: 5000 }), fc.array(fc.integer({ min: 0, max: 1000 }), { minLength: 1, maxLength: 8 }), (unreadMs, lookTimes) => {
+/** Guards against work that is started for disconnected callers while a VM is behind with reading. */
+test('no send starts long after the last poll, whatever the read delay and the duration of polls', () => {
+  fc.assert(fc.property(fc.integer({ min: 0, max: 5000 }), fc.array(fc.integer({ min: 0, max: 1000 }), { minLength: 1, maxLength: 8 }), (unreadMs, pollTimes) => {
     const { tried: _, ...asked } = request({ arrivedAt, deadline })
-    const entry = entryOf()
+    const entry = createEntry()
     let now = arrivedAt + unreadMs
     const run = startRun(entry, asked, createCallerView(), terms, now)
-    let seenAt = -Infinity
-    for (const tookMs of lookTimes) {
+    let polledAt = -Infinity
+    for (const tookMs of pollTimes) {
       const step = nextStep(entry, run, terms, now)
       if (step.type !== 'look') {
-        assert.ok(step.type !== 'send' || now - seenAt <= oldestMs)
+        assert.ok(step.type !== 'send' || now - polledAt <= maxAgeMs)
         return
       }
-      seenAt = now
+      polledAt = now
       now += tookMs
-      noteLook(run.caller, seenAt)
+      noteLook(run.caller, polledAt)
     }
   }), { seed })
 })
 
-test('looks that take a turn of usual length are enough: a VM that is behind still gets to its sends', () => {
+test('a poll that takes a usual iteration is recent enough: a VM that is behind still sends requests', () => {
   const view = createCallerView()
   const now = arrivedAt + 2000
   noteLook(view, now)
   assert.equal(mustLook(view, now + 200), false)
 })
 
-test('a connection that opens at once is written to at once, a late one after a look', () => {
+test('a connection that opens at once is written to at once, a late one after a poll', () => {
   assert.equal(hasOpenedLate(arrivedAt, arrivedAt + 20), false)
   assert.equal(hasOpenedLate(arrivedAt, arrivedAt + 340), true)
 })
--- a/packages/placement/__tests__/serverWeights.test.ts
+++ b/packages/placement/__tests__/serverWeights.test.ts
@@ -1,4 +1,4 @@
-/** Weights in rendezvous hashing: replays of load over many servers. */
+/** Weights in rendezvous hashing: simulated load on many servers. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { brandId, makeRandom } from '@lynxcourse/base'
@@ -9,70 +9,73 @@
 const desk = brandId<ServiceId>('desk')
 const kochi = brandId<RegionId>('kochi')
 const stepMs = 400
-const objectLoad = 0.2
+const slotsPerObject = 0.2
 const slots = 3
 
-function serversOf (count: number): FleetServer[] {
-  return Array.from({ length: count }, (_, place) => createFleetServer({
-    id: brandId<ServerId>(`i-${place}`), service: desk, address: `10.0.0.${place}:80`, failureDomain: brandId<FailureDomainId>('kochi-a'), region: kochi, bornAt: 0, slots, isClosed: false
+function createServers (count: number): FleetServer[] {
+  return Array.from({ length: count }, (_, index) => createFleetServer({
+    id: brandId<ServerId>(`i-${index}`), service: desk, address: `10.0.0.${index}:80`, failureDomain: brandId<FailureDomainId>('kochi-a'), region: kochi, bornAt: 0, slots, isClosed: false
   }, -Infinity))
 }
 
-/** Homes of all objects, and how full that makes each server. */
-function placeAll (servers: readonly FleetServer[], objects: number): { homes: ServerId[], fills: Map<ServerId, number> } {
+/** Returns the primary servers of all objects, and the resulting utilization of each server. */
+function assignObjects (servers: readonly FleetServer[], objects: number): { homes: ServerId[], utilizations: Map<ServerId, number> } {
   const homes: ServerId[] = []
-  const fills = new Map(servers.map(({ facts }) => [facts.id, 0]))
+  const utilizations = new Map(servers.map(({ facts }) => [facts.id, 0]))
   for (let object = 0; object < objects; object++) {
     for (const [id, place] of placesOf(servers, `read|${object}`, kochi)) {
       if (place !== 'primary') continue
       homes.push(id)
-      fills.set(id, (fills.get(id) ?? 0) + objectLoad / slots)
+      utilizations.set(id, (utilizations.get(id) ?? 0) + slotsPerObject / slots)
     }
   }
-  return { homes, fills }
+  return { homes, utilizations }
 }
 
-function busiestToMean (fills: ReadonlyMap<ServerId, number>): number {
-  const values = [...fills.values()]
+function computeMaxToMeanRatio (utilizations: ReadonlyMap<ServerId, number>): number {
+  const values = [...utilizations.values()]
   return Math.max(...values) / (values.reduce((sum, value) => sum + value, 0) / values.length)
 }
 
-/** Lets the weights follow fills that are measured with chance errors of a third; the moves to servers that had not held the object. */
-function balance (servers: readonly FleetServer[], objects: number, seconds: number): number {
+/**
+ * Adjusts the weights by utilizations with random errors of up to a third. Returns the number of moves to servers that
+ * had not handled the object before.
+ */
+function simulateWeights (servers: readonly FleetServer[], objects: number, seconds: number): number {
   const random = makeRandom(7)
   const weights = new Map<ServerId, number>()
   let moves = 0
-  let before = placeAll(servers, objects)
-  const held = before.homes.map(home => new Set([home]))
+  let before = assignObjects(servers, objects)
+  const visited = before.homes.map(home => new Set([home]))
   for (let now = 0; now < seconds * 1000; now += stepMs) {
-    const fills = [...before.fills].map(([id, fill]) => ({ id, service: desk, region: kochi, fill: fill * (1 + (random() - 0.5) * 0.66) }))
-    adjustWeights(weights, fills, stepMs)
+    const utilizations = [...before.utilizations].map(([id, fill]) => ({ id, service: desk, region: kochi, fill: fill * (1 + (random() - 0.5) * 0.66) }))
+    adjustWeights(weights, utilizations, stepMs)
     for (const server of servers) server.weight = weights.get(server.facts.id) ?? 1
-    const after = placeAll(servers, objects)
-    moves += after.homes.filter((home, object) => held[object]?.has(home) === false).length
-    after.homes.forEach((home, object) => held[object]?.add(home))
+    const after = assignObjects(servers, objects)
+    moves += after.homes.filter((home, object) => visited[object]?.has(home) === false).length
+    after.homes.forEach((home, object) => visited[object]?.add(home))
     before = after
   }
   return moves
 }
 
-/** Guards against this failure: in calm hours a part of all requests waits at a few servers while others are idle. */
-test('weights even out what hashing gave, and move few objects', () => {
-  const servers = serversOf(144)
+/** Guards against requests that wait at a few servers at low load while other servers are idle. */
+test('weights even out the utilization of servers and move few objects', () => {
+  const servers = createServers(144)
   const objects = 1125
-  const before = busiestToMean(placeAll(servers, objects).fills)
-  const soon = balance(serversOf(144), objects, 15)
-  const moves = balance(servers, objects, 60)
-  const after = busiestToMean(placeAll(servers, objects).fills)
+  const before = computeMaxToMeanRatio(assignObjects(servers, objects).utilizations)
+  const movesAfter15S = simulateWeights(createServers(144), objects, 15)
+  const moves = simulateWeights(servers, objects, 60)
+  const after = computeMaxToMeanRatio(assignObjects(servers, objects).utilizations)
   assert.ok(before > 1.8 && after < 1.5, `${before} to ${after}`)
   assert.ok(moves < objects / 4, `${moves} moves`)
-  assert.ok(soon < objects / 8, `${soon} moves in a quarter of the time`)
+  assert.ok(movesAfter15S < objects / 8, `${movesAfter15S} moves in the first 15 s`)
 })
 
-test('a server whose queue is endless keeps a part of its weight, and one that nobody hears of all', () => {
+test('a server with an endless queue keeps the minimum weight, and a server without reports keeps its weight', () => {
   const weights = new Map<ServerId, number>()
-  const fills = [9, 0.5, 0.5, 0.5].map((fill, place) => ({ id: brandId<ServerId>(`i-${place}`), service: desk, region: kochi, fill }))
-  for (let step = 0; step < 200; step++) adjustWeights(weights, fills, stepMs)
+  const utilizations = [9, 0.5, 0.5, 0.5].map((fill, index) => ({ id: brandId<ServerId>(`i-${index}`), service: desk, region: kochi, fill }))
+  for (let step = 0; step < 200; step++) adjustWeights(weights, utilizations, stepMs)
   assert.equal(weights.get(brandId<ServerId>('i-0')), minWeight)
   assert.equal(weights.has(brandId<ServerId>('i-9')), false)
 })
--- a/packages/placement/__tests__/turnBudget.test.ts
+++ b/packages/placement/__tests__/turnBudget.test.ts
@@ -1,107 +1,110 @@
-/** What a VM out of processor time takes up: a replay of its event loop under a flood of callers. */
+/** What a VM that is out of processor time admits: a simulation of its event loop under overload. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { beginTurn, createLoopTurns, endTurn, mayTakeUp, turnSpent } from '@lynxcourse/placement'
 import type { LoopTurns } from '@lynxcourse/placement'
 
-/** Times of the loop's work at a VM with a quarter of a core, and what comes to it. */
-const takeUpMs = 8
+/** Duration of the loop's operations at a VM with a quarter of a core, and the load on it. */
+const admitMs = 8
 const answerMs = 12
-const refuseMs = 3
+const rejectMs = 3
 const serverMs = 300
 const timeoutMs = 3000
 const graceMs = 500
-const floodPerSecond = 150
-const playedMs = 20_000
+const overloadPerSecond = 150
+const simulatedMs = 20_000
 
-interface Due { readonly at: number, readonly cameAt: number }
+interface PendingRequest { readonly at: number, readonly arrivedAt: number }
 
-/** Turns of a loop that takes requests up in the order in which they came, and writes answers as servers give them. */
+/**
+ * Simulates the iterations of a loop that admits requests in order of arrival and writes answers as servers return
+ * them.
+ */
 class Loop {
   now = 0
-  slept = 0
-  readonly turns: LoopTurns = createLoopTurns(0, 0)
-  readonly held: number[] = []
+  idleMs = 0
+  readonly iterations: LoopTurns = createLoopTurns(0, 0)
+  readonly lateMs: number[] = []
   refused = 0
   served = 0
-  private underWay: Due[] = []
+  private underWay: PendingRequest[] = []
 
-  constructor (private readonly mayTake: (turns: LoopTurns, now: number) => boolean) {}
+  constructor (private readonly mayAdmit: (iterations: LoopTurns, now: number) => boolean) {}
 
-  /** One look and what follows it. */
-  turn (arrivals: readonly number[]): void {
-    beginTurn(this.turns, this.slept, this.now)
-    const looked = this.now
-    const isDone = ({ at, cameAt }: Due): boolean => Math.min(at, cameAt + timeoutMs) <= looked
-    for (const done of this.underWay.filter(isDone)) {
+  /** Runs one poll phase and the work that follows it. */
+  runIteration (arrivals: readonly number[]): void {
+    beginTurn(this.iterations, this.idleMs, this.now)
+    const polledAt = this.now
+    const isDone = ({ at, arrivedAt }: PendingRequest): boolean => Math.min(at, arrivedAt + timeoutMs) <= polledAt
+    for (const completed of this.underWay.filter(isDone)) {
       this.now += answerMs
       this.served += 1
-      if (this.now - done.cameAt > timeoutMs) this.held.push(this.now - done.cameAt)
+      if (this.now - completed.arrivedAt > timeoutMs) this.lateMs.push(this.now - completed.arrivedAt)
     }
-    this.underWay = this.underWay.filter(due => !isDone(due))
-    for (const cameAt of arrivals) this.take(cameAt)
-    endTurn(this.turns, this.slept, this.now)
+    this.underWay = this.underWay.filter(pending => !isDone(pending))
+    for (const arrivedAt of arrivals) this.take(arrivedAt)
+    endTurn(this.iterations, this.idleMs, this.now)
   }
 
-  /** Waits for what comes next. */
-  sleepUntil (at: number): void {
-    const next = Math.min(at, ...this.underWay.map(due => Math.min(due.at, due.cameAt + timeoutMs)))
+  /** Idles until the next arrival, answer or timeout. */
+  idleUntil (at: number): void {
+    const next = Math.min(at, ...this.underWay.map(pending => Math.min(pending.at, pending.arrivedAt + timeoutMs)))
     if (next <= this.now) return
-    this.slept += next - this.now
+    this.idleMs += next - this.now
     this.now = next
   }
 
-  private take (cameAt: number): void {
-    const isOver = this.now - cameAt > timeoutMs
-    if (isOver || !this.mayTake(this.turns, this.now)) {
-      this.now += refuseMs
+  private take (arrivedAt: number): void {
+    const isTimedOut = this.now - arrivedAt > timeoutMs
+    if (isTimedOut || !this.mayAdmit(this.iterations, this.now)) {
+      this.now += rejectMs
       this.refused += 1
-      if (this.now - cameAt > timeoutMs) this.held.push(this.now - cameAt)
+      if (this.now - arrivedAt > timeoutMs) this.lateMs.push(this.now - arrivedAt)
       return
     }
-    this.now += takeUpMs
-    this.underWay.push({ at: this.now + serverMs, cameAt })
+    this.now += admitMs
+    this.underWay.push({ at: this.now + serverMs, arrivedAt })
   }
 }
 
-function play (perSecond: number, mayTake: (turns: LoopTurns, now: number) => boolean): Loop {
-  const loop = new Loop(mayTake)
+function simulate (perSecond: number, mayAdmit: (iterations: LoopTurns, now: number) => boolean): Loop {
+  const loop = new Loop(mayAdmit)
   let next = 0
   const gapMs = 1000 / perSecond
-  while (loop.now < playedMs) {
-    loop.sleepUntil(next)
+  while (loop.now < simulatedMs) {
+    loop.idleUntil(next)
     const arrivals: number[] = []
     for (; next <= loop.now; next += gapMs) arrivals.push(next)
-    loop.turn(arrivals)
+    loop.runIteration(arrivals)
   }
   return loop
 }
 
 /*
- * After all VMs had started, one VM had the callers of a region: some 150 requests a second where its processor serves 40. It took up
- * all that it read, turns of its event loop grew to seconds, and timers and answers waited for their end: requests within their
- * timeout when they were read were held past it (4.15 s and 4.5 s with timeouts of 3 s). What decides is that a turn stays short.
+ * Guards against long iterations of the event loop. After a start of all VMs, one VM got the callers of a region: 150
+ * requests per second where its processor serves 40. It admitted all requests that it read, iterations grew to seconds,
+ * and timers and answers waited for their end: requests with a timeout of 3 s ended after 4.15 s and 4.5 s.
  */
-test('under a flood no request is held half a second past its timeout, and the processor still serves', () => {
-  const unbounded = play(floodPerSecond, () => true)
-  assert.ok(unbounded.held.some(heldMs => heldMs > timeoutMs + graceMs), 'the replay shows the fault')
-  const bounded = play(floodPerSecond, (turns, now) => mayTakeUp(turnSpent(turns, now), 0))
-  assert.deepEqual(bounded.held.filter(heldMs => heldMs > timeoutMs + graceMs), [])
-  assert.ok(bounded.served > playedMs / 1000 * 20, `served ${bounded.served}`)
+test('under overload no request ends 500 ms past its timeout, and the processor still serves requests', () => {
+  const unbounded = simulate(overloadPerSecond, () => true)
+  assert.ok(unbounded.lateMs.some(latencyMs => latencyMs > timeoutMs + graceMs), 'the simulation reproduces the fault without a budget')
+  const bounded = simulate(overloadPerSecond, (iterations, now) => mayTakeUp(turnSpent(iterations, now), 0))
+  assert.deepEqual(bounded.lateMs.filter(latencyMs => latencyMs > timeoutMs + graceMs), [])
+  assert.ok(bounded.served > simulatedMs / 1000 * 20, `served ${bounded.served}`)
 })
 
-test('a load that the processor bears is taken up whole', () => {
-  const loop = play(35, (turns, now) => mayTakeUp(turnSpent(turns, now), 2))
+test('a load within the capacity of the processor is admitted completely', () => {
+  const loop = simulate(35, (iterations, now) => mayTakeUp(turnSpent(iterations, now), 2))
   assert.equal(loop.refused, 0)
 })
 
-test('in a long turn the least urgent are refused first', () => {
-  const turns = createLoopTurns(0, 0)
-  beginTurn(turns, 100, 100)
-  const takenUntil = [0, 1, 2].map(rank => {
+test('in a long iteration the least urgent requests are rejected first', () => {
+  const iterations = createLoopTurns(0, 0)
+  beginTurn(iterations, 100, 100)
+  const admittedUntil = [0, 1, 2].map(rank => {
     let now = 100
-    while (now < playedMs && mayTakeUp(turnSpent(turns, now), rank)) now += 1
+    while (now < simulatedMs && mayTakeUp(turnSpent(iterations, now), rank)) now += 1
     return now
   })
-  assert.ok((takenUntil[0] as number) > (takenUntil[1] as number) && (takenUntil[1] as number) > (takenUntil[2] as number))
+  assert.ok((admittedUntil[0] as number) > (admittedUntil[1] as number) && (admittedUntil[1] as number) > (admittedUntil[2] as number))
 })
