--- a/packages/placement/__tests__/entryChoice.test.ts
+++ b/packages/placement/__tests__/entryChoice.test.ts
@@ -24,22 +24,22 @@
 })
 
 /*
- * Guards against entry VMs without callers. An answer holds at most 64 VMs; if it always named the first ones known, 12
+ * Guards against entry VMs without callers. An answer holds at most 64 VMs; if it always counts the first ones known, 12
  * of a region's 76 VMs would get no callers, and callers of a region without VMs would all use the first 64 of 185,
  * nearly all in one region.
  */
 test('if there are more VMs than an answer holds, all of them are returned equally often', () => {
   const entries = Array.from({ length: 185 }, (_, index) => entry(`vm-${index}`, index < 76 ? kochi : mumbai))
   for (const region of [kochi, chennai]) {
-    const named = new Map<string, number>()
-    const lookUps = 2000
-    for (let lookUp = 0; lookUp < lookUps; lookUp++) {
+    const counts = new Map<string, number>()
+    const lookups = 2000
+    for (let lookup = 0; lookup < lookups; lookup++) {
       const addresses = chooseEntries(entries, region, staleMs, now, random)
       assert.equal(new Set(addresses).size, 64)
-      for (const address of addresses) named.set(address, (named.get(address) ?? 0) + 1)
+      for (const address of addresses) counts.set(address, (counts.get(address) ?? 0) + 1)
     }
-    const expected = lookUps * 64 / (region === kochi ? 76 : 185)
-    assert.equal(named.size, region === kochi ? 76 : 185)
-    for (const [address, count] of named) assert.ok(Math.abs(count - expected) < expected * 0.2, `${address}: ${count} for ${expected}`)
+    const expected = lookups * 64 / (region === kochi ? 76 : 185)
+    assert.equal(counts.size, region === kochi ? 76 : 185)
+    for (const [address, count] of counts) assert.ok(Math.abs(count - expected) < expected * 0.2, `${address}: ${count} for ${expected}`)
   }
 })
--- a/packages/placement/__tests__/entryGathering.test.ts
+++ b/packages/placement/__tests__/entryGathering.test.ts
@@ -12,22 +12,22 @@
  * a median of 100 to 127, and one was out of processor time.
  */
 test('while entry VMs become ready after a start, callers do not receive the first ones alone', () => {
-  const gathering = createEntryGathering()
+  const discovery = createEntryGathering()
   let returnedFirst = 0
   let next = 0
   for (let now = 0; now <= 3000 && returnedFirst === 0; now += 10) {
-    for (; (readyAt[next] ?? Infinity) <= now; next++) noteReadyEntry(gathering, readyAt[next] as number)
-    if (!isGathering(gathering, now)) returnedFirst = next
+    for (; (readyAt[next] ?? Infinity) <= now; next++) noteReadyEntry(discovery, readyAt[next] as number)
+    if (!isGathering(discovery, now)) returnedFirst = next
   }
   assert.ok(returnedFirst >= readyAt.length / 2, `the first answer held ${returnedFirst}`)
 })
 
 test('callers get an answer once no VM became ready for a while, or after a maximum delay', () => {
-  const gathering = createEntryGathering()
-  noteReadyEntry(gathering, 0)
-  assert.equal(isGathering(gathering, 399), true)
-  assert.equal(isGathering(gathering, 400), false)
-  for (let now = 0; now <= 10_000; now += 100) noteReadyEntry(gathering, now)
-  assert.equal(isGathering(gathering, 1600), false)
-  assert.equal(isGathering(gathering, 10_001), false, 'a later restart of a VM does not delay answers')
+  const discovery = createEntryGathering()
+  noteReadyEntry(discovery, 0)
+  assert.equal(isGathering(discovery, 399), true)
+  assert.equal(isGathering(discovery, 400), false)
+  for (let now = 0; now <= 10_000; now += 100) noteReadyEntry(discovery, now)
+  assert.equal(isGathering(discovery, 1600), false)
+  assert.equal(isGathering(discovery, 10_001), false, 'a later restart of a VM does not delay answers')
 })
--- a/packages/placement/__tests__/loadBoard.test.ts
+++ b/packages/placement/__tests__/loadBoard.test.ts
@@ -18,11 +18,11 @@
  * next report.
  */
 function reportDemand (board: LoadBoard, vms: number, busy: number, seconds: number, from = 0): number {
-  const intake = createLoadIntake()
+  const aggregate = createLoadIntake()
   let now = from
   for (; now < from + seconds * 1000; now += 400) {
-    for (let vm = 0; vm < vms; vm++) noteLoadReport(intake, `vm-${vm}`, chennai, { servers: [[server, 6]], busy: [[desk, busy]], failed: [] }, now)
-    noteDigest(board, 'control-1', takeDigest(intake, now), now)
+    for (let vm = 0; vm < vms; vm++) noteLoadReport(aggregate, `vm-${vm}`, chennai, { servers: [[server, 6]], busy: [[desk, busy]], failed: [] }, now)
+    noteDigest(board, 'control-1', takeDigest(aggregate, now), now)
     updateBoard(board, slots, knownServers, now)
   }
   return now
@@ -84,14 +84,14 @@
 })
 
 test('an entry VM reports each answer\'s load once, and the slots that the requests of the interval need', () => {
-  const notes = createLoadNotes(0)
-  noteAhead(notes, server, 4)
-  noteAhead(notes, server, 5)
-  noteDemand(notes, desk, 600)
-  noteDemand(notes, desk, 900)
-  assert.equal(takeLoadReport(notes, 100), undefined)
-  assert.deepEqual(takeLoadReport(notes, 1000), { servers: [[server, 5]], busy: [[desk, 1.5]], failed: [] })
-  assert.deepEqual(takeLoadReport(notes, 2000), { servers: [], busy: [], failed: [] })
+  const observations = createLoadNotes(0)
+  noteAhead(observations, server, 4)
+  noteAhead(observations, server, 5)
+  noteDemand(observations, desk, 600)
+  noteDemand(observations, desk, 900)
+  assert.equal(takeLoadReport(observations, 100), undefined)
+  assert.deepEqual(takeLoadReport(observations, 1000), { servers: [[server, 5]], busy: [[desk, 1.5]], failed: [] })
+  assert.deepEqual(takeLoadReport(observations, 2000), { servers: [], busy: [], failed: [] })
 })
 
 test('a plan that changed is logged with its demand and slots, an unchanged plan is not logged again', () => {
@@ -124,14 +124,14 @@
 /** Guards against hundreds of requests that are lost at servers which failed together. */
 test('a server that fails several VMs and answers none is published as silent, until it answers or for some seconds', () => {
   const board = createLoadBoard()
-  const intake = createLoadIntake()
+  const aggregate = createLoadIntake()
   const exchange = (now: number): readonly ServerId[] => {
-    noteDigest(board, 'control-1', takeDigest(intake, now), now)
+    noteDigest(board, 'control-1', takeDigest(aggregate, now), now)
     updateBoard(board, slots, knownServers, now)
     return board.news.silent
   }
   const report = (vm: string, answered: boolean, now: number): void =>
-    noteLoadReport(intake, vm, chennai, { servers: answered ? [[server, 1]] : [], busy: [], failed: answered ? [] : [server] }, now)
+    noteLoadReport(aggregate, vm, chennai, { servers: answered ? [[server, 1]] : [], busy: [], failed: answered ? [] : [server] }, now)
   report('vm-1', true, 0)
   assert.deepEqual(exchange(0), [])
   report('vm-1', false, 400)
@@ -147,12 +147,12 @@
 })
 
 test('an entry VM reports a failed server once, and not if the server answered later', () => {
-  const notes = createLoadNotes(0)
-  noteFailedServer(notes, server)
-  assert.deepEqual(takeLoadReport(notes, 500)?.failed, [server])
-  noteFailedServer(notes, server)
-  noteAhead(notes, server, 1)
-  assert.deepEqual(takeLoadReport(notes, 1000), { servers: [[server, 1]], busy: [], failed: [] })
+  const observations = createLoadNotes(0)
+  noteFailedServer(observations, server)
+  assert.deepEqual(takeLoadReport(observations, 500)?.failed, [server])
+  noteFailedServer(observations, server)
+  noteAhead(observations, server, 1)
+  assert.deepEqual(takeLoadReport(observations, 1000), { servers: [[server, 1]], busy: [], failed: [] })
 })
 
 test('silent servers, their retrial and each version of the weights are logged once', () => {
--- a/packages/placement/__tests__/regionPlan.test.ts
+++ b/packages/placement/__tests__/regionPlan.test.ts
@@ -30,11 +30,11 @@
     const slots = given.reduce((sum, load) => sum + load.slots, 0)
     const demand = given.reduce((sum, load) => sum + load.demand, 0)
     if (slots === 0) return true
-    const fill = Math.max(maxUtilizationForWait(serverSlots), demand / slots + 0.2)
+    const utilization = Math.max(maxUtilizationForWait(serverSlots), demand / slots + 0.2)
     return given.every(load => {
       const total = [...plan.get(load.region)?.values() ?? []].reduce((sum, share) => sum + share, 0)
       const arriving = given.reduce((sum, from) => sum + from.demand * getShare(plan, from.region, load.region), 0)
-      return (load.demand === 0 || Math.abs(total - 1) < 1e-6) && arriving <= load.slots * fill * 1.02 + 1e-6
+      return (load.demand === 0 || Math.abs(total - 1) < 1e-6) && arriving <= load.slots * utilization * 1.02 + 1e-6
     })
   }), { seed })
 })
