--- a/packages/placement/__tests__/entryChoice.test.ts
+++ b/packages/placement/__tests__/entryChoice.test.ts
@@ -24,7 +24,7 @@
 })
 
 /*
- * Guards against entry VMs without callers. An answer holds at most 64 VMs; if it always counts the first ones known, 12
+ * Guards against entry VMs without callers. An answer holds at most 64 VMs; if it always named the first ones known, 12
  * of a region's 76 VMs would get no callers, and callers of a region without VMs would all use the first 64 of 185,
  * nearly all in one region.
  */
