--- a/packages/placement/src/core/admission/concurrency.ts
+++ b/packages/placement/src/core/admission/concurrency.ts
@@ -26,7 +26,10 @@
 const maxNormalSlowdown = 1.6
 const slowdownSmoothing = 0.05
 const maxSlowdown = 6
-/** Factor by which the limit falls. A change of the limit takes about the minimum interval to show in the answers. */
+/**
+ * Factor by which the limit falls, at most once per minimum interval: a change of the limit takes about that long to
+ * show in the answers.
+ */
 const decreaseFactor = 0.9
 const minDecreaseIntervalMs = 300
 /**
@@ -43,10 +46,7 @@
  */
 const rankFractions = [1, 0.92, 0.84]
 
-/**
- * Factor on that fraction for requests that can't be in time any more, so that they leave slots to requests that can
- * be.
- */
+/** Factor on that fraction for requests that are late in any case: slots are left to requests that can be in time. */
 const lateFraction = 0.75
 
 export function createConcurrency (share: number): Concurrency {
--- a/packages/placement/src/core/admission/roomWait.ts
+++ b/packages/placement/src/core/admission/roomWait.ts
@@ -18,7 +18,7 @@
  */
 const recheckIntervalMs: Millis = 25
 /**
- * Longest wait, as a fraction of the latency objective and of the time left until the deadline. A fifth of the
+ * Longest wait: the larger of these fractions of the latency objective and of the time left until the deadline. A fifth of the
  * remaining time ends well before the request's timeout.
  */
 const maxWaitPerObjective = 0.6
--- a/packages/placement/src/core/object/warmth.ts
+++ b/packages/placement/src/core/object/warmth.ts
@@ -5,7 +5,7 @@
 export interface Warmth {
   /** The objects of each server in order of use, the latest last. */
   readonly byServer: Map<ServerId, Map<string, Millis>>
-  /** The servers in `byServer` that have an object: a request asks for few of the many servers. */
+  /** The servers in `byServer` that handled an object, so that a request checks few of the many servers. */
   readonly byObject: Map<string, Set<ServerId>>
 }
 
