--- a/packages/placement/src/core/admission/roomWait.ts
+++ b/packages/placement/src/core/admission/roomWait.ts
@@ -18,8 +18,8 @@
  */
 const recheckIntervalMs: Millis = 25
 /**
- * Longest wait: the larger of these fractions of the latency objective and of the time left until the deadline. A fifth of the
- * remaining time ends well before the request's timeout.
+ * Longest wait: the larger of these fractions of the latency objective and of the time left until the deadline. A fifth
+ * of the remaining time ends well before the request's timeout.
  */
 const maxWaitPerObjective = 0.6
 const maxWaitPerRemainingTime = 0.2
--- a/packages/placement/src/core/region/regionPlan.ts
+++ b/packages/placement/src/core/region/regionPlan.ts
@@ -45,7 +45,7 @@
  * not worth the cold work: objects in a remote region cost only the network delay.
  */
 const minReturnFraction = 0.25
-/** Each region uses the capacity that the others leave. After this number of iterations, shares change by less than a hundredth. */
+/** Each region uses the capacity that the others leave. From this iteration on, shares change by less than 0.01. */
 const planIterations = 8
 /**
  * Utilization above the mean of all regions that a region may reach where the mean is high: regions reach their peaks
