--- a/packages/daemon/src/types/settings.ts
+++ b/packages/daemon/src/types/settings.ts
@@ -1,7 +1,7 @@
 /** The daemon's settings, as the YAML file spells them, with their check. */
 import { isIPv4 } from 'node:net'
 import { policyNames } from '@lynxcourse/routing'
-import { nameSchema } from '@lynxcourse/state'
+import { createNameSchema } from '@lynxcourse/state'
 import type { FailureDomainId, RegionId, VmId } from '@lynxcourse/base'
 import * as z from 'zod'
 
@@ -28,8 +28,8 @@
 const linkName = z.string().regex(/^[a-z0-9.-]+>[a-z0-9.-]+$/, 'must be FROM>TO')
 
 const seedSchema = z.strictObject({
-  vm: nameSchema<VmId>(),
-  region: nameSchema<RegionId>(),
+  vm: createNameSchema<VmId>(),
+  region: createNameSchema<RegionId>(),
   rpc: addressSchema
 })
 
@@ -74,9 +74,9 @@
 
 /** Schema of the settings file. */
 export const settingsSchema = z.strictObject({
-  vm: nameSchema<VmId>(),
-  region: nameSchema<RegionId>(),
-  failureDomain: nameSchema<FailureDomainId>(),
+  vm: createNameSchema<VmId>(),
+  region: createNameSchema<RegionId>(),
+  failureDomain: createNameSchema<FailureDomainId>(),
   roles: z.array(z.enum(['entry', 'control'])).min(1),
   listen: z.strictObject({ http: addressSchema, rpc: addressSchema, metrics: addressSchema }),
   /** Where a control VM keeps its state. */
@@ -84,12 +84,12 @@
   /** The control VMs. */
   seeds: z.array(seedSchema).min(1).max(64),
   topology: z.strictObject({
-    regions: z.record(nameSchema<RegionId>(), z.array(nameSchema<FailureDomainId>()).min(1)),
+    regions: z.record(createNameSchema<RegionId>(), z.array(createNameSchema<FailureDomainId>()).min(1)),
     /** One-way latencies by `from>to`. */
     latenciesMs: z.record(linkName, z.number().min(0)).default({})
   }),
   /** Which region each block of callers belongs to. */
-  callerBlocks: z.array(z.strictObject({ cidr: z.string(), region: nameSchema<RegionId>() })).default([]),
+  callerBlocks: z.array(z.strictObject({ cidr: z.string(), region: createNameSchema<RegionId>() })).default([]),
   /** A file of `CIDR region` lines, besides `callerBlocks`. */
   callerBlocksFile: z.string().optional(),
   serverPolicy: z.enum(policyNames).default('alone'),
--- a/packages/daemon/src/utils/checkedBody.ts
+++ b/packages/daemon/src/utils/checkedBody.ts
@@ -1,5 +1,5 @@
 /** Checks JSON that comes from outside. */
-import { LynxError, messageOf } from '@lynxcourse/base'
+import { LynxError, getErrorMessage } from '@lynxcourse/base'
 import type { z } from 'zod'
 
 /**
@@ -13,7 +13,7 @@
   try {
     raw = JSON.parse(text)
   } catch (err) {
-    throw new LynxError('badRequest', `body: ${messageOf(err)}`, { step, field: 'body', cause: err })
+    throw new LynxError('badRequest', `body: ${getErrorMessage(err)}`, { step, field: 'body', cause: err })
   }
   return checkValue(schema, raw, step, '')
 }
--- a/packages/daemon/src/utils/httpServer.ts
+++ b/packages/daemon/src/utils/httpServer.ts
@@ -1,6 +1,6 @@
 /** Small helpers around Node's HTTP server. */
 import type { IncomingMessage, Server } from 'node:http'
-import { LynxError, messageOf } from '@lynxcourse/base'
+import { LynxError, getErrorMessage } from '@lynxcourse/base'
 
 /** Host and port of `IP:port`. */
 export function splitAddress (address: string): { host: string, port: number } {
@@ -12,7 +12,7 @@
 export async function listen (server: Server, address: string): Promise<void> {
   const { host, port } = splitAddress(address)
   await new Promise<void>((resolve, reject) => {
-    const fail = (err: Error): void => reject(new LynxError('badSettings', `listen on ${address}: ${messageOf(err)}`, { step: 'listen', cause: err }))
+    const fail = (err: Error): void => reject(new LynxError('badSettings', `listen on ${address}: ${getErrorMessage(err)}`, { step: 'listen', cause: err }))
     server.once('error', fail)
     server.listen(port, host, () => {
       server.off('error', fail)
--- a/packages/daemon/src/utils/readSettings.ts
+++ b/packages/daemon/src/utils/readSettings.ts
@@ -1,7 +1,7 @@
 /** Reads a settings file; an error names the file, the key and what was expected. */
 import { readFileSync } from 'node:fs'
 import { dirname, resolve } from 'node:path'
-import { LynxError, messageOf } from '@lynxcourse/base'
+import { LynxError, getErrorMessage } from '@lynxcourse/base'
 import type { CallerBlock } from '@lynxcourse/routing'
 import type { RegionId } from '@lynxcourse/base'
 import { parse } from 'yaml'
@@ -25,7 +25,7 @@
   try {
     return parse(text, { logLevel: 'error' })
   } catch (err) {
-    throw new LynxError('badSettings', `${file}: ${messageOf(err)}`, { step: 'parse', cause: err })
+    throw new LynxError('badSettings', `${file}: ${getErrorMessage(err)}`, { step: 'parse', cause: err })
   }
 }
 
@@ -73,7 +73,7 @@
   try {
     return readFileSync(file, 'utf8')
   } catch (err) {
-    throw new LynxError('badSettings', `${file}: ${messageOf(err)}`, { step: 'read', cause: err })
+    throw new LynxError('badSettings', `${file}: ${getErrorMessage(err)}`, { step: 'read', cause: err })
   }
 }
 
--- a/packages/faults/src/core/controlDuties.ts
+++ b/packages/faults/src/core/controlDuties.ts
@@ -1,12 +1,12 @@
 /** What a control VM of the model does besides agreeing: grants, syncs, and plans for drains and shifts. */
-import { vmOfHolder } from '@lynxcourse/base'
+import { getHolderVm } from '@lynxcourse/base'
 import type { HolderId, Millis } from '@lynxcourse/base'
-import { createGrantor, grantsFor, noteReport, planShares } from '@lynxcourse/limits'
+import { createGrantor, getGrants, recordUsageReport, planShares } from '@lynxcourse/limits'
 import type { Grant, Grantor, Usage } from '@lynxcourse/limits'
-import { isCurrent, noteConfirmed } from '@lynxcourse/membership'
-import { deltaSince, listCaps, listItems, takeDelta } from '@lynxcourse/state'
+import { isLeaseValid, renewConfigLease } from '@lynxcourse/membership'
+import { getDeltaSince, listCaps, listItems, applyDelta } from '@lynxcourse/state'
 import type { ConfigDelta } from '@lynxcourse/state'
-import { FixedStepRule, judgeDrain, planShift } from '@lynxcourse/steering'
+import { FixedStepRule, evaluateDrain, planShift } from '@lynxcourse/steering'
 import type { VmProgress } from '@lynxcourse/steering'
 import { send } from './network.js'
 import { passStep } from './checks.js'
@@ -15,7 +15,7 @@
 import { leadsNow, propose } from './controlLog.js'
 
 function mayGrant (control: ControlModel, now: Millis): boolean {
-  return leadsNow(control) && control.replica !== undefined && now - control.replica.confirmedAt < times.electionMs
+  return leadsNow(control) && control.replica !== undefined && now - control.replica.quorumConfirmedAt < times.electionMs
 }
 
 /** What a control VM knows of grants that has heard of none yet. */
@@ -36,25 +36,25 @@
 export function answerReport (world: World, control: ControlModel, report: Report): { serial: number, grants: Grant[] } | undefined {
   const { now } = world.network
   if (!mayGrant(control, now)) return undefined
-  noteReport(control.grantor, report.holder, report.serial, report.usages, now)
+  recordUsageReport(control.grantor, report.holder, report.serial, report.usages, now)
   control.progress.set(report.holder, { ...report.progress, at: now, loads: report.load })
   passStep(world, 'grant', control.host)
-  return { serial: control.machine.applied, grants: grantsFor(control.grantor, control.machine.allocations.byResource, report.holder) }
+  return { serial: control.machine.applied, grants: getGrants(control.grantor, control.machine.allocations.byResource, report.holder) }
 }
 
 /** Answers a VM that syncs: what it lacks, and how old the quorum's confirmation is. */
 export function answerSync (world: World, control: ControlModel, version: number): { delta: ConfigDelta, ageMs: Millis | undefined, leader: string | undefined } {
   const { now } = world.network
   refreshView(control, now)
-  const ageMs = isCurrent(control.currency, now) ? now - control.currency.confirmedAt : undefined
+  const ageMs = isLeaseValid(control.currency, now) ? now - control.currency.confirmedAt : undefined
   const leader = control.replica?.leader
-  return { delta: deltaSince(control.view, version), ageMs, leader: leader === undefined ? undefined : vmOfHolder(leader) }
+  return { delta: getDeltaSince(control.view, version), ageMs, leader: leader === undefined ? undefined : getHolderVm(leader) }
 }
 
 function refreshView (control: ControlModel, now: Millis): void {
   if (!leadsNow(control) || control.replica === undefined) return
-  takeDelta(control.view, deltaSince(control.machine.config, control.view.version))
-  noteConfirmed(control.currency, Math.min(now, control.replica.confirmedAt), 0)
+  applyDelta(control.view, getDeltaSince(control.machine.config, control.view.version))
+  renewConfigLease(control.currency, Math.min(now, control.replica.quorumConfirmedAt), 0)
 }
 
 export function doDuties (world: World, control: ControlModel): void {
@@ -76,15 +76,15 @@
 function syncFromLeader (world: World, control: ControlModel): void {
   const leader = control.replica?.leader
   if (leader === undefined || leadsNow(control)) return
-  const target = world.controls.find(other => other.vm === vmOfHolder(leader))
+  const target = world.controls.find(other => other.vm === getHolderVm(leader))
   if (target === undefined || target === control) return
   const askedAt = world.network.now
   const { version } = control.view
   send(world.network, control.host, target.host, () => {
     const reply = answerSync(world, target, version)
     send(world.network, target.host, control.host, () => {
-      const isWhole = takeDelta(control.view, reply.delta)
-      if (isWhole && reply.ageMs !== undefined) noteConfirmed(control.currency, askedAt, reply.ageMs)
+      const isWhole = applyDelta(control.view, reply.delta)
+      if (isWhole && reply.ageMs !== undefined) renewConfigLease(control.currency, askedAt, reply.ageMs)
     })
   })
 }
@@ -102,8 +102,8 @@
     if (drain.state !== 'scheduled' && drain.state !== 'draining') continue
     if (drain.state === 'draining' && !control.drainsSeen.has(drain.key)) control.drainsSeen.set(drain.key, now)
     const version = control.machine.config.items.get(`drain ${drain.key}`)?.version ?? 0
-    const view = { id: drain.key, state: drain.state, at: drain.at, version, seenAt: control.drainsSeen.get(drain.key) ?? now }
-    const { event } = judgeDrain(view, control.progress.values(), times.leaseMs, times.deadlineMs, now)
+    const view = { id: drain.key, state: drain.state, at: drain.at, version, firstSeenAt: control.drainsSeen.get(drain.key) ?? now }
+    const { event } = evaluateDrain(view, control.progress.values(), times.leaseMs, times.deadlineMs, now)
     if (event === undefined) continue
     passStep(world, 'drainStep', control.host)
     propose(world, control, { type: 'advanceDrain', drain: drain.key, event }, () => undefined)
--- a/packages/faults/src/core/controlLog.ts
+++ b/packages/faults/src/core/controlLog.ts
@@ -1,9 +1,9 @@
 /** A control VM's copy of the log in the model: feeding it, and carrying out what it says. */
-import { isSettledLeader, stepReplica } from '@lynxcourse/agreement'
-import type { HardState, Output, ReplicaEvent, Snapshot } from '@lynxcourse/agreement'
-import { vmOfHolder } from '@lynxcourse/base'
-import { applyEntry, listCaps, listItems, readMachine, writeMachine } from '@lynxcourse/state'
-import type { Answer, Command } from '@lynxcourse/state'
+import { isEstablishedLeader, stepReplica } from '@lynxcourse/agreement'
+import type { HardState, ReplicaOutput, ReplicaEvent, Snapshot } from '@lynxcourse/agreement'
+import { getHolderVm } from '@lynxcourse/base'
+import { applyEntry, listCaps, listItems, deserializeStateMachine, serializeStateMachine } from '@lynxcourse/state'
+import type { CommandAnswer, Command } from '@lynxcourse/state'
 import { send } from './network.js'
 import { checkCommitted, passStep } from './checks.js'
 import type { ControlModel, World } from '../types/world.js'
@@ -30,7 +30,7 @@
   compact(world, control)
 }
 
-function save (world: World, control: ControlModel, out: Output): void {
+function save (world: World, control: ControlModel, out: ReplicaOutput): void {
   const { replica, disk } = control
   if (replica === undefined || disk.stored === undefined) return
   if (world.without.has('preSync')) return
@@ -39,16 +39,16 @@
   disk.stored = { hardState, snapshot, entries: [...replica.entries] }
 }
 
-function sendMessages (world: World, control: ControlModel, out: Output): void {
+function sendMessages (world: World, control: ControlModel, out: ReplicaOutput): void {
   for (const envelope of out.messages) {
-    const target = world.controls.find(other => other.vm === vmOfHolder(envelope.to))
+    const target = world.controls.find(other => other.vm === getHolderVm(envelope.to))
     if (target === undefined) continue
     send(world.network, control.host, target.host, () => feed(world, target, { type: 'receive', envelope }))
   }
 }
 
-function applyOutput (world: World, control: ControlModel, out: Output): void {
-  if (out.install && out.snapshot !== undefined) control.machine = readMachine(world.charts, out.snapshot.data)
+function applyOutput (world: World, control: ControlModel, out: ReplicaOutput): void {
+  if (out.installSnapshot && out.snapshot !== undefined) control.machine = deserializeStateMachine(world.charts, out.snapshot.data)
   for (const entry of out.committed) {
     checkCommitted(world, control.vm, entry)
     const before = control.machine.config.version
@@ -78,16 +78,16 @@
 function compact (world: World, control: ControlModel): void {
   const { replica, machine } = control
   if (replica === undefined || machine.applied - replica.snapshot.index < compactEvery) return
-  const out = stepReplica(replica, { type: 'compact', index: machine.applied, data: writeMachine(machine) }, world.network.now)
+  const out = stepReplica(replica, { type: 'compact', index: machine.applied, data: serializeStateMachine(machine) }, world.network.now)
   save(world, control, out)
 }
 
 export function leadsNow (control: ControlModel): boolean {
-  return control.replica !== undefined && isSettledLeader(control.replica)
+  return control.replica !== undefined && isEstablishedLeader(control.replica)
 }
 
 /** Proposes a command; `done` is called only if it is committed while this life lasts. */
-export function propose (world: World, control: ControlModel, command: Command, done: (answer: Answer) => void): boolean {
+export function propose (world: World, control: ControlModel, command: Command, done: (answer: CommandAnswer) => void): boolean {
   const { replica } = control
   if (replica === undefined || !leadsNow(control)) return false
   const index = replica.snapshot.index + replica.entries.length + 1
--- a/packages/faults/src/core/controlModel.ts
+++ b/packages/faults/src/core/controlModel.ts
@@ -1,10 +1,10 @@
 /** A control VM of the model: agreement, state machine, grants and plans, with a disk that lasts. */
-import { createReplica, firstSnapshot } from '@lynxcourse/agreement'
+import { createReplica, createInitialSnapshot } from '@lynxcourse/agreement'
 import type { Snapshot } from '@lynxcourse/agreement'
-import { holderOf } from '@lynxcourse/base'
+import { createHolderId } from '@lynxcourse/base'
 import type { HolderId, Incarnation, Millis, VmId } from '@lynxcourse/base'
-import { createCurrency } from '@lynxcourse/membership'
-import { createConfig, createMachine, readMachine } from '@lynxcourse/state'
+import { createConfigLease } from '@lynxcourse/membership'
+import { createConfig, createStateMachine, deserializeStateMachine } from '@lynxcourse/state'
 import { addHost, planAt, send } from './network.js'
 import type { Host } from './network.js'
 import { times } from './times.js'
@@ -25,20 +25,20 @@
     vm: vm as VmId,
     disk: { incarnation: 'i1', cluster: false, stored: undefined },
     replica: undefined,
-    machine: createMachine(world.charts),
+    machine: createStateMachine(world.charts),
     placed: new Map(),
     grantor: newGrantor(),
     progress: new Map(),
     drainsSeen: new Map(),
     view: createConfig(),
-    currency: createCurrency(times.leaseMs)
+    currency: createConfigLease(times.leaseMs)
   }
   world.controls.push(control)
   return control
 }
 
 export function idOf (control: ControlModel): HolderId {
-  return holderOf(control.vm, control.disk.incarnation as Incarnation)
+  return createHolderId(control.vm, control.disk.incarnation as Incarnation)
 }
 
 /** Writes the first snapshot of a cluster to a blank disk. */
@@ -49,7 +49,7 @@
 
 /** Founds the cluster of all control VMs. */
 export function foundCluster (world: World): void {
-  const snapshot = firstSnapshot(world.controls.map(idOf), '')
+  const snapshot = createInitialSnapshot(world.controls.map(idOf), '')
   for (const control of world.controls) {
     fillDisk(control, snapshot)
     startControl(world, control)
@@ -64,8 +64,8 @@
   control.progress = new Map()
   control.drainsSeen = new Map()
   control.view = createConfig()
-  control.currency = createCurrency(times.leaseMs)
-  control.machine = readMachine(world.charts, control.disk.stored?.snapshot.data ?? '')
+  control.currency = createConfigLease(times.leaseMs)
+  control.machine = deserializeStateMachine(world.charts, control.disk.stored?.snapshot.data ?? '')
   startReplica(world, control)
   repeatAt(world, control.host, tickMs, () => feed(world, control, { type: 'tick' }))
   repeatAt(world, control.host, dutyMs, () => doDuties(world, control))
@@ -85,7 +85,7 @@
   const isMember = control.replica?.members.some(member => member.id === idOf(control)) ?? false
   if (isMember) return
   if (control.replica === undefined) {
-    fillDisk(control, firstSnapshot([], ''))
+    fillDisk(control, createInitialSnapshot([], ''))
     startReplica(world, control)
   }
   for (const other of world.controls) {
--- a/packages/faults/src/core/entryModel.ts
+++ b/packages/faults/src/core/entryModel.ts
@@ -1,9 +1,9 @@
 /** An entry VM of the model: its lease, its reports and its look-ups. */
-import { holderOf } from '@lynxcourse/base'
+import { createHolderId } from '@lynxcourse/base'
 import type { DrainId, Incarnation, VmId } from '@lynxcourse/base'
-import { createHolderLimits, reportUsage, takeGrants } from '@lynxcourse/limits'
-import { createCurrency, isCurrent, noteConfirmed } from '@lynxcourse/membership'
-import { activeDrains, createConfig, listCaps, takeDelta } from '@lynxcourse/state'
+import { createHolderLimits, collectUsages, applyGrants } from '@lynxcourse/limits'
+import { createConfigLease, isLeaseValid, renewConfigLease } from '@lynxcourse/membership'
+import { listActiveDrains, createConfig, listCaps, applyDelta } from '@lynxcourse/state'
 import { checkCurrent, checkVersion, passStep } from './checks.js'
 import { answerReport, answerSync } from './controlDuties.js'
 import type { Report } from './controlDuties.js'
@@ -19,9 +19,9 @@
     kind: 'entry',
     host,
     vm: vm as VmId,
-    holder: holderOf(vm as VmId, '1' as Incarnation),
+    holder: createHolderId(vm as VmId, '1' as Incarnation),
     config: createConfig(),
-    currency: createCurrency(times.leaseMs),
+    currency: createConfigLease(times.leaseMs),
     limits: createHolderLimits(),
     leader: undefined,
     asked: world.entries.length,
@@ -38,9 +38,9 @@
 
 /** Starts the process; it remembers nothing. */
 export function startEntry (world: World, entry: EntryModel): void {
-  entry.holder = holderOf(entry.vm, String(entry.host.life) as Incarnation)
+  entry.holder = createHolderId(entry.vm, String(entry.host.life) as Incarnation)
   entry.config = createConfig()
-  entry.currency = createCurrency(times.leaseMs)
+  entry.currency = createConfigLease(times.leaseMs)
   entry.limits = createHolderLimits()
   entry.leader = undefined
   entry.inFlight = new Map()
@@ -74,11 +74,11 @@
       if (entry.host.life !== life) return
       entry.syncing = false
       const before = entry.config.version
-      const isWhole = takeDelta(entry.config, reply.delta)
+      const isWhole = applyDelta(entry.config, reply.delta)
       checkVersion(world, entry.vm, before, entry.config.version)
       entry.leader = reply.leader ?? entry.leader
       if (reply.ageMs === undefined) entry.asked += 1
-      else if (isWhole) noteConfirmed(entry.currency, askedAt, reply.ageMs)
+      else if (isWhole) renewConfigLease(entry.currency, askedAt, reply.ageMs)
     })
   })
 }
@@ -91,7 +91,7 @@
   const report: Report = {
     holder: entry.holder,
     serial: entry.limits.serial,
-    usages: reportUsage(entry.limits, listCaps(entry.config).keys()),
+    usages: collectUsages(entry.limits, listCaps(entry.config).keys()),
     progress: { vm: entry.vm, version: entry.config.version, remaining: remainingOf(world, entry) },
     load: [...entry.inFlight.values()].reduce((sum, count) => sum + count, 0)
   }
@@ -99,13 +99,13 @@
     const reply = answerReport(world, leader, report)
     if (reply === undefined) return
     send(world.network, leader.host, entry.host, () => {
-      if (entry.host.life === life) takeGrants(entry.limits, reply.serial, reply.grants, askedAt)
+      if (entry.host.life === life) applyGrants(entry.limits, reply.serial, reply.grants, askedAt)
     })
   })
 }
 
 function remainingOf (world: World, entry: EntryModel): Map<DrainId, number> {
-  return new Map(activeDrains(entry.config).map(drain => {
+  return new Map(listActiveDrains(entry.config).map(drain => {
     const servers = world.servers.filter(server => isCovered(drain.target.kind, drain.target.name, server))
     return [drain.key, servers.reduce((sum, server) => sum + (entry.inFlight.get(server.host.name) ?? 0), 0)]
   }))
@@ -119,14 +119,14 @@
 /** Whether this VM may act on its configuration now. */
 export function mayAct (world: World, entry: EntryModel): boolean {
   const now = world.network.now
-  const current = world.without.has('lease') ? entry.config.version > 0 : isCurrent(entry.currency, now)
+  const current = world.without.has('lease') ? entry.config.version > 0 : isLeaseValid(entry.currency, now)
   if (current) checkCurrent(world, entry.vm, entry.config.version, times.leaseMs)
   return current
 }
 
 /** Servers that this VM would give new work to. */
 export function openServers (world: World, entry: EntryModel): ServerModel[] {
-  const drains = activeDrains(entry.config)
+  const drains = listActiveDrains(entry.config)
   return world.servers.filter(server => !drains.some(drain => isCovered(drain.target.kind, drain.target.name, server)))
 }
 
--- a/packages/faults/src/core/faultKinds.ts
+++ b/packages/faults/src/core/faultKinds.ts
@@ -1,7 +1,7 @@
 /** The faults that the brief names: what strikes, and what heals afterwards. */
 import { voters } from '@lynxcourse/agreement'
 import type { HolderId } from '@lynxcourse/base'
-import { plan } from '@lynxcourse/base/timeline'
+import { scheduleAt } from '@lynxcourse/base/timeline'
 import { leadsNow } from './controlLog.js'
 import { idOf } from './controlModel.js'
 import { cutOff, thaw } from './network.js'
@@ -25,7 +25,7 @@
 const longMs = 3500
 
 function later (scene: Scene, ms: number, work: () => void): void {
-  plan(scene.world.network, scene.world.network.now + ms, work)
+  scheduleAt(scene.world.network, scene.world.network.now + ms, work)
 }
 
 function leaderOf (world: World): ControlModel | undefined {
--- a/packages/faults/src/core/matrix.ts
+++ b/packages/faults/src/core/matrix.ts
@@ -1,8 +1,8 @@
 /** The fault matrix: every fault at every step, and pairs of faults. One generator for all cells. */
 import { brandId } from '@lynxcourse/base'
 import type { DrainId } from '@lynxcourse/base'
-import { plan } from '@lynxcourse/base/timeline'
-import { isCurrent } from '@lynxcourse/membership'
+import { scheduleAt } from '@lynxcourse/base/timeline'
+import { isLeaseValid } from '@lynxcourse/membership'
 import { findItem } from '@lynxcourse/state'
 import { violate } from './checks.js'
 import { leadsNow } from './controlLog.js'
@@ -87,7 +87,7 @@
       }
       // The first fault strikes within the step, before what follows it in the same call.
       if (place === 0) strike()
-      else plan(network, network.now + place * betweenFaultsMs, strike)
+      else scheduleAt(network, network.now + place * betweenFaultsMs, strike)
     })
   }
   // Rare steps are struck at the first chance, frequent ones somewhere among the first.
@@ -109,7 +109,7 @@
   if (world.checks.accepted <= acceptedBefore) violate(world, 'no change is accepted after healing')
   if (world.checks.granted <= grantedBefore) violate(world, 'no claim is granted after healing')
   for (const entry of world.entries) {
-    if (!isCurrent(entry.currency, world.network.now)) violate(world, `${entry.vm} is not current after healing`)
+    if (!isLeaseValid(entry.currency, world.network.now)) violate(world, `${entry.vm} is not current after healing`)
   }
   const leader = world.controls.find(leadsNow)
   const drain = leader === undefined ? undefined : findItem(leader.machine.config, 'drain', brandId<DrainId>('d1'))
--- a/packages/faults/src/core/network.ts
+++ b/packages/faults/src/core/network.ts
@@ -3,7 +3,7 @@
  * duplicate, reorder and cut. Everything is drawn from one seeded source, so that a run can be repeated.
  */
 import type { Millis, Random } from '@lynxcourse/base'
-import { createTimeline, plan } from '@lynxcourse/base/timeline'
+import { createTimeline, scheduleAt } from '@lynxcourse/base/timeline'
 import type { Timeline } from '@lynxcourse/base/timeline'
 
 /** A process on the network. */
@@ -56,7 +56,7 @@
 /** Runs work at a host after a while, unless that life of it has ended by then; a frozen host does it later. */
 export function planAt (network: Network, host: Host, delayMs: Millis, run: () => void): void {
   const { life } = host
-  plan(network, network.now + delayMs, () => arrive(host, life, run))
+  scheduleAt(network, network.now + delayMs, () => arrive(host, life, run))
 }
 
 function arrive (host: Host, life: number, run: () => void): void {
@@ -85,7 +85,7 @@
   const base = from.region === to.region ? sameRegionMs : network.latencyMs
   const delay = base + network.random() * network.weather.jitterMs
   const life = to.life
-  plan(network, network.now + delay, () => {
+  scheduleAt(network, network.now + delay, () => {
     // A cut also takes what is under way, as a broken link does.
     if (network.cuts.has(`${from.name}>${to.name}`)) return
     arrive(to, life, run)
--- a/packages/faults/src/core/requestModel.ts
+++ b/packages/faults/src/core/requestModel.ts
@@ -1,12 +1,12 @@
 /** Requests of the model: the project's own once-only flow, reads, and the servers that they run at. */
-import { afterAttempt, afterClaim, afterRecord, afterSlot, createOnceFlow, startOnce } from '@lynxcourse/routing'
+import { continueAfterAttempt, continueAfterClaim, continueAfterRecord, continueAfterSlot, createOnceFlow, startOnceFlow } from '@lynxcourse/routing'
 import type { AttemptEvent, OnceEffect, OnceFlow } from '@lynxcourse/routing'
 import { brandId } from '@lynxcourse/base'
 import type { Millis, RequestId, ResourceId } from '@lynxcourse/base'
-import { plan } from '@lynxcourse/base/timeline'
-import { enterLimits, leaveLimits, mayEnter, noteWanted } from '@lynxcourse/limits'
+import { scheduleAt } from '@lynxcourse/base/timeline'
+import { acquireCapacity, releaseCapacity, hasCapacity, recordDemand } from '@lynxcourse/limits'
 import { listCaps } from '@lynxcourse/state'
-import type { Answer, ClaimCommand, SettleCommand } from '@lynxcourse/state'
+import type { CommandAnswer, ClaimCommand, SettleCommand } from '@lynxcourse/state'
 import { checkDispatch, checkLoad, checkRun, checkTold, passStep } from './checks.js'
 import { propose } from './controlLog.js'
 import { planAt, send, sendOverStream } from './network.js'
@@ -47,7 +47,7 @@
   const tracked = world.checks.requests.get(id)
   if (tracked !== undefined) tracked.copies += 1
   world.checks.open.push({ id, isAlive: () => entry.host.alive && entry.host.life === copy.life, isEnded: () => copy.ended })
-  carryOut(copy, startOnce(copy.flow, mayAct(world, entry)))
+  carryOut(copy, startOnceFlow(copy.flow, mayAct(world, entry)))
 }
 
 function carryOut (copy: Copy, effect: OnceEffect): void {
@@ -58,12 +58,12 @@
     case 'getSlot': slotStep(copy); break
     case 'send': sendStep(copy); break
     case 'recordNotRun':
-      if (world.without.has('recordNotRun')) carryOut(copy, afterRecord(true, effect.reason))
+      if (world.without.has('recordNotRun')) carryOut(copy, continueAfterRecord(true, effect.reason))
       else recordStep(copy, effect.reason)
       break
     case 'answer':
       if (effect.record !== undefined) settle(copy, effect.record, world.network.now + times.deadlineMs * 4, () => undefined)
-      tell(copy, effect.told)
+      tell(copy, effect.callerOutcome)
       break
   }
 }
@@ -75,10 +75,10 @@
 }
 
 /** Sends a command to the leader until an answer comes or the time is over; `done` is called once. */
-function submit (copy: Copy, command: ClaimCommand | SettleCommand, until: Millis, done: (answer: Answer | undefined) => void): void {
+function submit (copy: Copy, command: ClaimCommand | SettleCommand, until: Millis, done: (answer: CommandAnswer | undefined) => void): void {
   const { world, entry } = copy
   let over = false
-  const finish = (answer: Answer | undefined): void => {
+  const finish = (answer: CommandAnswer | undefined): void => {
     if (over || entry.host.life !== copy.life) return
     over = true
     done(answer)
@@ -104,13 +104,13 @@
   const { world, entry, id, token } = copy
   passStep(world, 'claim', entry.host)
   if (world.without.has('claim')) {
-    carryOut(copy, afterClaim(copy.flow, 'granted'))
+    carryOut(copy, continueAfterClaim(copy.flow, 'granted'))
     return
   }
   submit(copy, { type: 'claim', id, holder: entry.holder, token }, copy.deadline, answer => {
     const result = answer?.type === 'claim' ? answer.claim.result : 'noAnswer'
     if (result === 'granted') world.checks.granted += 1
-    carryOut(copy, afterClaim(copy.flow, result))
+    carryOut(copy, continueAfterClaim(copy.flow, result))
   })
 }
 
@@ -122,7 +122,7 @@
 }
 
 function recordStep (copy: Copy, reason: string): void {
-  settle(copy, 'notRun', copy.world.network.now + times.deadlineMs, recorded => carryOut(copy, afterRecord(recorded, reason)))
+  settle(copy, 'notRun', copy.world.network.now + times.deadlineMs, recorded => carryOut(copy, continueAfterRecord(recorded, reason)))
 }
 
 function slotStep (copy: Copy): void {
@@ -131,9 +131,9 @@
   if (server !== undefined) {
     copy.server = server
     copy.tried.add(server.host.name)
-    carryOut(copy, afterSlot(copy.flow, undefined))
+    carryOut(copy, continueAfterSlot(copy.flow, undefined))
   } else if (world.network.now >= copy.deadline) {
-    carryOut(copy, afterSlot(copy.flow, 'no slot in time'))
+    carryOut(copy, continueAfterSlot(copy.flow, 'no slot in time'))
   } else {
     planAt(world.network, entry.host, retryMs / 4, () => slotStep(copy))
   }
@@ -144,8 +144,8 @@
   const open = openServers(world, entry).filter(server => !tried.has(server.host.name) && (entry.inFlight.get(server.host.name) ?? 0) < server.slots)
   const allowed = open.filter(server => {
     const resources = resourcesOf(server, caps)
-    const may = mayEnter(entry.limits, resources, world.network.now)
-    if (!may) for (const resource of resources) noteWanted(entry.limits, resource, 1)
+    const may = hasCapacity(entry.limits, resources, world.network.now)
+    if (!may) for (const resource of resources) recordDemand(entry.limits, resource, 1)
     return may
   })
   return allowed[Math.floor(world.network.random() * allowed.length)]
@@ -162,7 +162,7 @@
   if (!entry.host.alive || entry.host.life !== copy.life) return
   const finish = (event: AttemptEvent): void => {
     if (event === 'answered') passStep(world, 'answer', entry.host)
-    carryOut(copy, afterAttempt(copy.flow, event, copy.tried.size < 3 && world.network.now < copy.deadline))
+    carryOut(copy, continueAfterAttempt(copy.flow, event, copy.tried.size < 3 && world.network.now < copy.deadline))
   }
   dispatch(world, entry, server, copy.deadline, finish, () => checkRun(world, copy.id))
 }
@@ -186,7 +186,7 @@
   const { life } = entry.host
   checkDispatch(world, name, times.leaseMs)
   const resources = resourcesOf(server, listCaps(entry.config))
-  enterLimits(entry.limits, resources)
+  acquireCapacity(entry.limits, resources)
   for (const resource of resources) checkLoad(world, resource, 1, times.grantMs + times.deadlineMs + times.electionMs)
   entry.inFlight.set(name, (entry.inFlight.get(name) ?? 0) + 1)
   const release = releaseOnce(world, resources)
@@ -196,13 +196,13 @@
     over = true
     release()
     entry.inFlight.set(name, Math.max(0, (entry.inFlight.get(name) ?? 0) - 1))
-    leaveLimits(entry.limits, resources)
+    releaseCapacity(entry.limits, resources)
     onEnd(event)
   }
   // Whatever becomes of this VM, its work at the server is over by the deadline.
   const left = Math.max(1, deadline - network.now)
   planAt(network, entry.host, left, () => finish('lost'))
-  plan(network, network.now + left, release)
+  scheduleAt(network, network.now + left, release)
   if (!server.host.alive) planAt(network, entry.host, 2, () => finish('notSent'))
   else if (!server.silentFrom.has(entry.vm)) sendOverStream(network, entry.host, server.host, () => serve(world, entry, server, deadline, finish, onRun))
 }
--- a/packages/faults/src/core/world.ts
+++ b/packages/faults/src/core/world.ts
@@ -1,7 +1,7 @@
 /** Builds the small system and its steady load. */
-import { brandId, loadChart, makeRandom, makeRequestId } from '@lynxcourse/base'
+import { brandId, loadChart, createRandom, createRequestId } from '@lynxcourse/base'
 import type { DrainId, ServiceId, ShiftId, ProfileName } from '@lynxcourse/base'
-import { plan, playUntil } from '@lynxcourse/base/timeline'
+import { scheduleAt, runUntil } from '@lynxcourse/base/timeline'
 import type { ChangeAnswer } from '@lynxcourse/state'
 import { createChecks, trackRequest } from './checks.js'
 import { addControl, foundCluster, startControl } from './controlModel.js'
@@ -53,7 +53,7 @@
 export function buildScene (seed: number, without: readonly Guard[] = []): Scene {
   resetOperators()
   const world: World = {
-    network: createNetwork(makeRandom(seed), latencyMs, startAt),
+    network: createNetwork(createRandom(seed), latencyMs, startAt),
     charts: loadCharts(),
     controls: [],
     entries: [],
@@ -73,11 +73,11 @@
 
 /** Runs the scene on. */
 export function runFor (scene: Scene, ms: number): void {
-  playUntil(scene.world.network, scene.world.network.now + ms)
+  runUntil(scene.world.network, scene.world.network.now + ms)
 }
 
 function every (scene: Scene, everyMs: number, work: () => void): void {
-  plan(scene.world.network, scene.world.network.now + everyMs, () => {
+  scheduleAt(scene.world.network, scene.world.network.now + everyMs, () => {
     if (scene.stopped) return
     work()
     every(scene, everyMs, work)
@@ -124,13 +124,13 @@
 
 function sendRequest (scene: Scene): void {
   const { world } = scene
-  const id = makeRequestId(world.network.now, world.network.random)
+  const id = createRequestId(world.network.now, world.network.random)
   trackRequest(world, id)
   handIn(world, pickEntry(scene), id)
   if (world.network.random() >= copyShare) return
   // A caller that heard nothing resends, or the network brings a late copy.
   const delay = world.network.random() * 900
-  plan(world.network, world.network.now + delay, () => handIn(world, pickEntry(scene), id))
+  scheduleAt(world.network, world.network.now + delay, () => handIn(world, pickEntry(scene), id))
 }
 
 /** Ends a process; what it had planned is void. */
--- a/packages/faults/src/types/world.ts
+++ b/packages/faults/src/types/world.ts
@@ -1,9 +1,9 @@
 /** The small system that the fault matrix drives: hosts made of the project's own decision modules. */
 import type { Entry, Replica, StoredLog } from '@lynxcourse/agreement'
 import type { Chart, DrainId, HolderId, Millis, RequestId, ResourceId, VmId } from '@lynxcourse/base'
-import type { Currency } from '@lynxcourse/membership'
+import type { ConfigLease } from '@lynxcourse/membership'
 import type { Grantor, HolderLimits } from '@lynxcourse/limits'
-import type { Answer, ChangeAnswer, Config, Machine, MachineCharts } from '@lynxcourse/state'
+import type { CommandAnswer, ChangeAnswer, Config, StateMachine, StateMachineCharts } from '@lynxcourse/state'
 import type { VmProgress } from '@lynxcourse/steering'
 import type { Host, Network } from '../core/network.js'
 
@@ -11,7 +11,7 @@
 export const steps = ['lookup', 'claim', 'dispatch', 'answer', 'publish', 'grant', 'shiftStep', 'drainStep', 'repair'] as const
 export type Step = typeof steps[number]
 
-export interface Charts extends MachineCharts {
+export interface Charts extends StateMachineCharts {
   readonly attempt: Chart
   readonly role: Chart
 }
@@ -25,7 +25,7 @@
 
 interface Placed {
   readonly term: number
-  readonly done: (answer: Answer) => void
+  readonly done: (answer: CommandAnswer) => void
 }
 
 export interface ControlModel {
@@ -34,13 +34,13 @@
   readonly vm: VmId
   disk: Disk
   replica: Replica | undefined
-  machine: Machine
+  machine: StateMachine
   placed: Map<number, Placed>
   grantor: Grantor
   progress: Map<HolderId, VmProgress & { readonly loads: number }>
   drainsSeen: Map<DrainId, Millis>
   view: Config
-  currency: Currency
+  currency: ConfigLease
 }
 
 export interface EntryModel {
@@ -49,7 +49,7 @@
   readonly vm: VmId
   holder: HolderId
   config: Config
-  currency: Currency
+  currency: ConfigLease
   limits: HolderLimits
   leader: string | undefined
   /** Control VM asked last. */
--- a/packages/limits/__tests__/limits.test.ts
+++ b/packages/limits/__tests__/limits.test.ts
@@ -5,8 +5,8 @@
 import { brandId } from '@lynxcourse/base'
 import type { HolderId, ResourceId } from '@lynxcourse/base'
 import {
-  createGrantor, createHolderLimits, enterLimits, fairShares, grantsFor, leaveLimits, mayEnter, noteReport, planShares,
-  reportUsage, takeGrants
+  createGrantor, createHolderLimits, acquireCapacity, fairShares, getGrants, releaseCapacity, hasCapacity, recordUsageReport, planShares,
+  collectUsages, applyGrants
 } from '@lynxcourse/limits'
 import type { Grant, Grantor, HolderLimits, Share, Usage } from '@lynxcourse/limits'
 
@@ -66,8 +66,8 @@
   const holder = rig.holders[pick % holderCount] as Holder
   switch (what) {
     case 'rush':
-      while (mayEnter(holder.limits, [resource], rig.now)) {
-        enterLimits(holder.limits, [resource])
+      while (hasCapacity(holder.limits, [resource], rig.now)) {
+        acquireCapacity(holder.limits, [resource])
         holder.running.push(rig.now + holdMs)
       }
       break
@@ -76,11 +76,11 @@
       hear(rig, rig.reports.length - 1)
       act(rig, 'answer', rig.answers.length - 1)
       break
-    case 'report': rig.reports.push({ holder, serial: holder.limits.serial, usages: reportUsage(holder.limits, [resource]).map(usage => ({ ...usage, wanted: pick })), askedAt: rig.now }); break
+    case 'report': rig.reports.push({ holder, serial: holder.limits.serial, usages: collectUsages(holder.limits, [resource]).map(usage => ({ ...usage, wanted: pick })), askedAt: rig.now }); break
     case 'hear': hear(rig, pick); break
     case 'answer': {
       const [answer] = rig.answers.splice(pick % Math.max(1, rig.answers.length), 1)
-      if (answer !== undefined) takeGrants(answer.holder.limits, answer.serial, answer.grants, answer.askedAt)
+      if (answer !== undefined) applyGrants(answer.holder.limits, answer.serial, answer.grants, answer.askedAt)
       break
     }
     case 'plan': plan(rig); break
@@ -93,15 +93,15 @@
 function hear (rig: Rig, pick: number): void {
   const [report] = rig.reports.splice(pick % Math.max(1, rig.reports.length), 1)
   if (report === undefined) return
-  noteReport(rig.grantor, report.holder.id, report.serial, report.usages, rig.now)
-  rig.answers.push({ holder: report.holder, serial: rig.serial, grants: grantsFor(rig.grantor, rig.shares, report.holder.id), askedAt: report.askedAt })
+  recordUsageReport(rig.grantor, report.holder.id, report.serial, report.usages, rig.now)
+  rig.answers.push({ holder: report.holder, serial: rig.serial, grants: getGrants(rig.grantor, rig.shares, report.holder.id), askedAt: report.askedAt })
 }
 
 function pass (rig: Rig, ms: number): void {
   rig.now += ms
   for (const holder of rig.holders) {
     const ended = holder.running.filter(end => end <= rig.now)
-    ended.forEach(() => leaveLimits(holder.limits, [resource]))
+    ended.forEach(() => releaseCapacity(holder.limits, [resource]))
     holder.running = holder.running.filter(end => end > rig.now)
   }
 }
--- a/packages/limits/src/core/grantor.ts
+++ b/packages/limits/src/core/grantor.ts
@@ -43,7 +43,7 @@
 export interface Grantor {
   readonly ttlMs: Millis
   /** Longest that a request may run after its grant: the longest deadline. */
-  readonly holdMs: Millis
+  readonly maxRequestMs: Millis
   reports: Map<HolderId, HolderReport>
   lowered: Map<string, Lowered>
 }
@@ -52,17 +52,17 @@
 const deadband = 0.2
 
 export function createGrantor (ttlMs: Millis, holdMs: Millis): Grantor {
-  return { ttlMs, holdMs, reports: new Map(), lowered: new Map() }
+  return { ttlMs, maxRequestMs: holdMs, reports: new Map(), lowered: new Map() }
 }
 
 /** Notes a holder's report. */
-export function noteReport (grantor: Grantor, holder: HolderId, serial: number, usages: readonly Usage[], now: Millis): void {
+export function recordUsageReport (grantor: Grantor, holder: HolderId, serial: number, usages: readonly Usage[], now: Millis): void {
   const byResource = new Map(usages.map(usage => [usage.resource, usage]))
   grantor.reports.set(holder, { at: now, serial, usages: byResource })
 }
 
 /** The grants that a holder gets with the answer to its report. */
-export function grantsFor (grantor: Grantor, shares: SharesByResource, holder: HolderId): Grant[] {
+export function getGrants (grantor: Grantor, shares: SharesByResource, holder: HolderId): Grant[] {
   const grants: Grant[] = []
   for (const [resource, holders] of shares) {
     const share = holders.get(holder)
@@ -110,7 +110,7 @@
       const key = `${resource} ${holder}`
       seen.add(key)
       const lowered = noteLowered(grantor, key, share.amount, serial, now)
-      const waited = now - lowered.since > grantor.ttlMs + grantor.holdMs
+      const waited = now - lowered.since > grantor.ttlMs + grantor.maxRequestMs
       if (waited || isAcknowledged(grantor, holder, resource, share.amount, lowered.serial)) {
         lapsed.push({ resource, holder, amount: share.amount })
       }
--- a/packages/limits/src/core/holder.ts
+++ b/packages/limits/src/core/holder.ts
@@ -44,7 +44,7 @@
  * @param serial the grantor's log index; grants of an older one could raise what was lowered since
  * @param askedAt when this holder sent the request that was answered
  */
-export function takeGrants (limits: HolderLimits, serial: number, grants: readonly Grant[], askedAt: Millis): void {
+export function applyGrants (limits: HolderLimits, serial: number, grants: readonly Grant[], askedAt: Millis): void {
   if (serial < limits.serial) return
   limits.serial = serial
   limits.grants = new Map()
@@ -61,26 +61,26 @@
 }
 
 /** Notes that a request would have used a resource; the next report asks for as much. */
-export function noteWanted (limits: HolderLimits, resource: ResourceId, extra: number): void {
+export function recordDemand (limits: HolderLimits, resource: ResourceId, extra: number): void {
   const wanted = (limits.inFlight.get(resource) ?? 0) + extra
   limits.wanted.set(resource, Math.max(limits.wanted.get(resource) ?? 0, wanted))
 }
 
 /** Whether a request may start against all of these resources. */
-export function mayEnter (limits: HolderLimits, resources: readonly ResourceId[], now: Millis): boolean {
+export function hasCapacity (limits: HolderLimits, resources: readonly ResourceId[], now: Millis): boolean {
   return resources.every(resource => roomOf(limits, resource, now) > 0)
 }
 
-/** Counts a request in; pair it with `leaveLimits`. */
-export function enterLimits (limits: HolderLimits, resources: readonly ResourceId[]): void {
+/** Counts a request in; pair it with `releaseCapacity`. */
+export function acquireCapacity (limits: HolderLimits, resources: readonly ResourceId[]): void {
   for (const resource of resources) {
     limits.inFlight.set(resource, (limits.inFlight.get(resource) ?? 0) + 1)
-    noteWanted(limits, resource, 0)
+    recordDemand(limits, resource, 0)
   }
 }
 
 /** Counts a request out. */
-export function leaveLimits (limits: HolderLimits, resources: readonly ResourceId[]): void {
+export function releaseCapacity (limits: HolderLimits, resources: readonly ResourceId[]): void {
   for (const resource of resources) {
     const left = (limits.inFlight.get(resource) ?? 0) - 1
     if (left > 0) limits.inFlight.set(resource, left)
@@ -89,7 +89,7 @@
 }
 
 /** What to report of the capped resources; starts a new count of what is wanted. */
-export function reportUsage (limits: HolderLimits, capped: Iterable<ResourceId>): Usage[] {
+export function collectUsages (limits: HolderLimits, capped: Iterable<ResourceId>): Usage[] {
   const usages: Usage[] = []
   for (const resource of capped) {
     const inFlight = limits.inFlight.get(resource) ?? 0
--- a/packages/membership/__tests__/membership.test.ts
+++ b/packages/membership/__tests__/membership.test.ts
@@ -4,8 +4,8 @@
 import { brandId, loadChart } from '@lynxcourse/base'
 import type { VmId } from '@lynxcourse/base'
 import {
-  answerRequest, buildRequest, chooseParent, createCurrency, createDirectory, createUplink, defaultMembershipTimes, expireRecords,
-  findServer, findVm, isCurrent, noteConfirmed, putRecord, takeAnswer
+  answerSyncRequest, buildSyncRequest, chooseParent, createConfigLease, createDirectory, createUplink, defaultMembershipTimes, expireRecords,
+  findServer, findVm, isLeaseValid, renewConfigLease, putRecord, applySyncAnswer
 } from '@lynxcourse/membership'
 import type { Directory, ServerRecord, Uplink, VmRecord } from '@lynxcourse/membership'
 
@@ -40,8 +40,8 @@
   expireRecords(child.directory, now)
   expireRecords(parent.directory, now)
   chooseParent(child.uplink, { vm: child.self.key, region: child.self.region }, [{ vm: parent.self.key, region: parent.self.region }], now)
-  const request = buildRequest(child.uplink, child.directory, child.self, 0, now)
-  takeAnswer(child.uplink, child.directory, request, answerRequest(parent.directory, request, 0, '', now), now)
+  const request = buildSyncRequest(child.uplink, child.directory, child.self, 0, now)
+  applySyncAnswer(child.uplink, child.directory, request, answerSyncRequest(parent.directory, request, 0, '', now), now)
 }
 
 test('what one VM hears reaches a VM in another branch, and so does its end', () => {
@@ -93,8 +93,8 @@
   const children = Array.from({ length: 50 }, (_, number) => place(`c${number}`))
   for (let now = 0; now < 3000; now += 500) for (const child of children) sync(child, root, now)
   const child = children[0] as Place
-  const request = buildRequest(child.uplink, child.directory, child.self, 0, 3000)
-  const answer = answerRequest(root.directory, request, 0, '', 3000)
+  const request = buildSyncRequest(child.uplink, child.directory, child.self, 0, 3000)
+  const answer = answerSyncRequest(root.directory, request, 0, '', 3000)
   assert.deepEqual([request.vouched.length, answer.records.length, answer.full], [0, 0, false])
 })
 
@@ -110,13 +110,13 @@
 })
 
 test('a lease rests on when it was asked for and on the confirmation\'s age, and never goes back', () => {
-  const currency = createCurrency(1000)
-  assert.equal(isCurrent(currency, 0), false, 'a restarted VM decides nothing')
-  noteConfirmed(currency, 5000, 400)
-  assert.equal(isCurrent(currency, 5599), true)
-  assert.equal(isCurrent(currency, 5600), false)
-  noteConfirmed(currency, 4000, 0)
+  const currency = createConfigLease(1000)
+  assert.equal(isLeaseValid(currency, 0), false, 'a restarted VM decides nothing')
+  renewConfigLease(currency, 5000, 400)
+  assert.equal(isLeaseValid(currency, 5599), true)
+  assert.equal(isLeaseValid(currency, 5600), false)
+  renewConfigLease(currency, 4000, 0)
   assert.equal(currency.confirmedAt, 4600)
-  noteConfirmed(currency, 6000, -50)
+  renewConfigLease(currency, 6000, -50)
   assert.equal(currency.confirmedAt, 6000, 'no confirmation from the future')
 })
--- a/packages/membership/src/core/currency.ts
+++ b/packages/membership/src/core/configLease.ts
@@ -9,14 +9,14 @@
  */
 import type { Millis } from '@lynxcourse/base'
 
-export interface Currency {
+export interface ConfigLease {
   readonly leaseMs: Millis
   /** When the leader had a quorum, by this VM's clock; never falls. */
   confirmedAt: Millis
 }
 
 /** A lease that this VM does not hold yet. */
-export function createCurrency (leaseMs: Millis): Currency {
+export function createConfigLease (leaseMs: Millis): ConfigLease {
   return { leaseMs, confirmedAt: -Infinity }
 }
 
@@ -26,16 +26,16 @@
  * @param askedAt when this VM sent the request that was answered
  * @param ageMs age of the confirmation when the answer left
  */
-export function noteConfirmed (currency: Currency, askedAt: Millis, ageMs: Millis): void {
+export function renewConfigLease (currency: ConfigLease, askedAt: Millis, ageMs: Millis): void {
   currency.confirmedAt = Math.max(currency.confirmedAt, askedAt - Math.max(0, ageMs))
 }
 
 /** Whether this VM may act on its configuration. */
-export function isCurrent (currency: Currency, now: Millis): boolean {
+export function isLeaseValid (currency: ConfigLease, now: Millis): boolean {
   return now - currency.confirmedAt < currency.leaseMs
 }
 
 /** Age of the confirmation, to be passed on; undefined when there is none worth passing on. */
-export function confirmedAge (currency: Currency, now: Millis): Millis | undefined {
-  return isCurrent(currency, now) ? now - currency.confirmedAt : undefined
+export function getConfirmationAge (currency: ConfigLease, now: Millis): Millis | undefined {
+  return isLeaseValid(currency, now) ? now - currency.confirmedAt : undefined
 }
--- a/packages/membership/src/core/directory.ts
+++ b/packages/membership/src/core/directory.ts
@@ -3,7 +3,7 @@
  * by this VM itself, from VMs below it in the tree, and from its parent. It loses records only that
  * it or VMs below it hear; what came from the parent stays until the parent says that it is gone.
  */
-import { canTake, nextState } from '@lynxcourse/base'
+import { hasTransition, nextState } from '@lynxcourse/base'
 import type { Chart, Millis, VmId } from '@lynxcourse/base'
 import type { DirectoryRecord, ServerRecord, VmRecord } from '../types/records.js'
 import { differs, isNewer, isTombstone } from '../types/records.js'
@@ -101,10 +101,10 @@
 function judgeVm (directory: Directory, record: VmRecord, source: RecordSource, quietMs: Millis): VmRecord | undefined {
   const { times, vmChart } = directory
   const extraMs = source === 'below' ? times.relayedMs : 0
-  if (quietMs > times.lostMs + extraMs && canTake(vmChart, record.state, 'timedOut')) {
+  if (quietMs > times.lostMs + extraMs && hasTransition(vmChart, record.state, 'timedOut')) {
     return { ...record, state: nextState(vmChart, record.state, 'timedOut') }
   }
-  if (quietMs > times.suspectMs + extraMs && canTake(vmChart, record.state, 'missed')) {
+  if (quietMs > times.suspectMs + extraMs && hasTransition(vmChart, record.state, 'missed')) {
     return { ...record, state: nextState(vmChart, record.state, 'missed') }
   }
   return undefined
--- a/packages/membership/src/core/tree.ts
+++ b/packages/membership/src/core/syncTree.ts
@@ -59,7 +59,7 @@
 }
 
 /** Builds the next request to the parent. */
-export function buildRequest (
+export function buildSyncRequest (
   uplink: Uplink, directory: Directory, self: VmRecord, configVersion: number, now: Millis
 ): SyncRequest {
   const vouched: DirectoryRecord[] = []
@@ -74,7 +74,7 @@
 }
 
 /** Answers a request from a VM below. */
-export function answerRequest (
+export function answerSyncRequest (
   directory: Directory, request: SyncRequest, confirmedAgeMs: Millis | undefined, leader: string, now: Millis
 ): SyncAnswer {
   putRecord(directory, request.self, 'direct', now)
@@ -91,7 +91,7 @@
 }
 
 /** Takes the parent's answer over. */
-export function takeAnswer (uplink: Uplink, directory: Directory, request: SyncRequest, answer: SyncAnswer, now: Millis): void {
+export function applySyncAnswer (uplink: Uplink, directory: Directory, request: SyncRequest, answer: SyncAnswer, now: Millis): void {
   for (const record of request.vouched) uplink.sent.set(keyOf(record), { record, at: now })
   for (const key of uplink.sent.keys()) {
     if (!directory.records.has(key)) uplink.sent.delete(key)
--- a/packages/membership/src/internal.ts
+++ b/packages/membership/src/internal.ts
@@ -2,5 +2,5 @@
 export * from './types/records.js'
 export * from './types/sync.js'
 export * from './core/directory.js'
-export * from './core/currency.js'
-export * from './core/tree.js'
+export * from './core/configLease.js'
+export * from './core/syncTree.js'
--- a/packages/placement/__tests__/callerView.test.ts
+++ b/packages/placement/__tests__/callerView.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { createCallerView, createLoadNotes, hasOpenedLate, mustLook, nextStep, noteLook, startRun } from '@lynxcourse/placement'
-import type { EntryState, EntryTerms } from '@lynxcourse/placement'
-import { fleetOf, request, server } from './support/fleet.js'
+import { createCallerView, createLoadNotes, hasOpenedLate, mustLook, decideNextStep, noteLook, startRequest } from '@lynxcourse/placement'
+import type { EntryState, DecisionConditions } from '@lynxcourse/placement'
+import { createTestFleet, request, server } from './support/fleet.js'
 
 const seed = 61
 console.log(`seed ${seed}`)
@@ -13,20 +13,20 @@
 const deadline = 100_000
 /** 500 ms less the time in which a connection opens and the network delay to a server in another region. */
 const maxAgeMs = 250
-const terms: EntryTerms = { retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 1000 }, isLeaving: false }
+const terms: DecisionConditions = { retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 1000 }, isStopping: false }
 
 function createEntry (): EntryState {
-  return { fleet: fleetOf(server('s0'), server('s1')), load: createLoadNotes(arrivedAt), retries: new Map(), waitingForRoom: new Map() }
+  return { fleet: createTestFleet(server('s0'), server('s1')), load: createLoadNotes(arrivedAt), retries: new Map(), waitingForCapacity: new Map() }
 }
 
 /** Guards against work that is started for callers whose close follows their request and has not been read. */
 test('a request that was just read is sent after one poll', () => {
   const { tried: _, ...asked } = request({ arrivedAt, deadline })
   const entry = createEntry()
-  const run = startRun(entry, asked, createCallerView(), terms, arrivedAt)
-  assert.equal(nextStep(entry, run, terms, arrivedAt).type, 'look')
+  const run = startRequest(entry, asked, createCallerView(), terms, arrivedAt)
+  assert.equal(decideNextStep(entry, run, terms, arrivedAt).type, 'look')
   noteLook(run.caller, arrivedAt)
-  assert.equal(nextStep(entry, run, terms, arrivedAt + 5).type, 'send')
+  assert.equal(decideNextStep(entry, run, terms, arrivedAt + 5).type, 'send')
 })
 
 /** Guards against work that is started for disconnected callers while a VM is behind with reading. */
@@ -35,10 +35,10 @@
     const { tried: _, ...asked } = request({ arrivedAt, deadline })
     const entry = createEntry()
     let now = arrivedAt + unreadMs
-    const run = startRun(entry, asked, createCallerView(), terms, now)
+    const run = startRequest(entry, asked, createCallerView(), terms, now)
     let polledAt = -Infinity
     for (const tookMs of pollTimes) {
-      const step = nextStep(entry, run, terms, now)
+      const step = decideNextStep(entry, run, terms, now)
       if (step.type !== 'look') {
         assert.ok(step.type !== 'send' || now - polledAt <= maxAgeMs)
         return
--- a/packages/placement/__tests__/entryChoice.test.ts
+++ b/packages/placement/__tests__/entryChoice.test.ts
@@ -1,7 +1,7 @@
 /** The entry VMs that lookups return. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { brandId, makeRandom } from '@lynxcourse/base'
+import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId } from '@lynxcourse/base'
 import { chooseEntries } from '@lynxcourse/placement'
 import type { HeardEntry } from '@lynxcourse/placement'
@@ -11,7 +11,7 @@
 const staleMs = 2600
 const now = 1500
 const chennai = brandId<RegionId>('chennai')
-const random = makeRandom(seed)
+const random = createRandom(seed)
 
 function entry (name: string, region: RegionId, isReady = true, heardAt = 1000): HeardEntry {
   return { presence: { name, address: `${name}:80`, failureDomain: brandId<FailureDomainId>(`${region}-a`), region, isReady }, heardAt }
--- a/packages/placement/__tests__/fleetBounds.test.ts
+++ b/packages/placement/__tests__/fleetBounds.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check'
 import { hasColdToken, isWarmingVm, noteRequest, slotShare, spendRepeat, takeColdToken } from '@lynxcourse/placement'
 import type { RetryShare } from '@lynxcourse/placement'
-import { desk, fleetOf, server } from './support/fleet.js'
+import { desk, createTestFleet, server } from './support/fleet.js'
 
 const seed = 23
 console.log(`seed ${seed}`)
@@ -55,7 +55,7 @@
 
 /** Guards against this failure: callers of a failure domain with one VM are refused twice as often as others. */
 test('a VM\'s share of the slots follows its part of the demand, within bounds', () => {
-  const fleet = { ...fleetOf(server('a'), server('b'), server('c'), server('d')), vms: ['vm-1', 'vm-2', 'vm-3', 'vm-4'] }
+  const fleet = { ...createTestFleet(server('a'), server('b'), server('c'), server('d')), vms: ['vm-1', 'vm-2', 'vm-3', 'vm-4'] }
   assert.equal(slotShare(fleet, desk), 3)
   fleet.demandParts.set(desk, 0.5)
   assert.equal(slotShare(fleet, desk), 6)
--- a/packages/placement/__tests__/fleetServer.test.ts
+++ b/packages/placement/__tests__/fleetServer.test.ts
@@ -5,12 +5,12 @@
 import type { ServerId } from '@lynxcourse/base'
 import { isStalled, learnCutWork, noteAnswered, noteBad, noteGood, noteSharedSilence, noteStart, noteStop, owedFor } from '@lynxcourse/placement'
 import type { FleetServer } from '@lynxcourse/placement'
-import { mumbai, server, fleetOf, request, sentTo } from './support/fleet.js'
+import { mumbai, server, createTestFleet, request, sentTo } from './support/fleet.js'
 
 /** Guards against this failure: requests pile up at a server that answers nothing. */
 test('a server that holds a request far longer than expected gets no further ones', () => {
   const dark = server('dark')
-  const fleet = fleetOf(dark, server('other', mumbai))
+  const fleet = createTestFleet(dark, server('other', mumbai))
   noteStart(dark, 100, 100, 1000)
   assert.equal(isStalled(dark, 1400), false)
   assert.equal(isStalled(dark, 1600), true)
@@ -25,11 +25,11 @@
   assert.equal(bad.ejectedUntil, 1400)
   noteBad(bad, false, 1400)
   assert.equal(bad.ejectedUntil, 2200)
-  assert.equal(sentTo(fleetOf(bad), request(), 1500), 'bad')
+  assert.equal(sentTo(createTestFleet(bad), request(), 1500), 'bad')
 })
 
 test('a server that answers no VM gets nothing while others are open, until it answers this one', () => {
-  const fleet = fleetOf(server('a'), server('b'))
+  const fleet = createTestFleet(server('a'), server('b'))
   const home = sentTo(fleet, request())
   const held = fleet.byId.get(brandId<ServerId>(home)) as FleetServer
   noteSharedSilence(held, true, 900)
--- a/packages/placement/__tests__/learning.test.ts
+++ b/packages/placement/__tests__/learning.test.ts
@@ -2,19 +2,19 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createLoadNotes, noteResult, placeRequest } from '@lynxcourse/placement'
-import type { EntryState, Placed, SendEnd } from '@lynxcourse/placement'
-import { fleetOf, request, server } from './support/fleet.js'
+import type { EntryState, Placement, SendOutcome } from '@lynxcourse/placement'
+import { createTestFleet, request, server } from './support/fleet.js'
 
 const now = 1000
 
-function stateOf (): { entry: EntryState, placed: Placed } {
-  const fleet = fleetOf(server('a'))
+function stateOf (): { entry: EntryState, placed: Placement } {
+  const fleet = createTestFleet(server('a'))
   const placed = placeRequest(fleet, request(), now)
   assert.ok(placed.type === 'send')
-  return { entry: { fleet, load: createLoadNotes(now), retries: new Map(), waitingForRoom: new Map() }, placed }
+  return { entry: { fleet, load: createLoadNotes(now), retries: new Map(), waitingForCapacity: new Map() }, placed }
 }
 
-function toldAfter (end: SendEnd): number {
+function toldAfter (end: SendOutcome): number {
   const { entry, placed } = stateOf()
   noteResult(entry, request(), placed, end, 5, now + 5)
   return entry.load.failed.size
--- a/packages/placement/__tests__/loadBoard.test.ts
+++ b/packages/placement/__tests__/loadBoard.test.ts
@@ -4,13 +4,13 @@
 import { brandId } from '@lynxcourse/base'
 import type { RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { createLoadBoard, createLoadIntake, createLoadNotes, newsFor, newsLines, noteAhead, noteDemand, noteDigest, noteFailedServer, noteLoadReport, takeDigest, takeLoadReport, takeNews, takePlanLines, updateBoard } from '@lynxcourse/placement'
-import type { LoadBoard, ServerPlaces, ServiceSlots } from '@lynxcourse/placement'
+import type { LoadBoard, KnownServers, ServiceSlots } from '@lynxcourse/placement'
 
 const desk = brandId<ServiceId>('desk')
 const kochi = brandId<RegionId>('kochi')
 const chennai = brandId<RegionId>('chennai')
 const server = brandId<ServerId>('i-1')
-const knownServers: ServerPlaces = new Map([[server, { service: desk, region: kochi, slots: 3, isSettled: true }]])
+const knownServers: KnownServers = new Map([[server, { service: desk, region: kochi, slots: 3, isSettled: true }]])
 const slots: ServiceSlots = new Map([[desk, new Map([[kochi, 300], [chennai, 30]])]])
 
 /**
@@ -107,7 +107,7 @@
 test('weights of unevenly loaded servers are published, once to each VM, and the next leader continues from them', () => {
   const board = createLoadBoard()
   const even = [1, 2, 3].map(place => brandId<ServerId>(`even-${place}`))
-  const uneven: ServerPlaces = new Map([server, ...even].map(id => [id, { service: desk, region: kochi, slots: 3, isSettled: true }]))
+  const uneven: KnownServers = new Map([server, ...even].map(id => [id, { service: desk, region: kochi, slots: 3, isSettled: true }]))
   for (let now = 0; now < 8000; now += 400) {
     noteDigest(board, 'control-1', { servers: [[server, 9], ...even.map(id => [id, 1.5] as const)], busy: [], failed: [] }, now)
     updateBoard(board, slots, uneven, now)
--- a/packages/placement/__tests__/requestRun.test.ts
+++ b/packages/placement/__tests__/requestSteps.test.ts
@@ -2,14 +2,14 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { beginSend, concurrencyOf, createCallerView, createLoadNotes, endSend, isStranded, nextStep, noteLook, startRun } from '@lynxcourse/placement'
-import type { CallerView, EntryState, EntryTerms, RequestRun, RunStep, SendEnd } from '@lynxcourse/placement'
-import { desk, fleetOf, request, route, server } from './support/fleet.js'
+import { beginSend, getConcurrency, createCallerView, createLoadNotes, endSend, isServerUnresponsive, decideNextStep, noteLook, startRequest } from '@lynxcourse/placement'
+import type { CallerView, EntryState, DecisionConditions, RequestState, RequestStep, SendOutcome } from '@lynxcourse/placement'
+import { desk, createTestFleet, request, route, server } from './support/fleet.js'
 
 const seed = 53
 console.log(`seed ${seed}`)
 
-const terms: EntryTerms = { retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 1000 }, isLeaving: false }
+const terms: DecisionConditions = { retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 1000 }, isStopping: false }
 const startedAt = 1000
 const serverCount = 8
 
@@ -21,29 +21,29 @@
 }
 
 function entryOf (): EntryState {
-  return { fleet: fleetOf(...Array.from({ length: serverCount }, (_, place) => server(`s${place}`))), load: createLoadNotes(startedAt), retries: new Map(), waitingForRoom: new Map() }
+  return { fleet: createTestFleet(...Array.from({ length: serverCount }, (_, place) => server(`s${place}`))), load: createLoadNotes(startedAt), retries: new Map(), waitingForCapacity: new Map() }
 }
 
-const ends: fc.Arbitrary<SendEnd> = fc.oneof(
+const ends: fc.Arbitrary<SendOutcome> = fc.oneof(
   fc.record({ type: fc.constant('answered' as const), status: fc.constantFrom(200, 404, 500, 503), openMs: fc.constant(0) }),
   fc.record({ type: fc.constant('notRun' as const), reason: fc.constantFrom('full' as const, 'elsewhere' as const, 'unreached' as const) }),
   fc.record({ type: fc.constant('lost' as const), reason: fc.constantFrom('failed' as const, 'spoiled' as const, 'deadline' as const, 'slow' as const, 'stranded' as const, 'gone' as const) })
 )
 
 interface Course {
-  readonly run: RequestRun
-  readonly sent: SendEnd[]
-  readonly last: RunStep
+  readonly run: RequestState
+  readonly sent: SendOutcome[]
+  readonly last: RequestStep
 }
 
 /** Plays a request whose sends end like this, each after some time, to its final step. */
-function play (entry: EntryState, isIdempotent: boolean, maxAttempts: number, given: readonly SendEnd[], tookMs: number): Course {
+function play (entry: EntryState, isIdempotent: boolean, maxAttempts: number, given: readonly SendOutcome[], tookMs: number): Course {
   const { tried: _, ...asked } = request({ route: route('read', { isIdempotent, maxAttempts }), arrivedAt: startedAt, deadline: startedAt + 1000 })
   let now = startedAt
-  const run = startRun(entry, asked, seenCaller(), terms, now)
-  const sent: SendEnd[] = []
+  const run = startRequest(entry, asked, seenCaller(), terms, now)
+  const sent: SendOutcome[] = []
   for (;;) {
-    const step = nextStep(entry, run, terms, now)
+    const step = decideNextStep(entry, run, terms, now)
     if (step.type === 'look') {
       noteLook(run.caller, now)
       continue
@@ -54,7 +54,7 @@
     }
     const end = given[sent.length]
     if (step.type !== 'send' || end === undefined) return { run, sent, last: step }
-    const sending = beginSend(entry, run, step.placed, now)
+    const sending = beginSend(entry, run, step.placement, now)
     now += tookMs
     sent.push(end)
     endSend(entry, run, sending, end, now)
@@ -63,7 +63,7 @@
 
 const courses = fc.record({ isIdempotent: fc.boolean(), maxAttempts: fc.integer({ min: 1, max: 4 }), ends: fc.array(ends, { minLength: 12, maxLength: 12 }), tookMs: fc.integer({ min: 1, max: 600 }) })
 
-function mayHaveRun (end: SendEnd): boolean {
+function mayHaveRun (end: SendOutcome): boolean {
   return end.type !== 'notRun'
 }
 
@@ -90,7 +90,7 @@
   fc.assert(fc.property(courses, given => {
     const entry = entryOf()
     play(entry, given.isIdempotent, given.maxAttempts, given.ends, given.tookMs)
-    assert.equal(concurrencyOf(entry.fleet, desk).underWay, 0)
+    assert.equal(getConcurrency(entry.fleet, desk).underWay, 0)
     for (const { running } of entry.fleet.byId.values()) assert.equal(running.size, 0)
   }), { seed })
 })
@@ -98,26 +98,26 @@
 test('a VM that stops lets nothing wait for room', () => {
   const entry = entryOf()
   const { tried: _, ...asked } = request()
-  concurrencyOf(entry.fleet, desk).underWay = 1000
-  assert.equal(nextStep(entry, startRun(entry, asked, seenCaller(), terms, startedAt), terms, startedAt).type, 'wait')
+  getConcurrency(entry.fleet, desk).underWay = 1000
+  assert.equal(decideNextStep(entry, startRequest(entry, asked, seenCaller(), terms, startedAt), terms, startedAt).type, 'wait')
   const leaving = { ...terms, isLeaving: true }
-  assert.equal(nextStep(entry, startRun(entry, asked, seenCaller(), leaving, startedAt), leaving, startedAt).type, 'refuse')
+  assert.equal(decideNextStep(entry, startRequest(entry, asked, seenCaller(), leaving, startedAt), leaving, startedAt).type, 'refuse')
 })
 
 /** Guards against requests that reach an evacuated failure domain long after they were sent, and against ended work that goes on well. */
 test('a send is stranded where it is overdue, its server is closed to work, and nothing was heard of it since', () => {
   const entry = entryOf()
   const { tried: _, ...asked } = request({ route: route('read', { isIdempotent: false }), arrivedAt: startedAt, deadline: startedAt + 60_000 })
-  const step = nextStep(entry, startRun(entry, asked, seenCaller(), terms, startedAt), terms, startedAt)
+  const step = decideNextStep(entry, startRequest(entry, asked, seenCaller(), terms, startedAt), terms, startedAt)
   assert.ok(step.type === 'send')
-  const { placed } = step
-  const sending = beginSend(entry, startRun(entry, asked, seenCaller(), terms, startedAt), placed, startedAt)
+  const { placement: placed } = step
+  const sending = beginSend(entry, startRequest(entry, asked, seenCaller(), terms, startedAt), placed, startedAt)
   const late = sending.overdueAt
-  assert.equal(isStranded(entry, sending, terms, late), false)
+  assert.equal(isServerUnresponsive(entry, sending, terms, late), false)
   placed.server.facts = { ...placed.server.facts, isClosed: true }
-  assert.equal(isStranded(entry, sending, terms, late - 1), false)
-  assert.equal(isStranded(entry, sending, terms, late), true)
-  assert.equal(isStranded(entry, sending, { ...terms, isLeaving: true }, late), false)
-  placed.server.answeredAt = startedAt + 1
-  assert.equal(isStranded(entry, sending, terms, late), false)
+  assert.equal(isServerUnresponsive(entry, sending, terms, late - 1), false)
+  assert.equal(isServerUnresponsive(entry, sending, terms, late), true)
+  assert.equal(isServerUnresponsive(entry, sending, { ...terms, isStopping: true }, late), false)
+  placed.server.lastAnsweredAt = startedAt + 1
+  assert.equal(isServerUnresponsive(entry, sending, terms, late), false)
 })
--- a/packages/placement/__tests__/serverWeights.test.ts
+++ b/packages/placement/__tests__/serverWeights.test.ts
@@ -1,7 +1,7 @@
 /** Weights in rendezvous hashing: simulated load on many servers. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { brandId, makeRandom } from '@lynxcourse/base'
+import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { createFleetServer, minWeight, placesOf, adjustWeights } from '@lynxcourse/placement'
 import type { FleetServer } from '@lynxcourse/placement'
@@ -42,7 +42,7 @@
  * had not handled the object before.
  */
 function simulateWeights (servers: readonly FleetServer[], objects: number, seconds: number): number {
-  const random = makeRandom(7)
+  const random = createRandom(7)
   const weights = new Map<ServerId, number>()
   let moves = 0
   let before = assignObjects(servers, objects)
--- a/packages/placement/src/core/board/boardPlans.ts
+++ b/packages/placement/src/core/board/boardPlans.ts
@@ -2,8 +2,8 @@
 import type { Millis, RegionId, ServiceId } from '@lynxcourse/base'
 import { estimatePeakDemand, createInitialPlan, shouldMoveObjects, advancePlan, computeTargetPlan } from '../region/regionPlan.js'
 import type { RegionLoad } from '../region/regionPlan.js'
-import { busyForMs } from '../../types/loads.js'
-import type { ServerPlaces, ServiceSlots } from '../../types/loads.js'
+import { loadReportTtlMs } from '../../types/loads.js'
+import type { KnownServers, ServiceSlots } from '../../types/loads.js'
 import type { LoadBoard } from './loadBoard.js'
 
 /** Smoothing of the demand per second: averages about three seconds of a wave of callers. */
@@ -22,12 +22,12 @@
 export function smoothDemand (board: LoadBoard, passedMs: Millis, now: Millis): void {
   const current = new Map<string, number>()
   for (const [control, { busy, at }] of board.byControl) {
-    if (now - at > busyForMs) board.byControl.delete(control)
+    if (now - at > loadReportTtlMs) board.byControl.delete(control)
     else for (const [service, region, slots] of busy) current.set(`${service} ${region}`, (current.get(`${service} ${region}`) ?? 0) + slots)
   }
   // The demand that a former leader published stays in force until the VMs' reports have arrived. Without this rule,
   // missing reports would look like falling demand and move objects away from the servers that are warm for them.
-  if (board.demand.size > 0 && now - board.resumedAt < busyForMs) return
+  if (board.demand.size > 0 && now - board.resumedAt < loadReportTtlMs) return
   if (board.measurementStartedAt === undefined && current.size > 0) board.measurementStartedAt = now
   const measuredMs = now - (board.measurementStartedAt ?? now)
   // The first reports are averaged. If demand were smoothed up from zero, it would look so small at first that objects
@@ -56,14 +56,14 @@
 }
 
 /** Updates the plan of each service. */
-export function planRegions (board: LoadBoard, slots: ServiceSlots, knownServers: ServerPlaces, passedMs: Millis, now: Millis): void {
+export function planRegions (board: LoadBoard, slots: ServiceSlots, knownServers: KnownServers, passedMs: Millis, now: Millis): void {
   if (updateSlots(board, slots)) board.fastMoveUntil = now + fastMoveMs
   const serverSlots = computeMeanSlots(knownServers)
   for (const [service, byRegion] of slots) planService(board, service, byRegion, serverSlots.get(service) ?? 1, passedMs, now)
 }
 
 /** Returns the mean number of slots per server, by service. */
-function computeMeanSlots (knownServers: ServerPlaces): Map<ServiceId, number> {
+function computeMeanSlots (knownServers: KnownServers): Map<ServiceId, number> {
   const sums = new Map<ServiceId, { slots: number, servers: number }>()
   for (const { service, slots } of knownServers.values()) {
     const sum = sums.get(service) ?? { slots: 0, servers: 0 }
@@ -83,7 +83,7 @@
   const demand = loads.reduce((sum, load) => sum + load.demand, 0)
   const total = loads.reduce((sum, load) => sum + load.slots, 0)
   const measuredMs = now - (board.measurementStartedAt ?? now)
-  if (demand >= total * minMeasuredUtilization && measuredMs >= busyForMs) board.measuredServices.add(service)
+  if (demand >= total * minMeasuredUtilization && measuredMs >= loadReportTtlMs) board.measuredServices.add(service)
   if (current === undefined || !board.measuredServices.has(service)) {
     board.plans.set(service, createInitialPlan(loads, serverSlots))
     return
--- a/packages/placement/src/core/board/loadBoard.ts
+++ b/packages/placement/src/core/board/loadBoard.ts
@@ -13,7 +13,7 @@
 import { planRegions, smoothDemand } from './boardPlans.js'
 import { createSilentServers, recordFailures, listSilentServers } from './silentServers.js'
 import type { SilentServers } from './silentServers.js'
-import type { BusySlots, LoadDigest, LoadNews, PlanNews, ServerPlaces, ServiceSlots, WeightNews } from '../../types/loads.js'
+import type { SlotDemand, LoadDigest, LoadUpdate, PlanUpdate, KnownServers, ServiceSlots, WeightUpdate } from '../../types/loads.js'
 
 /**
  * Maintained by the leader. Every other control VM stores the last published update and plans, so that it can continue
@@ -25,7 +25,7 @@
   /** Utilization of servers, smoothed over some seconds; weights are adjusted by it. */
   readonly utilizations: Map<ServerId, number>
   /** Demand in slots, by the control VM that reported it. */
-  readonly byControl: Map<string, { readonly busy: BusySlots, readonly at: Millis }>
+  readonly byControl: Map<string, { readonly busy: SlotDemand, readonly at: Millis }>
   /** Smoothed demand by service and region, and its recent peak. */
   readonly demand: Map<string, number>
   readonly peaks: Map<string, number>
@@ -50,7 +50,7 @@
   keptAt: Millis
   /** Fraction of objects that stays in its own region, by service and region, as last logged. */
   readonly loggedShares: Map<string, number>
-  news: LoadNews
+  news: LoadUpdate
 }
 
 /** Smoothing of a server's queue depth per report; about five reports arrive per second. */
@@ -110,7 +110,7 @@
 }
 
 /** Smooths the demand, updates plans and weights, and lists the full servers. The leader calls it once per exchange. */
-export function updateBoard (board: LoadBoard, slots: ServiceSlots, knownServers: ServerPlaces, now: Millis): void {
+export function updateBoard (board: LoadBoard, slots: ServiceSlots, knownServers: KnownServers, now: Millis): void {
   const passedMs = Number.isFinite(board.plannedAt) ? Math.min(1000, now - board.plannedAt) : 0
   if (now - board.plannedAt > leadershipPauseMs) board.resumedAt = now
   board.plannedAt = now
@@ -123,7 +123,7 @@
   board.news = { full, silent, plans: encodePlans(board, computeServiceUtilizations(board, knownServers, slots)), weights: buildWeightUpdate(board, knownServers, now) }
 }
 
-function listFullServers (board: LoadBoard, knownServers: ServerPlaces, now: Millis): LoadNews['full'] {
+function listFullServers (board: LoadBoard, knownServers: KnownServers, now: Millis): LoadUpdate['full'] {
   const fullest: Array<readonly [ServerId, number]> = []
   for (const [server, { ahead, at }] of board.queueDepths) {
     const slots = knownServers.get(server)?.slots
@@ -134,7 +134,7 @@
 }
 
 /** Smooths the servers' utilization over some seconds, so that chance variations move no weights. */
-function smoothUtilizations (board: LoadBoard, knownServers: ServerPlaces, passedMs: Millis): void {
+function smoothUtilizations (board: LoadBoard, knownServers: KnownServers, passedMs: Millis): void {
   const gain = Math.min(1, passedMs / utilizationSmoothingMs)
   for (const [id, { ahead }] of board.queueDepths) {
     const slots = knownServers.get(id)?.slots ?? 1
@@ -145,7 +145,7 @@
 }
 
 /** Lists the utilization of the servers that were reported recently and take work like their neighbours. */
-function listSettledUtilizations (board: LoadBoard, knownServers: ServerPlaces): ServerUtilization[] {
+function listSettledUtilizations (board: LoadBoard, knownServers: KnownServers): ServerUtilization[] {
   const utilizations: ServerUtilization[] = []
   for (const [id, fill] of board.utilizations) {
     const server = knownServers.get(id)
@@ -158,7 +158,7 @@
  * Returns the weights to publish. The last version is returned until its interval has passed, so that VMs receive each
  * version once.
  */
-function buildWeightUpdate (board: LoadBoard, knownServers: ServerPlaces, now: Millis): WeightNews {
+function buildWeightUpdate (board: LoadBoard, knownServers: KnownServers, now: Millis): WeightUpdate {
   const published = board.news.weights
   if (published !== undefined && now - board.weightsPublishedAt < weightsIntervalMs) return published
   board.weightsPublishedAt = now
@@ -171,13 +171,13 @@
  * Returns the update for a VM that has a version of the weights: the weights are left out if that version is the
  * current one.
  */
-export function newsFor (update: LoadNews, knownVersion: number): LoadNews {
+export function newsFor (update: LoadUpdate, knownVersion: number): LoadUpdate {
   if (update.weights?.version !== knownVersion) return update
   return { full: update.full, plans: update.plans, silent: update.silent }
 }
 
 /** Returns the queue depth per slot, by service. A server without a recent report counts as idle. */
-function computeServiceUtilizations (board: LoadBoard, knownServers: ServerPlaces, slots: ServiceSlots): Map<ServiceId, number> {
+function computeServiceUtilizations (board: LoadBoard, knownServers: KnownServers, slots: ServiceSlots): Map<ServiceId, number> {
   const queueDepths = new Map<ServiceId, number>()
   for (const [server, stored] of board.queueDepths) {
     const service = knownServers.get(server)?.service
@@ -189,7 +189,7 @@
   }))
 }
 
-function encodePlans ({ plans, measuredServices, demand, peaks }: LoadBoard, utilizations: ReadonlyMap<ServiceId, number>): PlanNews[] {
+function encodePlans ({ plans, measuredServices, demand, peaks }: LoadBoard, utilizations: ReadonlyMap<ServiceId, number>): PlanUpdate[] {
   const round = (slots: number): number => Math.round(slots * 10) / 10
   const rounded = (shares: ReadonlyMap<RegionId, number>): Array<readonly [RegionId, number]> => [...shares].map(([region, share]) => [region, Math.round(share * 1000) / 1000])
   return [...plans].map(([service, plan]) => ({
@@ -203,7 +203,7 @@
 }
 
 /** Applies the leader's update at another control VM, which continues from these plans if it becomes the leader. */
-export function takeNews (board: LoadBoard, update: LoadNews): void {
+export function takeNews (board: LoadBoard, update: LoadUpdate): void {
   const weights = update.weights ?? board.news.weights
   board.news = weights === undefined ? update : { ...update, weights }
   board.weights.clear()
--- a/packages/placement/src/core/board/loadIntake.ts
+++ b/packages/placement/src/core/board/loadIntake.ts
@@ -1,6 +1,6 @@
 /** Combines the load reports of a control VM's entry VMs into one digest for the leader. */
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { busyForMs } from '../../types/loads.js'
+import { loadReportTtlMs } from '../../types/loads.js'
 import type { LoadDigest, LoadReport } from '../../types/loads.js'
 
 /** The demand that an entry VM last reported. */
@@ -36,7 +36,7 @@
   aggregate.failed.clear()
   const sums = new Map<string, [ServiceId, RegionId, number]>()
   for (const [vm, { region, at, busy }] of aggregate.byVm) {
-    if (now - at > busyForMs) {
+    if (now - at > loadReportTtlMs) {
       aggregate.byVm.delete(vm)
       continue
     }
--- a/packages/placement/src/core/board/loadLog.ts
+++ b/packages/placement/src/core/board/loadLog.ts
@@ -1,6 +1,6 @@
 /** Log lines for the leader's decisions about load: region plans, silent servers, weights. */
 import type { RegionId, ServiceId } from '@lynxcourse/base'
-import type { LoadNews } from '../../types/loads.js'
+import type { LoadUpdate } from '../../types/loads.js'
 import type { LoadBoard } from './loadBoard.js'
 
 /** Change of a region's share that is logged again. A plan changes by up to 1.2 % per exchange. */
@@ -39,7 +39,7 @@
 }
 
 /** Returns the log lines for the differences between two updates. */
-export function newsLines (before: LoadNews, after: LoadNews): LogLine[] {
+export function newsLines (before: LoadUpdate, after: LoadUpdate): LogLine[] {
   const lines: LogLine[] = []
   const silent = after.silent.filter(id => !before.silent.includes(id))
   const retried = before.silent.filter(id => !after.silent.includes(id))
--- a/packages/placement/src/core/object/hashPlaces.ts
+++ b/packages/placement/src/core/object/hashPlaces.ts
@@ -2,7 +2,7 @@
  * Ranks servers for an object by rendezvous hashing. All VMs compute the same ranks without communication, so they warm
  * the same servers.
  */
-import { hashText, mixHashes } from '@lynxcourse/base'
+import { hashText, combineHashes } from '@lynxcourse/base'
 import type { RegionId, ServerId } from '@lynxcourse/base'
 import type { FleetServer } from '../server/fleetServer.js'
 
@@ -23,7 +23,7 @@
       topTwo = { first: undefined, firstScore: -1, second: undefined, secondScore: -1 }
       byRegion.set(server.facts.region, topTwo)
     }
-    insertScore(topTwo, server, computeScore(mixHashes(objectHash, server.hash), server.weight))
+    insertScore(topTwo, server, computeScore(combineHashes(objectHash, server.hash), server.weight))
   }
   const ranks = new Map<ServerId, HashPlace>()
   for (const [region, { first, second }] of byRegion) {
--- a/packages/placement/src/core/request/fleet.ts
+++ b/packages/placement/src/core/request/fleet.ts
@@ -18,7 +18,7 @@
   readonly region: RegionId
   readonly random: Random
   /** Mechanisms that are left out. */
-  readonly without: ReadonlySet<Mechanism>
+  readonly disabledMechanisms: ReadonlySet<Mechanism>
 }
 
 /** Servers, what was learned of them, and the VMs beside this one. */
@@ -31,14 +31,14 @@
   /** Smoothed time in a slot, by service. */
   readonly meanWork: Map<ServiceId, Millis>
   /** Smoothed two-way travel to other regions; learned from connecting. */
-  readonly travel: Map<RegionId, Millis>
+  readonly roundTripTimes: Map<RegionId, Millis>
   /** Requests a second that a cold server of a service bears. */
-  readonly coldRates: Map<ServiceId, number>
+  readonly coldRequestRates: Map<ServiceId, number>
   vms: readonly string[]
   /** Where this region's objects are served, by service; empty before the first plan came. */
   readonly shares: Map<ServiceId, RegionShares>
   /** Requests ahead for each slot, by service, as all VMs together saw it. */
-  readonly sharedFill: Map<ServiceId, number>
+  readonly sharedUtilization: Map<ServiceId, number>
   /** This VM's part of the demand for a service, as all VMs together saw it. */
   readonly demandParts: Map<ServiceId, number>
   /** Chance that an object is warm where hashing puts it, by route, service and kind of place. */
@@ -58,11 +58,11 @@
     warmth: createWarmth(),
     work: new Map(),
     meanWork: new Map(),
-    travel: new Map(),
-    coldRates: new Map(),
+    roundTripTimes: new Map(),
+    coldRequestRates: new Map(),
     vms,
     shares: new Map(),
-    sharedFill: new Map(),
+    sharedUtilization: new Map(),
     demandParts: new Map(),
     placeWarm: new Map(),
     meanSlowness: new Map(),
@@ -71,7 +71,7 @@
 }
 
 /** Puts the fleet's servers into groups by service; to be called when servers came or left. */
-export function regroupServers (fleet: Fleet): void {
+export function groupServersByService (fleet: Fleet): void {
   fleet.byService = new Map()
   for (const server of fleet.byId.values()) {
     const group = fleet.byService.get(server.facts.service)
@@ -102,7 +102,7 @@
 const slownessMeanSmoothing = 0.02
 
 /** The requests of a service under way at this VM. */
-export function concurrencyOf (fleet: Fleet, service: ServiceId): Concurrency {
+export function getConcurrency (fleet: Fleet, service: ServiceId): Concurrency {
   const known = fleet.concurrency.get(service)
   if (known !== undefined) return known
   const made = createConcurrency(slotShare(fleet, service))
@@ -160,6 +160,6 @@
 }
 
 /** Two-way travel to a region's servers. */
-export function travelTo (fleet: Fleet, region: RegionId): Millis {
-  return fleet.travel.get(region) ?? (region === fleet.setup.region ? 0 : unknownTravelMs)
+export function estimateRoundTrip (fleet: Fleet, region: RegionId): Millis {
+  return fleet.roundTripTimes.get(region) ?? (region === fleet.setup.region ? 0 : unknownTravelMs)
 }
--- a/packages/placement/src/core/request/learning.ts
+++ b/packages/placement/src/core/request/learning.ts
@@ -1,7 +1,7 @@
 /** What an entry VM learns from how a send ended: of the server, of the work, and of the load. */
 import type { Millis } from '@lynxcourse/base'
-import { isServerError } from '../../types/sends.js'
-import type { LostReason, SendEnd } from '../../types/sends.js'
+import { isServerError } from '../../types/sendOutcome.js'
+import type { LostReason, SendOutcome } from '../../types/sendOutcome.js'
 import { learnConcurrency } from '../admission/concurrency.js'
 import { noteAhead, noteFailedServer } from '../board/loadReport.js'
 import { noteHandled } from '../object/warmth.js'
@@ -9,16 +9,16 @@
 import { noteAnswered, noteBad, noteFull, noteGood, noteReport, owedFor } from '../server/fleetServer.js'
 import type { FleetServer } from '../server/fleetServer.js'
 import type { EntryState } from './entryState.js'
-import { concurrencyOf, learnSlowness, learnWarmChance, slotShare, travelTo, workKey } from './fleet.js'
-import type { Placed } from './placeRequest.js'
-import type { PlaceRequest } from './scoring.js'
+import { getConcurrency, learnSlowness, learnWarmChance, slotShare, estimateRoundTrip, workKey } from './fleet.js'
+import type { Placement } from './placeRequest.js'
+import type { PlacementRequest } from './scoring.js'
 
 /**
  * Notes that a server answered.
  *
  * @param ahead requests running and waiting there by its own word; undefined if it told none
  */
-export function noteReply ({ load }: EntryState, server: FleetServer, ahead: number | undefined, now: Millis): void {
+export function recordReply ({ load }: EntryState, server: FleetServer, ahead: number | undefined, now: Millis): void {
   noteAnswered(server, now)
   if (ahead === undefined) return
   noteReport(server, ahead, now)
@@ -33,7 +33,7 @@
  *
  * @param tookMs time since the request was on an open connection
  */
-export function noteResult (entry: EntryState, request: PlaceRequest, placed: Placed, end: SendEnd, tookMs: Millis, now: Millis): void {
+export function noteResult (entry: EntryState, request: PlacementRequest, placed: Placement, end: SendOutcome, tookMs: Millis, now: Millis): void {
   const { server } = placed
   switch (end.type) {
     case 'answered':
@@ -65,7 +65,7 @@
  * same way. It shows as servers that are left alone while they answer others. So a request counts only where the server had the
  * time that the longest work takes: for the request itself, or for all that it owed this VM meanwhile.
  */
-function noteLost (entry: EntryState, request: PlaceRequest, placed: Placed, reason: LostReason, tookMs: Millis, now: Millis): void {
+function noteLost (entry: EntryState, request: PlacementRequest, placed: Placement, reason: LostReason, tookMs: Millis, now: Millis): void {
   const { server } = placed
   // Whether a stranded request ever reached its server is not known, and the server takes no more work.
   if (reason === 'gone' || reason === 'stranded') return
@@ -81,22 +81,22 @@
 }
 
 /** Learns how many requests of the service may be under way. */
-export function noteLoad (entry: EntryState, request: PlaceRequest, placed: Placed, end: SendEnd, tookMs: Millis, now: Millis): void {
+export function noteLoad (entry: EntryState, request: PlacementRequest, placed: Placement, end: SendOutcome, tookMs: Millis, now: Millis): void {
   const { fleet } = entry
   const isLate = end.type === 'lost' && (end.reason === 'deadline' || end.reason === 'slow')
   const isWork = end.type === 'answered' && !isServerError(end.status)
   if (!isLate && !isWork) return
   const ratio = isLate ? Infinity : inServerMs(entry, placed, tookMs) / expectedInServer(entry, request, placed)
-  learnConcurrency(concurrencyOf(fleet, request.service), ratio, slotShare(fleet, request.service), now)
+  learnConcurrency(getConcurrency(fleet, request.service), ratio, slotShare(fleet, request.service), now)
 }
 
 /** Time that a request spent at its server, waiting or working. */
-function inServerMs (entry: EntryState, placed: Placed, tookMs: Millis): Millis {
-  return Math.max(1, tookMs - travelTo(entry.fleet, placed.server.facts.region))
+function inServerMs (entry: EntryState, placed: Placement, tookMs: Millis): Millis {
+  return Math.max(1, tookMs - estimateRoundTrip(entry.fleet, placed.server.facts.region))
 }
 
 /** Time that the work alone was expected to take, by whether the object was warm. */
-function expectedInServer (entry: EntryState, request: PlaceRequest, placed: Placed): Millis {
+function expectedInServer (entry: EntryState, request: PlacementRequest, placed: Placement): Millis {
   const times = workOf(entry.fleet.work, workKey(request), request.route.aimMs)
   return placed.wasWarm ? times.warmMs : times.coldMs
 }
@@ -104,7 +104,7 @@
 /** A ratio below this tells of chance and not of a slow server. */
 const leastSlowRatio = 1.6
 
-function noteAnswer (entry: EntryState, request: PlaceRequest, placed: Placed, tookMs: Millis, now: Millis): void {
+function noteAnswer (entry: EntryState, request: PlacementRequest, placed: Placement, tookMs: Millis, now: Millis): void {
   const { fleet } = entry
   const { server, wasWarm, waitMs } = placed
   const times = workOf(fleet.work, workKey(request), request.route.aimMs)
--- a/packages/placement/src/core/request/placeRequest.ts
+++ b/packages/placement/src/core/request/placeRequest.ts
@@ -6,17 +6,17 @@
 import type { Millis, ServiceId } from '@lynxcourse/base'
 import { mayStart } from '../admission/concurrency.js'
 import type { Concurrency } from '../admission/concurrency.js'
-import { isCold } from '../server/coldShare.js'
-import { concurrencyOf, workKey } from './fleet.js'
+import { isCold } from '../server/coldRateLimit.js'
+import { getConcurrency, workKey } from './fleet.js'
 import type { Fleet } from './fleet.js'
 import type { HashPlace } from '../object/hashPlaces.js'
 import type { FleetServer } from '../server/fleetServer.js'
 import { findBest, mayServe } from './scoring.js'
-import type { PlaceRequest } from './scoring.js'
+import type { PlacementRequest } from './scoring.js'
 import { workOf } from '../object/workModel.js'
 
 /** Where a request goes, and what is expected of it there. */
-export interface Placed {
+export interface Placement {
   readonly type: 'send'
   readonly server: FleetServer
   readonly wasWarm: boolean
@@ -24,14 +24,14 @@
   readonly place: HashPlace | undefined
   readonly isCold: boolean
   readonly waitMs: Millis
-  readonly travelMs: Millis
+  readonly roundTripMs: Millis
   readonly workMs: Millis
   /** Time that the request takes at most as far as is known: the way, the wait, and the work for an object that is cold there. */
   readonly longestMs: Millis
 }
 
 /** Why a request goes nowhere now. */
-export interface Refused {
+export interface Refusal {
   readonly type: 'refuse'
   readonly reason: 'noServer' | 'noTime' | 'busy'
   /** After which a slot will have come. */
@@ -47,8 +47,8 @@
 const noServerRetryMs = 500
 
 /** Chooses a server for a request, or says when to come back. */
-export function placeRequest (fleet: Fleet, request: PlaceRequest, now: Millis): Placed | Refused {
-  const concurrency = concurrencyOf(fleet, request.service)
+export function placeRequest (fleet: Fleet, request: PlacementRequest, now: Millis): Placement | Refusal {
+  const concurrency = getConcurrency(fleet, request.service)
   if (!mayStart(concurrency, request.route.rank, isLate(fleet, request, now))) return refuse(fleet, 'busy', timeToRoom(fleet, request.service, concurrency))
   const best = findBest(fleet, request, now)
   if (best === undefined) return refuseUnplaced(fleet, request, concurrency)
@@ -57,16 +57,16 @@
   if (endsAt > request.deadline) return refuse(fleet, 'noTime', endsAt - request.deadline)
   const tooLong = waitMs - allowedWait(request, travelMs + workMs, now)
   if (tooLong > 0) return refuse(fleet, 'busy', tooLong)
-  return { type: 'send', server, wasWarm, place, isCold: isCold(server, now), waitMs, travelMs, workMs, longestMs: travelMs + waitMs + Math.max(workMs, longestWorkMs) }
+  return { type: 'send', server, wasWarm, place, isCold: isCold(server, now), waitMs, roundTripMs: travelMs, workMs, longestMs: travelMs + waitMs + Math.max(workMs, longestWorkMs) }
 }
 
 /** Whether a request misses its latency objective even where its object is warm and a slot is free. */
-function isLate (fleet: Fleet, { route, service, arrivedAt }: PlaceRequest, now: Millis): boolean {
+function isLate (fleet: Fleet, { route, service, arrivedAt }: PlacementRequest, now: Millis): boolean {
   return now - arrivedAt + workOf(fleet.work, workKey({ route, service }), route.aimMs).warmMs > route.aimMs
 }
 
 /** No server is open to a request: those that it may go to are without room for a moment, or there is none. */
-function refuseUnplaced (fleet: Fleet, request: PlaceRequest, concurrency: Concurrency): Refused {
+function refuseUnplaced (fleet: Fleet, request: PlacementRequest, concurrency: Concurrency): Refusal {
   const { service } = request
   const isBusy = (fleet.byService.get(service) ?? []).some(server => mayServe(request, server))
   if (isBusy) return refuse(fleet, 'busy', timeToRoom(fleet, service, concurrency))
@@ -83,13 +83,13 @@
  * ones serve as many and serve them in time, so a wait beyond the aim is kept small and is longest for
  * the most urgent.
  */
-function allowedWait (request: PlaceRequest, restMs: Millis, now: Millis): Millis {
+function allowedWait (request: PlacementRequest, restMs: Millis, now: Millis): Millis {
   const slack = request.route.aimMs - (now - request.arrivedAt) - restMs
   const part = patience[Math.min(request.route.rank, patience.length - 1)] ?? 0
   return Math.max(slack * (part >= 1 ? 1 : part), restMs * part)
 }
 
-function refuse (fleet: Fleet, reason: Refused['reason'], afterMs: Millis): Refused {
+function refuse (fleet: Fleet, reason: Refusal['reason'], afterMs: Millis): Refusal {
   // Spread over twice the time, since slots come one by one and not all at its end.
   const spread = afterMs * (0.5 + fleet.setup.random() * 1.5)
   return { type: 'refuse', reason, retryAfterMs: Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, spread)) }
--- a/packages/placement/src/core/request/requestRun.ts
+++ b/packages/placement/src/core/request/requestSteps.ts
@@ -5,23 +5,23 @@
  * its route says that it may be repeated. The VM that holds the caller's connection decides alone, so nobody else sends it.
  */
 import type { Millis, ServerId } from '@lynxcourse/base'
-import { isServerError } from '../../types/sends.js'
-import type { SendEnd } from '../../types/sends.js'
+import { isServerError } from '../../types/sendOutcome.js'
+import type { SendOutcome } from '../../types/sendOutcome.js'
 import { mustLook } from '../admission/callerView.js'
 import type { CallerView } from '../admission/callerView.js'
 import { isCalm } from '../admission/concurrency.js'
 import { expectsRoom, lookPause, waitEnd } from '../admission/roomWait.js'
 import { noteDemand } from '../board/loadReport.js'
 import { noteRequest, spendRepeat } from '../retries/retryShare.js'
-import { isCold, takeColdToken } from '../server/coldShare.js'
+import { isCold, takeColdToken } from '../server/coldRateLimit.js'
 import { noteStart, noteStop, patienceFor } from '../server/fleetServer.js'
 import type { Running } from '../server/fleetServer.js'
-import type { EntryState, EntryTerms } from './entryState.js'
-import { concurrencyOf, slotTimeOf } from './fleet.js'
+import type { EntryState, DecisionConditions } from './entryState.js'
+import { getConcurrency, slotTimeOf } from './fleet.js'
 import { noteLoad, noteResult } from './learning.js'
 import { placeRequest } from './placeRequest.js'
-import type { Placed, Refused } from './placeRequest.js'
-import type { PlaceRequest } from './scoring.js'
+import type { Placement, Refusal } from './placeRequest.js'
+import type { PlacementRequest } from './scoring.js'
 
 /** Most servers without room that one request asks; each ask costs a round trip and a place in the retry budget. */
 const maxFull = 2
@@ -31,8 +31,8 @@
 const fullRetryMs: Millis = 150
 
 /** A request and its tries so far. */
-export interface RequestRun {
-  readonly request: PlaceRequest
+export interface RequestState {
+  readonly request: PlacementRequest
   readonly tried: Set<ServerId>
   readonly caller: CallerView
   /** Until when it may wait for room. */
@@ -42,18 +42,18 @@
   /** Servers that had no room for it. */
   full: number
   sends: number
-  last: SendEnd | undefined
+  last: SendOutcome | undefined
 }
 
 /** What to do next. */
-export type RunStep =
-  | { readonly type: 'send', readonly placed: Placed }
+export type RequestStep =
+  | { readonly type: 'send', readonly placement: Placement }
   /** Look at the caller's connection, note that look, and ask again. */
   | { readonly type: 'look' }
   /** Look for room again after this. */
   | { readonly type: 'wait', readonly pauseMs: Millis }
   /** It has not run and will not; the caller may come back. */
-  | { readonly type: 'refuse', readonly refused: Refused }
+  | { readonly type: 'refuse', readonly refused: Refusal }
   /** The last server's answer is the caller's. */
   | { readonly type: 'answer' }
   /** Some server may have run it, and none answered. */
@@ -61,18 +61,18 @@
   | { readonly type: 'gone' }
 
 /** A send that is under way. */
-export interface Sending {
-  readonly placed: Placed
+export interface InFlightSend {
+  readonly placement: Placement
   readonly running: Running
   readonly startedAt: Millis
   /** When to ask whether to leave the server although the caller still waits; undefined to wait for the deadline. */
-  readonly leaveAt: Millis | undefined
+  readonly failoverAt: Millis | undefined
   /** From then on it is longer under way than its work can explain. */
   readonly overdueAt: Millis
 }
 
 /** Begins with a request, and counts it. */
-export function startRun (entry: EntryState, request: Omit<PlaceRequest, 'tried'>, caller: CallerView, terms: EntryTerms, now: Millis): RequestRun {
+export function startRequest (entry: EntryState, request: Omit<PlacementRequest, 'tried'>, caller: CallerView, terms: DecisionConditions, now: Millis): RequestState {
   const { fleet, load, retries } = entry
   const { service, route, object, deadline } = request
   noteRequest(retries, terms.retryBudget, service, now)
@@ -82,7 +82,7 @@
 }
 
 /** Decides what becomes of a request that is not under way at a server now. */
-export function nextStep (entry: EntryState, run: RequestRun, terms: EntryTerms, now: Millis): RunStep {
+export function decideNextStep (entry: EntryState, run: RequestState, terms: DecisionConditions, now: Millis): RequestStep {
   if (run.last !== undefined && isFinal(run, run.last)) return stepAfterLast(run, run.last)
   if (now >= run.request.deadline) return run.runs === 0 ? refusal('noTime') : { type: 'fail', reason: 'deadline' }
   if (mustLook(run.caller, now)) return { type: 'look' }
@@ -94,36 +94,36 @@
   const { retries, fleet } = entry
   const isFirst = run.sends === 0
   if (!isFirst && !spendRepeat(retries, terms.retryBudget, run.request.service, fleet.vms.length, now)) return stepAfterRuns(run)
-  return { type: 'send', placed: placement }
+  return { type: 'send', placement }
 }
 
 /** Counts a request as waiting for room, or as not waiting any more. */
-export function noteWaiting ({ waitingForRoom }: EntryState, { request: { service } }: RequestRun, change: 1 | -1): void {
+export function updateWaitingCount ({ waitingForCapacity: waitingForRoom }: EntryState, { request: { service } }: RequestState, change: 1 | -1): void {
   waitingForRoom.set(service, (waitingForRoom.get(service) ?? 0) + change)
 }
 
 /** Begins a send as it was decided. */
-export function beginSend ({ fleet }: EntryState, run: RequestRun, placed: Placed, now: Millis): Sending {
+export function beginSend ({ fleet }: EntryState, run: RequestState, placed: Placement, now: Millis): InFlightSend {
   const { route, service } = run.request
-  const { server, travelMs, waitMs, workMs, longestMs } = placed
+  const { server, roundTripMs: travelMs, waitMs, workMs, longestMs } = placed
   run.sends += 1
   run.tried.add(server.facts.id)
   if (isCold(server, now)) takeColdToken(server)
   const expectedMs = travelMs + waitMs + workMs
   const running = noteStart(server, expectedMs, longestMs, now)
-  const concurrency = concurrencyOf(fleet, service)
+  const concurrency = getConcurrency(fleet, service)
   // Where all servers are slow, work given up half done only adds to the load of the next one.
   const mayLeave = route.isIdempotent && run.runs + 1 < route.maxAttempts && isCalm(concurrency)
   concurrency.underWay += 1
   const overdueAt = now + patienceFor(expectedMs, longestMs) + slowSlackMs
-  return { placed, running, startedAt: now, leaveAt: mayLeave ? overdueAt : undefined, overdueAt }
+  return { placement: placed, running, startedAt: now, failoverAt: mayLeave ? overdueAt : undefined, overdueAt }
 }
 
 /**
  * Whether another server would take the request now. Work given up with nobody to take it over ends in a
  * failure in place of a late answer; and a VM that stops must not break off what it has passed on.
  */
-export function mayLeaveServer ({ fleet }: EntryState, run: RequestRun, { isLeaving }: EntryTerms, now: Millis): boolean {
+export function mayFailOver ({ fleet }: EntryState, run: RequestState, { isStopping: isLeaving }: DecisionConditions, now: Millis): boolean {
   return !isLeaving && placeRequest(fleet, run.request, now).type === 'send'
 }
 
@@ -133,17 +133,17 @@
  * What was written while the network was cut may arrive long after the cut, when nothing may reach the server's failure domain any
  * more. Whether it is still on its way or its server works on it can't be seen, so a late answer is given up for it.
  */
-export function isStranded ({ fleet }: EntryState, { placed: { server }, startedAt, overdueAt }: Sending, { isLeaving }: EntryTerms, now: Millis): boolean {
-  if (isLeaving || now < overdueAt || server.answeredAt > startedAt) return false
+export function isServerUnresponsive ({ fleet }: EntryState, { placement: { server }, startedAt, overdueAt }: InFlightSend, { isStopping: isLeaving }: DecisionConditions, now: Millis): boolean {
+  if (isLeaving || now < overdueAt || server.lastAnsweredAt > startedAt) return false
   return server.facts.isClosed || fleet.byId.get(server.facts.id) !== server
 }
 
 /** Takes the end of a send, and learns from it. */
-export function endSend (entry: EntryState, run: RequestRun, { placed, running, startedAt }: Sending, end: SendEnd, now: Millis): void {
-  concurrencyOf(entry.fleet, run.request.service).underWay -= 1
+export function endSend (entry: EntryState, run: RequestState, { placement: placed, running, startedAt }: InFlightSend, end: SendOutcome, now: Millis): void {
+  getConcurrency(entry.fleet, run.request.service).underWay -= 1
   noteStop(placed.server, running)
   // Opening a connection takes a way there and back; taken for the server's time, it showed far servers as overloaded.
-  const atServerMs = now - startedAt - (end.type === 'answered' ? end.openMs : 0)
+  const atServerMs = now - startedAt - (end.type === 'answered' ? end.connectMs : 0)
   noteResult(entry, run.request, placed, end, atServerMs, now)
   noteLoad(entry, run.request, placed, end, atServerMs, now)
   if (end.type === 'answered' || end.type === 'lost') run.runs += 1
@@ -151,7 +151,7 @@
   run.last = end
 }
 
-function isFinal (run: RequestRun, end: SendEnd): boolean {
+function isFinal (run: RequestState, end: SendOutcome): boolean {
   const { route } = run.request
   if (end.type === 'notRun') return run.full > maxFull
   if (end.type === 'lost' && (end.reason === 'gone' || end.reason === 'deadline')) return true
@@ -159,7 +159,7 @@
   return !isFailure || !route.isIdempotent || run.runs >= route.maxAttempts
 }
 
-function stepAfterLast (run: RequestRun, end: SendEnd): RunStep {
+function stepAfterLast (run: RequestState, end: SendOutcome): RequestStep {
   switch (end.type) {
     case 'answered': return { type: 'answer' }
     case 'notRun': return stepAfterRuns(run)
@@ -170,19 +170,19 @@
 }
 
 /** The step when there is no further try: what is known of the tries so far. */
-function stepAfterRuns ({ last, runs }: RequestRun): RunStep {
+function stepAfterRuns ({ last, runs }: RequestState): RequestStep {
   if (last?.type === 'answered') return { type: 'answer' }
   return runs > 0 ? { type: 'fail', reason: 'serverFailed' } : refusal('busy')
 }
 
-function refusal (reason: Refused['reason']): RunStep {
+function refusal (reason: Refusal['reason']): RequestStep {
   return { type: 'refuse', refused: { type: 'refuse', reason, retryAfterMs: fullRetryMs } }
 }
 
-function mayWaitForRoom ({ fleet, waitingForRoom }: EntryState, { request, waitsUntil }: RequestRun, refused: Refused, { isLeaving }: EntryTerms, now: Millis): boolean {
-  if (refused.reason !== 'busy' || isLeaving || fleet.setup.without.has('roomWait')) return false
+function mayWaitForRoom ({ fleet, waitingForCapacity: waitingForRoom }: EntryState, { request, waitsUntil }: RequestState, refused: Refusal, { isStopping: isLeaving }: DecisionConditions, now: Millis): boolean {
+  if (refused.reason !== 'busy' || isLeaving || fleet.setup.disabledMechanisms.has('roomWait')) return false
   const { route, service } = request
-  const { limit } = concurrencyOf(fleet, service)
+  const { limit } = getConcurrency(fleet, service)
   const pace = { limit, meanMs: fleet.meanWork.get(service) ?? route.aimMs, waiting: waitingForRoom.get(service) ?? 0 }
   return expectsRoom(pace, waitsUntil, now)
 }
--- a/packages/placement/src/core/request/scoring.ts
+++ b/packages/placement/src/core/request/scoring.ts
@@ -1,10 +1,10 @@
 /** Scores servers for a request by the expected time to completion and what it costs others. */
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import type { Route } from '@lynxcourse/state'
-import { hasColdToken, isCold, isWarmingVm } from '../server/coldShare.js'
-import { travelTo, warmChance, workKey } from './fleet.js'
+import { hasColdToken, isCold, isWarmingVm } from '../server/coldRateLimit.js'
+import { estimateRoundTrip, warmChance, workKey } from './fleet.js'
 import type { Fleet } from './fleet.js'
-import { aheadOf, hasRoom, isStalled, isTrusted, sharedAheadOf, slownessOf } from '../server/fleetServer.js'
+import { estimateQueueDepth, hasRoom, isStalled, isTrusted, sharedAheadOf, slownessOf } from '../server/fleetServer.js'
 import type { FleetServer } from '../server/fleetServer.js'
 import { placesOf } from '../object/hashPlaces.js'
 import type { HashPlace } from '../object/hashPlaces.js'
@@ -14,7 +14,7 @@
 import type { WorkTimes } from '../object/workModel.js'
 
 /** A request to be placed. */
-export interface PlaceRequest {
+export interface PlacementRequest {
   readonly route: Route
   readonly service: ServiceId
   /** The object that it concerns; empty if unknown. */
@@ -64,7 +64,7 @@
 }
 
 /** The server of least cost; undefined where none is open to the request. */
-export function findBest (fleet: Fleet, request: PlaceRequest, now: Millis): Scored | undefined {
+export function findBest (fleet: Fleet, request: PlacementRequest, now: Millis): Scored | undefined {
   const trusted = trustedServers(fleet, request, now)
   const open = trusted.filter(server => hasRoom(server, now))
   const region = plannedRegion(fleet, request, trusted)
@@ -74,7 +74,7 @@
   const fill = fillOfService(fleet, request.service, now)
   const candidates = places === undefined ? open : candidatesOf(fleet, request, open, places, fill, now)
   const times = workOf(fleet.work, workKey(request), request.route.aimMs)
-  const { without } = fleet.setup
+  const { disabledMechanisms: without } = fleet.setup
   const isHeldBeside = places !== undefined && !without.has('movedPrimaries') && candidates.some(server => isWarmBesidePrimary(fleet, request, server, places, region, now))
   const input: ScoreInput = { times, places, region, workWeight: without.has('workWeight') ? 1 : 1 + loadWeight(fill), isHeldBeside }
   const planned = leastCost(fleet, request, candidates.filter(server => server.facts.region === region), input, now)
@@ -83,12 +83,12 @@
 }
 
 /** Whether this VM saw the object lately at a server of the planned region that is not its primary server there. */
-function isWarmBesidePrimary (fleet: Fleet, request: PlaceRequest, { facts }: FleetServer, places: ReadonlyMap<ServerId, HashPlace>, region: RegionId | undefined, now: Millis): boolean {
+function isWarmBesidePrimary (fleet: Fleet, request: PlacementRequest, { facts }: FleetServer, places: ReadonlyMap<ServerId, HashPlace>, region: RegionId | undefined, now: Millis): boolean {
   return facts.region === region && places.get(facts.id) !== 'primary' && isWarm(fleet.warmth, facts.id, request.object, now)
 }
 
 function fillOfService (fleet: Fleet, service: ServiceId, now: Millis): number {
-  return Math.max(fleet.sharedFill.get(service) ?? 0, fillOf(fleet.byService.get(service) ?? [], now))
+  return Math.max(fleet.sharedUtilization.get(service) ?? 0, fillOf(fleet.byService.get(service) ?? [], now))
 }
 
 /**
@@ -96,21 +96,21 @@
  * all slots are busy, only the object's primary server may: at others the work is cold and takes four times the slot time, pushes
  * other objects out of their warm places, and the fleet stays full of cold work although warm work would fit.
  */
-function candidatesOf (fleet: Fleet, request: PlaceRequest, open: readonly FleetServer[], places: ReadonlyMap<ServerId, HashPlace>, fill: number, now: Millis): FleetServer[] {
+function candidatesOf (fleet: Fleet, request: PlacementRequest, open: readonly FleetServer[], places: ReadonlyMap<ServerId, HashPlace>, fill: number, now: Millis): FleetServer[] {
   if (fill > primaryOnlyFill) return open.filter(server => places.get(server.facts.id) === 'primary')
   const holders = holdersOf(fleet.warmth, request.object)
   return open.filter(({ facts: { id } }) => places.has(id) || (holders.has(id) && isWarm(fleet.warmth, id, request.object, now)))
 }
 
 /** The region that the plan gives an object; a request without an object falls to a region by chance, in the same shares. */
-function plannedRegion (fleet: Fleet, request: PlaceRequest, trusted: readonly FleetServer[]): RegionId | undefined {
+function plannedRegion (fleet: Fleet, request: PlacementRequest, trusted: readonly FleetServer[]): RegionId | undefined {
   const near = fleet.setup.region
   const shares = fleet.shares.get(request.service) ?? new Map([[near, 1]])
   const object = request.object === '' ? String(fleet.setup.random()) : request.object
   return regionOf(shares, near, object, new Set(trusted.map(server => server.facts.region)))
 }
 
-function leastCost (fleet: Fleet, request: PlaceRequest, candidates: readonly FleetServer[], input: ScoreInput, now: Millis): Scored | undefined {
+function leastCost (fleet: Fleet, request: PlacementRequest, candidates: readonly FleetServer[], input: ScoreInput, now: Millis): Scored | undefined {
   let best: Scored | undefined
   for (const server of candidates) {
     const scored = score(fleet, request, server, input, now)
@@ -135,19 +135,19 @@
   let slots = 0
   for (const server of servers) {
     if (server.facts.isClosed) continue
-    ahead += aheadOf(server, now)
+    ahead += estimateQueueDepth(server, now)
     slots += server.facts.slots
   }
   return slots === 0 ? 0 : ahead / slots
 }
 
 /** Whether a server takes requests like this one at all, whatever its state is now. */
-export function mayServe ({ route: { homes }, tried }: PlaceRequest, { facts }: FleetServer): boolean {
+export function mayServe ({ route: { homes }, tried }: PlacementRequest, { facts }: FleetServer): boolean {
   return !facts.isClosed && !tried.has(facts.id) && (homes.length === 0 || homes.includes(facts.region))
 }
 
 /** Servers that a request may go to, now or as soon as they have room. */
-function trustedServers (fleet: Fleet, request: PlaceRequest, now: Millis): FleetServer[] {
+function trustedServers (fleet: Fleet, request: PlacementRequest, now: Millis): FleetServer[] {
   const trusted: FleetServer[] = []
   const ejected: FleetServer[] = []
   for (const server of fleet.byService.get(request.service) ?? []) {
@@ -162,7 +162,7 @@
 
 function mayWarm (fleet: Fleet, service: ServiceId, server: FleetServer, now: Millis): boolean {
   if (!isCold(server, now)) return true
-  return isWarmingVm(server, fleet.setup.self, fleet.vms) && hasColdToken(server, fleet.coldRates.get(service) ?? 0, now)
+  return isWarmingVm(server, fleet.setup.self, fleet.vms) && hasColdToken(server, fleet.coldRequestRates.get(service) ?? 0, now)
 }
 
 interface ScoreInput {
@@ -175,7 +175,7 @@
   readonly isHeldBeside: boolean
 }
 
-function score (fleet: Fleet, request: PlaceRequest, server: FleetServer, input: ScoreInput, now: Millis): Scored {
+function score (fleet: Fleet, request: PlacementRequest, server: FleetServer, input: ScoreInput, now: Millis): Scored {
   const { facts } = server
   const { times, places, workWeight } = input
   const wasWarm = places !== undefined && isWarm(fleet.warmth, facts.id, request.object, now)
@@ -185,12 +185,12 @@
   const workMs = (times.coldMs + (times.warmMs - times.coldMs) * chance) * slowness
   const meanMs = (fleet.meanWork.get(facts.service) ?? times.coldMs) * slowness
   const ahead = sharedAheadOf(server, now)
-  const waitMs = waitBehind(aheadOf(server, now), facts.slots, meanMs)
+  const waitMs = waitBehind(estimateQueueDepth(server, now), facts.slots, meanMs)
   const sharedWaitMs = waitBehind(ahead, facts.slots, meanMs)
-  const travelMs = travelTo(fleet, facts.region)
+  const travelMs = estimateRoundTrip(fleet, facts.region)
   const leavingMs = facts.region === input.region ? 0 : awayMs
   const longestWorkMs = Math.max(times.coldMs, times.longestMs) * slowness
-  const riskMs = fleet.setup.without.has('cutRisk') ? 0 : (1 - chance) * cutRisk(request, now + travelMs + sharedWaitMs + longestWorkMs)
+  const riskMs = fleet.setup.disabledMechanisms.has('cutRisk') ? 0 : (1 - chance) * cutRisk(request, now + travelMs + sharedWaitMs + longestWorkMs)
   const cost = travelMs + sharedWaitMs + workMs * workWeight + leavingMs + (ahead / facts.slots) ** 2 * fillMs + riskMs + fleet.setup.random()
   return { server, cost, waitMs, sharedWaitMs, travelMs, workMs, longestWorkMs, wasWarm, place }
 }
@@ -199,7 +199,7 @@
  * What cold work costs beyond its time where its deadline may cut it: a route whose timeout is hardly longer than its cold work loses
  * requests at servers that are cold for an object while another one is warm for it.
  */
-function cutRisk ({ route, deadline }: PlaceRequest, longestEnd: Millis): Millis {
+function cutRisk ({ route, deadline }: PlacementRequest, longestEnd: Millis): Millis {
   return longestEnd > deadline ? route.aimMs * cutRiskPart : 0
 }
 
--- a/packages/placement/src/core/server/fleetServer.ts
+++ b/packages/placement/src/core/server/fleetServer.ts
@@ -35,16 +35,16 @@
   weight: number
   readonly running: Set<Running>
   /** Requests running and waiting by the server's last report, of all VMs together. */
-  reportedAhead: number
+  reportedQueueDepth: number
   reportedAt: Millis
   /** When it last answered this VM anything. */
-  answeredAt: Millis
+  lastAnsweredAt: Millis
   /** Since when it owes this VM an answer and has given none; undefined where it owes none. */
   owesSince: Millis | undefined
   /** Requests that this VM sent since that report. */
   sentSince: number
   /** Smoothed requests ahead as all VMs together saw it, where it is nearly full. */
-  sharedAhead: number
+  sharedQueueDepth: number
   sharedAt: Millis
   /** Smoothed ratio of the time it took to the time that was expected of it. */
   slowness: number
@@ -96,12 +96,12 @@
     hash: hashText(facts.id),
     weight: 1,
     running: new Set(),
-    reportedAhead: 0,
+    reportedQueueDepth: 0,
     reportedAt: -Infinity,
-    answeredAt: -Infinity,
+    lastAnsweredAt: -Infinity,
     owesSince: undefined,
     sentSince: 0,
-    sharedAhead: 0,
+    sharedQueueDepth: 0,
     sharedAt: -Infinity,
     slowness: 1,
     consecutiveFailures: 0,
@@ -118,21 +118,21 @@
  * Requests that stand before a new one. What the last report counted is worked off, but other VMs go on
  * sending as they did: so the report holds for a while, and this VM's own requests come on top.
  */
-export function aheadOf (server: FleetServer, now: Millis): number {
+export function estimateQueueDepth (server: FleetServer, now: Millis): number {
   const age = now - server.reportedAt
   if (!Number.isFinite(age)) return server.running.size
-  return Math.max(server.running.size, server.reportedAhead * 2 ** (-age / reportHalfLifeMs) + server.sentSince)
+  return Math.max(server.running.size, server.reportedQueueDepth * 2 ** (-age / reportHalfLifeMs) + server.sentSince)
 }
 
 /** The same with what all VMs together saw: good for the choice among servers, too old to refuse a request by. */
 export function sharedAheadOf (server: FleetServer, now: Millis): number {
-  const shared = now - server.sharedAt < sharedForMs ? server.sharedAhead : 0
-  return Math.max(aheadOf(server, now), shared)
+  const shared = now - server.sharedAt < sharedForMs ? server.sharedQueueDepth : 0
+  return Math.max(estimateQueueDepth(server, now), shared)
 }
 
 /** Takes what all VMs together saw of a server's load. */
 export function noteShared (server: FleetServer, ahead: number, now: Millis): void {
-  server.sharedAhead = ahead
+  server.sharedQueueDepth = ahead
   server.sharedAt = now
 }
 
@@ -160,7 +160,7 @@
 }
 
 function stallAfter (server: FleetServer, { startedAt, expectedMs, longestMs }: Running): Millis {
-  if (server.answeredAt > startedAt) return longestMs * answeringStallFactor + stallSlackMs
+  if (server.lastAnsweredAt > startedAt) return longestMs * answeringStallFactor + stallSlackMs
   return patienceFor(expectedMs, longestMs) + stallSlackMs
 }
 
@@ -192,7 +192,7 @@
 
 /** Notes that a server answered, whatever it said. */
 export function noteAnswered (server: FleetServer, now: Millis): void {
-  server.answeredAt = now
+  server.lastAnsweredAt = now
   // The request that was answered still counts as running here.
   server.owesSince = server.running.size > 1 ? now : undefined
 }
@@ -204,7 +204,7 @@
 
 /** Takes a server's own report of its load. */
 export function noteReport (server: FleetServer, ahead: number, now: Millis): void {
-  server.reportedAhead = ahead
+  server.reportedQueueDepth = ahead
   server.reportedAt = now
   server.sentSince = 0
 }
--- a/packages/placement/src/core/server/restMemory.ts
+++ b/packages/placement/src/core/server/idleConnectionHistory.ts
@@ -18,7 +18,7 @@
 interface Silence { readonly address: string, readonly lifeAt: Millis, readonly at: Millis }
 
 /** Resets and silences of rested connections, the latest last. */
-export interface RestMemory {
+export interface IdleConnectionHistory {
   resets: Reset[]
   silences: Silence[]
 }
@@ -33,33 +33,33 @@
 const safePart = 0.7
 const maxResets = 200
 
-export function createRestMemory (): RestMemory {
+export function createIdleConnectionHistory (): IdleConnectionHistory {
   return { resets: [], silences: [] }
 }
 
 /** Notes that a request over a rested connection was reset without an answer. */
-export function noteRestedReset (memory: RestMemory, address: string, restedMs: Millis, now: Millis): void {
+export function recordResetAfterIdle (memory: IdleConnectionHistory, address: string, restedMs: Millis, now: Millis): void {
   if (restedMs < leastRestMs) return
   memory.resets = [...memory.resets.filter(reset => now - reset.at < rememberedMs), { address, restedMs, at: now }].slice(-maxResets)
 }
 
 /** Notes that a request over a rested connection got no answer. */
-export function noteSilence (memory: RestMemory, address: string, restedMs: Millis, takenAt: Millis, now: Millis): void {
+export function recordUnansweredAfterIdle (memory: IdleConnectionHistory, address: string, restedMs: Millis, takenAt: Millis, now: Millis): void {
   if (restedMs < leastRestMs) return
   memory.silences = [...memory.silences.filter(silence => now - silence.at < rememberedMs), { address, lifeAt: takenAt - restedMs, at: now }].slice(-maxResets)
 }
 
 /** Longest rest after which a connection still carries a request that must not repeat; Infinity while nothing speaks against it. */
-export function longestRest (memory: RestMemory, now: Millis): Millis {
+export function getMaxIdleMs (memory: IdleConnectionHistory, now: Millis): Millis {
   return Math.min(restBeforeReset(memory, now), restSinceSilence(memory, now))
 }
 
-function restBeforeReset ({ resets }: RestMemory, now: Millis): Millis {
+function restBeforeReset ({ resets }: IdleConnectionHistory, now: Millis): Millis {
   const recent = resets.filter(reset => now - reset.at < rememberedMs)
   return isAtSeveral(recent) ? Math.min(...recent.map(reset => reset.restedMs)) * safePart : Infinity
 }
 
-function restSinceSilence ({ silences }: RestMemory, now: Millis): Millis {
+function restSinceSilence ({ silences }: IdleConnectionHistory, now: Millis): Millis {
   const recent = silences.filter(silence => now - silence.at < rememberedMs)
   return isAtSeveral(recent) ? now - Math.max(...recent.map(silence => silence.lifeAt)) : Infinity
 }
--- a/packages/placement/src/types/loads.ts
+++ b/packages/placement/src/types/loads.ts
@@ -12,18 +12,18 @@
 }
 
 /** Slots that callers need, by the service and the region of the entry VMs. */
-export type BusySlots = ReadonlyArray<readonly [ServiceId, RegionId, number]>
+export type SlotDemand = ReadonlyArray<readonly [ServiceId, RegionId, number]>
 
 /** What a control VM hands on to the leader: the reports that it took since the last exchange. */
 export interface LoadDigest {
   readonly servers: ReadonlyArray<readonly [ServerId, number]>
-  readonly busy: BusySlots
+  readonly busy: SlotDemand
   /** Servers with the number of entry VMs that they left without an answer. */
   readonly failed: ReadonlyArray<readonly [ServerId, number]>
 }
 
 /** One service's plan as VMs are told of it. */
-export interface PlanNews {
+export interface PlanUpdate {
   readonly service: ServiceId
   /** Whether it follows demand that was measured; until then it follows the slots alone. */
   readonly isMeasured: boolean
@@ -37,18 +37,18 @@
 }
 
 /** What every VM is told. */
-export interface LoadNews {
+export interface LoadUpdate {
   /** Nearly full servers with the smoothed number of requests ahead there. */
   readonly full: ReadonlyArray<readonly [ServerId, number]>
-  readonly plans: readonly PlanNews[]
+  readonly plans: readonly PlanUpdate[]
   /** Servers that answer nobody now. */
   readonly silent: readonly ServerId[]
   /** Left out for a VM that holds this version of them. */
-  readonly weights?: WeightNews
+  readonly weights?: WeightUpdate
 }
 
 /** Weights of servers in hashing; those not named have 1. */
-export interface WeightNews {
+export interface WeightUpdate {
   /** Time at which the leader told them: two leaders never give one version to different weights. */
   readonly version: Millis
   readonly servers: ReadonlyArray<readonly [ServerId, number]>
@@ -58,7 +58,7 @@
 export type ServiceSlots = ReadonlyMap<ServiceId, ReadonlyMap<RegionId, number>>
 
 /** What the board knows of a server. */
-export interface ServerPlace {
+export interface KnownServer {
   readonly service: ServiceId
   readonly region: RegionId | undefined
   readonly slots: number
@@ -66,7 +66,7 @@
   readonly isSettled: boolean
 }
 
-export type ServerPlaces = ReadonlyMap<ServerId, ServerPlace>
+export type KnownServers = ReadonlyMap<ServerId, KnownServer>
 
 /** A report counts until the next one; longer than the longest time between two watches. */
-export const busyForMs: Millis = 3000
+export const loadReportTtlMs: Millis = 3000
--- a/packages/placement/src/types/sends.ts
+++ b/packages/placement/src/types/sendOutcome.ts
@@ -2,8 +2,8 @@
 import type { Millis } from '@lynxcourse/base'
 
 /** The end of one send. */
-export type SendEnd =
-  | { readonly type: 'answered', readonly status: number, readonly openMs: Millis }
+export type SendOutcome =
+  | { readonly type: 'answered', readonly status: number, readonly connectMs: Millis }
   /** The server says that the request did not run there; `elsewhere` means it is not the server that was named. */
   | { readonly type: 'notRun', readonly reason: 'full' | 'elsewhere' | 'unreached' }
   /** It may have run. */
--- a/packages/replay/__tests__/replay.test.ts
+++ b/packages/replay/__tests__/replay.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test'
 import { brandId, isLynxError } from '@lynxcourse/base'
 import type { RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { arriveAt, createBackend, createTimeline, playPattern, playUntil, readPattern } from '@lynxcourse/replay'
+import { arriveAt, createBackend, createTimeline, playPattern, runUntil, readPattern } from '@lynxcourse/replay'
 import type { Backend, BackendEnd, Job } from '@lynxcourse/replay'
 import { smallPattern } from './support/smallPattern.js'
 
@@ -35,11 +35,11 @@
   const ends: BackendEnd[] = []
   for (const object of ['a', 'a', 'b']) arriveAt(timeline, server, job(object, ends), false)
   assert.deepEqual(ends, [{ type: 'full', ahead: 2 }])
-  playUntil(timeline, 100)
+  runUntil(timeline, 100)
   assert.equal(ends.length, 2)
-  playUntil(timeline, 124)
+  runUntil(timeline, 124)
   assert.equal(ends.length, 2)
-  playUntil(timeline, 125)
+  runUntil(timeline, 125)
   assert.deepEqual(ends.at(-1), { type: 'answered', ahead: 0 })
 })
 
--- a/packages/replay/src/core/backendModel.ts
+++ b/packages/replay/src/core/backendModel.ts
@@ -1,6 +1,6 @@
 /** A backend server of the model: slots, a queue, and the objects that it keeps warm. */
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { after } from '@lynxcourse/base/timeline'
+import { scheduleAfter } from '@lynxcourse/base/timeline'
 import type { Timeline } from '@lynxcourse/base/timeline'
 
 /** What a server answers. */
@@ -77,7 +77,7 @@
   backend.running.add(job)
   job.wasWarm = backend.warm.has(job.object)
   const workMs = job.coldMs * (job.wasWarm ? job.warmPart : 1) * backend.slowness
-  after(timeline, workMs, () => {
+  scheduleAfter(timeline, workMs, () => {
     if (!backend.running.delete(job)) return
     keepWarm(backend, job.object)
     startNext(timeline, backend)
--- a/packages/replay/src/core/callerModel.ts
+++ b/packages/replay/src/core/callerModel.ts
@@ -1,6 +1,6 @@
 /** Callers: they come by chance around their wave, choose a VM of their region, and come back once if they are told to. */
 import type { Millis } from '@lynxcourse/base'
-import { after } from '@lynxcourse/base/timeline'
+import { scheduleAfter } from '@lynxcourse/base/timeline'
 import type { RoutePattern } from '../types/pattern.js'
 import { noteEnd } from './score.js'
 import type { CallerEnd } from './score.js'
@@ -31,7 +31,7 @@
 function nextCaller (world: World, region: string, name: string): void {
   const { timeline, random, pattern } = world
   const perSecond = rateOf(world, region, name)
-  after(timeline, -Math.log(1 - random()) * 1000 / perSecond, () => {
+  scheduleAfter(timeline, -Math.log(1 - random()) * 1000 / perSecond, () => {
     if (timeline.now >= pattern.seconds * 1000) return
     sendNew(world, region, name)
     nextCaller(world, region, name)
@@ -60,11 +60,11 @@
   const vm = chooseVm(world, request.region)
   if (vm === undefined) return finish(world, request, 'failed')
   const { route } = request
-  after(timeline, delays.toCallers, () => takeRequest(world, vm, {
+  scheduleAfter(timeline, delays.toCallers, () => takeRequest(world, vm, {
     route: request.name,
     object: request.object,
     deadline: Math.min(timeline.now + route.timeoutMs, request.startedAt + route.patienceMs),
-    answer: answer => after(timeline, delays.toCallers, () => takeAnswer(world, request, answer))
+    answer: answer => scheduleAfter(timeline, delays.toCallers, () => takeAnswer(world, request, answer))
   }))
 }
 
@@ -89,7 +89,7 @@
   const leftMs = request.startedAt + request.route.patienceMs - world.timeline.now
   if (request.retriesLeft === 0 || leftMs <= 0) return finish(world, request, outcome)
   request.retriesLeft -= 1
-  after(world.timeline, Math.min(pauseMs, leftMs * longestPausePart), () => attempt(world, request))
+  scheduleAfter(world.timeline, Math.min(pauseMs, leftMs * longestPausePart), () => attempt(world, request))
 }
 
 function finish (world: World, { name, region, route, startedAt }: CallerRequest, end: 'answered' | 'refused' | 'failed'): void {
--- a/packages/replay/src/core/coldCauses.ts
+++ b/packages/replay/src/core/coldCauses.ts
@@ -1,5 +1,5 @@
 /** Why a request found its object cold at its server. */
-import type { HashPlace, Placed } from '@lynxcourse/placement'
+import type { HashPlace, Placement } from '@lynxcourse/placement'
 import type { Backend, Job } from './backendModel.js'
 import type { World } from './world.js'
 
@@ -10,7 +10,7 @@
 export type ColdCause = 'first' | 'beside' | 'forgotten' | `moved to ${HashPlace | 'unnamed'}`
 
 /** The cause for a request that has just come to a server. */
-export function coldCauseOf (world: World, backend: Backend, job: Job, placed: Placed): ColdCause {
+export function coldCauseOf (world: World, backend: Backend, job: Job, placed: Placement): ColdCause {
   if (isUnderWayAt(backend, job)) return 'beside'
   if (!world.handled.has(job.object)) return 'first'
   const isWarmElsewhere = [...world.backends.values()].some(other => other.service === backend.service && other.warm.has(job.object))
--- a/packages/replay/src/core/loadExchange.ts
+++ b/packages/replay/src/core/loadExchange.ts
@@ -1,9 +1,9 @@
 /** Reports of entry VMs, the leader's board, and what VMs are told of it. */
 import { brandId } from '@lynxcourse/base'
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { after } from '@lynxcourse/base/timeline'
-import { createLoadIntake, noteDigest, noteLoadReport, takeDigest, takeLoadNews, takeLoadReport, updateBoard } from '@lynxcourse/placement'
-import type { ServerPlace, ServiceSlots } from '@lynxcourse/placement'
+import { scheduleAfter } from '@lynxcourse/base/timeline'
+import { createLoadIntake, noteDigest, noteLoadReport, takeDigest, applyLoadUpdate, takeLoadReport, updateBoard } from '@lynxcourse/placement'
+import type { KnownServer, ServiceSlots } from '@lynxcourse/placement'
 import type { VmModel, World } from './world.js'
 
 /** Time between two exchanges of the leader with the other control VMs, and between two reports of an entry VM. */
@@ -14,9 +14,9 @@
 export function startExchanges (world: World): void {
   updateBoard(world.board, openSlots(world), serverPlaces(world), world.timeline.now)
   world.told = world.board.news
-  for (const vm of world.vms) takeLoadNews(vm.entry, world.told, vm.region, world.timeline.now)
-  for (const vm of world.vms) after(world.timeline, world.random() * reportMs, () => report(world, vm))
-  after(world.timeline, exchangeMs, () => exchange(world))
+  for (const vm of world.vms) applyLoadUpdate(vm.entry, world.told, vm.region, world.timeline.now)
+  for (const vm of world.vms) scheduleAfter(world.timeline, world.random() * reportMs, () => report(world, vm))
+  scheduleAfter(world.timeline, exchangeMs, () => exchange(world))
 }
 
 function report (world: World, vm: VmModel): void {
@@ -24,9 +24,9 @@
   if (vm.isUp && !world.isControlCut) {
     const notes = takeLoadReport(vm.entry.load, now)
     if (notes !== undefined) noteLoadReport(intakeOf(world, vm.region), vm.name, vm.region, notes, now)
-    takeLoadNews(vm.entry, world.told, vm.region, now)
+    applyLoadUpdate(vm.entry, world.told, vm.region, now)
   }
-  after(world.timeline, reportMs, () => report(world, vm))
+  scheduleAfter(world.timeline, reportMs, () => report(world, vm))
 }
 
 function intakeOf (world: World, region: RegionId): ReturnType<typeof createLoadIntake> {
@@ -45,7 +45,7 @@
     for (const [region, intake] of world.intakes) noteDigest(world.board, region, takeDigest(intake, now), now)
     updateBoard(world.board, openSlots(world), serverPlaces(world), now)
   }
-  after(world.timeline, exchangeMs, () => exchange(world))
+  scheduleAfter(world.timeline, exchangeMs, () => exchange(world))
 }
 
 function openSlots (world: World): ServiceSlots {
@@ -58,8 +58,8 @@
   return slots
 }
 
-function serverPlaces (world: World): Map<ServerId, ServerPlace> {
-  const places = new Map<ServerId, ServerPlace>()
+function serverPlaces (world: World): Map<ServerId, KnownServer> {
+  const places = new Map<ServerId, KnownServer>()
   for (const { id, service, region, slots, isUp, isLeaving } of world.backends.values()) {
     if (isUp) places.set(id, { service, region, slots, isSettled: !isLeaving })
   }
--- a/packages/replay/src/core/play.ts
+++ b/packages/replay/src/core/play.ts
@@ -1,6 +1,6 @@
 /** Plays a pattern to its end. */
 import type { Millis } from '@lynxcourse/base'
-import { playUntil } from '@lynxcourse/base/timeline'
+import { runUntil } from '@lynxcourse/base/timeline'
 import type { Mechanism } from '@lynxcourse/placement'
 import type { Pattern } from '../types/pattern.js'
 import { startCallers } from './callerModel.js'
@@ -24,6 +24,6 @@
   startExchanges(world)
   planDisturbances(world)
   startCallers(world)
-  playUntil(world.timeline, pattern.seconds * 1000 + drainMs)
+  runUntil(world.timeline, pattern.seconds * 1000 + drainMs)
   return figuresOf(world.score)
 }
--- a/packages/replay/src/core/vmModel.ts
+++ b/packages/replay/src/core/vmModel.ts
@@ -1,8 +1,8 @@
 /** An entry VM serves requests as the real one does, by the same decisions. */
 import type { Millis } from '@lynxcourse/base'
-import { after } from '@lynxcourse/base/timeline'
-import { beginSend, createCallerView, endSend, mayLeaveServer, nextStep, noteLook, noteReply, noteWaiting, startRun, takeLoadNews } from '@lynxcourse/placement'
-import type { EntryState, EntryTerms, Placed, RequestRun, SendEnd, Sending } from '@lynxcourse/placement'
+import { scheduleAfter } from '@lynxcourse/base/timeline'
+import { beginSend, createCallerView, endSend, mayFailOver, decideNextStep, noteLook, recordReply, updateWaitingCount, startRequest, applyLoadUpdate } from '@lynxcourse/placement'
+import type { EntryState, DecisionConditions, Placement, RequestState, SendOutcome, InFlightSend } from '@lynxcourse/placement'
 import { arriveAt, leaveBackend } from './backendModel.js'
 import type { Backend, BackendEnd, Job } from './backendModel.js'
 import { coldCauseOf } from './coldCauses.js'
@@ -29,12 +29,12 @@
   readonly life: number
   readonly entry: EntryState
   readonly arrival: Arrival
-  readonly run: RequestRun
+  readonly run: RequestState
 }
 
 const okStatus = 200
 const retryBudget = { ratio: 0.2, windowMs: 10_000, slack: 200 }
-const terms: EntryTerms = { retryBudget, isLeaving: false }
+const terms: DecisionConditions = { retryBudget, isStopping: false }
 
 /** Takes a request as soon as the VM's processor is free. */
 export function takeRequest (world: World, vm: VmModel, arrival: Arrival): void {
@@ -47,7 +47,7 @@
   const { object, deadline } = arrival
   useProcessor(world, vm, () => {
     if (vm.life !== life) return arrival.answer({ type: 'failed' })
-    const run = startRun(entry, { route, service, object: `${route.name}|${object}`, arrivedAt, deadline }, createCallerView(), terms, timeline.now)
+    const run = startRequest(entry, { route, service, object: `${route.name}|${object}`, arrivedAt, deadline }, createCallerView(), terms, timeline.now)
     goOn(world, { vm, life, entry, arrival, run })
   })
 }
@@ -56,22 +56,22 @@
 function useProcessor (world: World, vm: VmModel, act: () => void): void {
   const { timeline, pattern: { entryVm: { requestCpuMs, cores } } } = world
   vm.busyUntil = Math.max(vm.busyUntil, timeline.now) + requestCpuMs / 2 / cores
-  after(timeline, vm.busyUntil - timeline.now, act)
+  scheduleAfter(timeline, vm.busyUntil - timeline.now, act)
 }
 
 function goOn (world: World, serving: Serving): void {
   const { vm, life, entry, arrival, run } = serving
   if (vm.life !== life) return arrival.answer({ type: 'failed' })
-  const step = nextStep(entry, run, terms, world.timeline.now)
+  const step = decideNextStep(entry, run, terms, world.timeline.now)
   switch (step.type) {
-    case 'send': return send(world, serving, step.placed)
+    case 'send': return send(world, serving, step.placement)
     case 'look':
       noteLook(run.caller, world.timeline.now)
       return goOn(world, serving)
     case 'wait':
-      noteWaiting(entry, run, 1)
-      return after(world.timeline, step.pauseMs, () => {
-        noteWaiting(entry, run, -1)
+      updateWaitingCount(entry, run, 1)
+      return scheduleAfter(world.timeline, step.pauseMs, () => {
+        updateWaitingCount(entry, run, -1)
         goOn(world, serving)
       })
     case 'answer': return useProcessor(world, vm, () => arrival.answer({ type: 'answered' }))
@@ -81,7 +81,7 @@
   }
 }
 
-function send (world: World, serving: Serving, placed: Placed): void {
+function send (world: World, serving: Serving, placed: Placement): void {
   const { timeline, backends, score, random } = world
   const { vm, entry, arrival, run } = serving
   const backend = backends.get(placed.server.facts.id) as Backend
@@ -92,9 +92,9 @@
   if (!isReused) score.opened += 1
   if (vm.region !== backend.region) score.farSends += 1
   const sending = beginSend(entry, run, placed, timeline.now)
-  const job = jobOf(world, arrival, end => after(timeline, wayMs, () => takeEnd(end)))
+  const job = jobOf(world, arrival, end => scheduleAfter(timeline, wayMs, () => takeEnd(end)))
   let isOver = false
-  const finish = (end: SendEnd): void => {
+  const finish = (end: SendOutcome): void => {
     if (isOver) return
     isOver = true
     endSend(entry, run, sending, end, timeline.now)
@@ -103,7 +103,7 @@
   const takeEnd = (end: BackendEnd): void => {
     if (isOver) return
     if (end.type !== 'lost') {
-      noteReply(entry, placed.server, end.ahead, timeline.now)
+      recordReply(entry, placed.server, end.ahead, timeline.now)
       keepIdle(vm, backend, timeline.now)
     }
     noteSend(world, end, job, cause)
@@ -115,19 +115,19 @@
     finish({ type: 'lost', reason })
   }
   let cause: ColdCause | undefined
-  after(timeline, openMs + wayMs, () => {
+  scheduleAfter(timeline, openMs + wayMs, () => {
     if (isOver) return
     if (backend.isUp && !backend.warm.has(job.object)) cause = coldCauseOf(world, backend, job, placed)
     arriveAt(timeline, backend, job, random() < backend.shedPart)
   })
-  after(timeline, arrival.deadline - timeline.now, () => giveUp('deadline'))
+  scheduleAfter(timeline, arrival.deadline - timeline.now, () => giveUp('deadline'))
   watchPatience(world, serving, sending, () => giveUp('slow'))
 }
 
-function watchPatience (world: World, { entry, run }: Serving, { leaveAt }: Sending, giveUp: () => void): void {
+function watchPatience (world: World, { entry, run }: Serving, { failoverAt: leaveAt }: InFlightSend, giveUp: () => void): void {
   const { timeline } = world
   if (leaveAt === undefined) return
-  after(timeline, leaveAt - timeline.now, () => { if (mayLeaveServer(entry, run, terms, timeline.now)) giveUp() })
+  scheduleAfter(timeline, leaveAt - timeline.now, () => { if (mayFailOver(entry, run, terms, timeline.now)) giveUp() })
 }
 
 function jobOf ({ pattern, random }: World, { route, object, deadline }: Arrival, onEnd: Job['onEnd']): Job {
@@ -140,9 +140,9 @@
   return (random() + random() + random() - 1.5) * 2
 }
 
-function sendEndOf (end: BackendEnd, openMs: Millis): SendEnd {
+function sendEndOf (end: BackendEnd, openMs: Millis): SendOutcome {
   switch (end.type) {
-    case 'answered': return { type: 'answered', status: okStatus, openMs }
+    case 'answered': return { type: 'answered', status: okStatus, connectMs: openMs }
     case 'full': return { type: 'notRun', reason: 'full' }
     case 'lost': return { type: 'lost', reason: 'failed' }
   }
@@ -177,7 +177,7 @@
 /** A VM starts: it knows the servers and what all VMs together saw, and nothing else. */
 export function startVm (world: World, vm: VmModel): void {
   vm.entry = createEntry(world, vm.name, vm.region)
-  takeLoadNews(vm.entry, world.told, vm.region, world.timeline.now)
+  applyLoadUpdate(vm.entry, world.told, vm.region, world.timeline.now)
   vm.idle.clear()
   vm.busyUntil = world.timeline.now
   vm.isUp = true
--- a/packages/replay/src/core/world.ts
+++ b/packages/replay/src/core/world.ts
@@ -1,10 +1,10 @@
 /** State of a replay. */
-import { brandId, makeRandom } from '@lynxcourse/base'
+import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, Millis, Random, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { createTimeline } from '@lynxcourse/base/timeline'
 import type { Timeline } from '@lynxcourse/base/timeline'
-import { createFleet, createFleetServer, createLoadBoard, createLoadNotes, regroupServers } from '@lynxcourse/placement'
-import type { EntryState, FleetServer, LoadBoard, LoadIntake, LoadNews, Mechanism } from '@lynxcourse/placement'
+import { createFleet, createFleetServer, createLoadBoard, createLoadNotes, groupServersByService } from '@lynxcourse/placement'
+import type { EntryState, FleetServer, LoadBoard, LoadIntake, LoadUpdate, Mechanism } from '@lynxcourse/placement'
 import type { Route } from '@lynxcourse/state'
 import type { Pattern } from '../types/pattern.js'
 import { createBackend } from './backendModel.js'
@@ -40,7 +40,7 @@
   /** Reports of entry VMs by region, as a control VM there takes them. */
   readonly intakes: Map<RegionId, LoadIntake>
   /** What control VMs tell entry VMs. */
-  told: LoadNews
+  told: LoadUpdate
   isControlCut: boolean
   /** How many times more callers send. */
   burst: number
@@ -51,10 +51,10 @@
   readonly score: Score
 }
 
-const noNews: LoadNews = { full: [], plans: [], silent: [] }
+const noNews: LoadUpdate = { full: [], plans: [], silent: [] }
 
 export function createWorld (pattern: Pattern, seed: number, without: ReadonlySet<Mechanism>): World {
-  const random = makeRandom(seed)
+  const random = createRandom(seed)
   const places = vmPlaces(pattern)
   const backends = new Map(makeBackends(pattern).map(backend => [backend.id, backend]))
   const world: World = {
@@ -123,11 +123,11 @@
 
 /** What an entry VM decides by after a start: all servers, and nothing learned. */
 export function createEntry (world: World, name: string, region: RegionId): EntryState {
-  const fleet = createFleet({ self: name, region, random: world.random, without: world.without }, world.vmNames)
+  const fleet = createFleet({ self: name, region, random: world.random, disabledMechanisms: world.without }, world.vmNames)
   for (const backend of world.backends.values()) fleet.byId.set(backend.id, fleetServerOf(backend))
-  regroupServers(fleet)
-  for (const other of Object.keys(world.pattern.regions)) fleet.travel.set(brandId<RegionId>(other), 2 * delayBetween(world, region, other))
-  return { fleet, load: createLoadNotes(world.timeline.now), retries: new Map(), waitingForRoom: new Map() }
+  groupServersByService(fleet)
+  for (const other of Object.keys(world.pattern.regions)) fleet.roundTripTimes.set(brandId<RegionId>(other), 2 * delayBetween(world, region, other))
+  return { fleet, load: createLoadNotes(world.timeline.now), retries: new Map(), waitingForCapacity: new Map() }
 }
 
 function fleetServerOf (backend: Backend): FleetServer {
--- a/packages/routing/__tests__/routeTable.test.ts
+++ b/packages/routing/__tests__/routeTable.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check'
 import { brandId } from '@lynxcourse/base'
 import type { ServiceId } from '@lynxcourse/base'
-import { buildRouteTable, matchRoute, pickService } from '@lynxcourse/routing'
+import { buildRouteTable, matchRoute, selectService } from '@lynxcourse/routing'
 import { route } from '@lynxcourse/state/testing'
 
 const seed = 23
@@ -25,7 +25,7 @@
     const picker = new Map()
     const picked = new Map<string, number>()
     for (let sent = 0; sent < count; sent++) {
-      const name = pickService(picker, route('x', { service: undefined, split }))
+      const name = selectService(picker, route('x', { service: undefined, split }))
       picked.set(name, (picked.get(name) ?? 0) + 1)
     }
     const total = list.reduce((sum, weight) => sum + weight, 0)
--- a/packages/routing/__tests__/routing.test.ts
+++ b/packages/routing/__tests__/routing.test.ts
@@ -2,14 +2,14 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { brandId, isLynxError, loadChart, makeRandom } from '@lynxcourse/base'
+import { brandId, isLynxError, loadChart, createRandom } from '@lynxcourse/base'
 import type { RegionId, ServerId, ShiftId, VmId } from '@lynxcourse/base'
 import {
-  afterAttempt, afterClaim, afterRecord, afterSlot, buildBlockTable, buildLookupIndex, canFinish, createBackends, createBudget,
-  createOnceFlow, createPace, createQueue, createRouter, defaultObservation, dequeue, earnRetry, enqueue, enterAttempt, findHopeless,
-  isUsable, lastSendAfterShed, leaveAttempt, lookupVms, makePolicy, maxBudget, noteEnded, notePace, noteReportedLoad, noteSent, openSlots,
-  orderPlaces, parseIpv4, pausePace, refreshBackend, regionOfAddress, removeItem, retryAfter, routeRequest, setBackends, spendRetry,
-  startOnce
+  continueAfterAttempt, continueAfterClaim, continueAfterRecord, continueAfterSlot, buildBlockTable, buildLookupIndex, canCompleteInTime, createBackends, createRetryBudget,
+  createOnceFlow, createCompletionRate, createDeadlineQueue, createRouter, defaultObservation, dequeue, earnRetry, enqueue, beginAttempt, findUnservable,
+  isUsable, getLatestResendTime, endAttempt, selectEntryVms, createServerPolicy, maxBudget, recordAttemptEnd, recordCompletion, recordReportedLoad, recordAttemptStart, countOpenSlots,
+  orderRegions, parseIpv4, pauseCompletionRate, refreshBackend, findRegion, removeItem, getRetryAfterMs, routeRequest, setBackends, spendRetry,
+  startOnceFlow
 } from '@lynxcourse/routing'
 import type { Backend, CallerBlock, EntryVm, OnceEffect, PolicyContext } from '@lynxcourse/routing'
 
@@ -31,7 +31,7 @@
     for (const address of [...addresses, ...plain.map(one => one.start), ...plain.map(one => Math.max(0, one.start - 1))]) {
       const holders = plain.filter(({ start, bits }) => address >= start && address < start + 2 ** (32 - bits)).sort((a, b) => b.bits - a.bits)
       const expected = holders[0] === undefined ? undefined : `r${holders[0].region}`
-      assert.equal(regionOfAddress(table, address), expected)
+      assert.equal(findRegion(table, address), expected)
     }
   }), run)
 })
@@ -45,7 +45,7 @@
 const placeInput = { service: brandId<never>('s'), places: [kochi, chennai, mumbai], callerRegion: mumbai, drained: new Set<RegionId>(), shifts: [], callerHash: 5, latencies: new Map([['mumbai>chennai', 10]]) }
 
 test('a caller\'s own region goes first, then by latency; drained regions not at all', () => {
-  const names = (input: object): string[] => orderPlaces({ ...placeInput, ...input }).map(place => place.region)
+  const names = (input: object): string[] => orderRegions({ ...placeInput, ...input }).map(place => place.region)
   assert.deepEqual(names({}), ['mumbai', 'chennai', 'kochi'])
   assert.deepEqual(names({ drained: new Set([mumbai]) }), ['chennai', 'kochi'])
 })
@@ -53,7 +53,7 @@
 test('a shift takes its share of callers, and keeps those it has as it grows', () => {
   const shiftAt = (percent: number) => ({ id: brandId<ShiftId>('m'), service: placeInput.service, from: mumbai, to: kochi, percent })
   const taken = (percent: number): Set<number> => new Set(Array.from({ length: 512 }, (_, hash) => hash).filter(hash =>
-    orderPlaces({ ...placeInput, callerHash: hash, shifts: [shiftAt(percent)] })[0]?.region === kochi))
+    orderRegions({ ...placeInput, callerHash: hash, shifts: [shiftAt(percent)] })[0]?.region === kochi))
   assert.equal(taken(0).size, 0)
   assert.equal(taken(50).size, 256)
   assert.equal(taken(100).size, 512)
@@ -63,8 +63,8 @@
 test('look-ups name the first region\'s VMs first and suspected ones last', () => {
   const entryVm = (name: string, region: RegionId, suspected = false): EntryVm => ({ vm: brandId(name), region, failureDomain: brandId('d'), http: '127.0.0.1:1', suspected })
   const index = buildLookupIndex([entryVm('k1', kochi), entryVm('m1', mumbai, true), entryVm('m2', mumbai), entryVm('c1', chennai)])
-  const places = orderPlaces(placeInput)
-  assert.deepEqual(lookupVms(index, places, 7).map(vm => vm.vm), ['m2', 'c1', 'k1', 'm1'])
+  const places = orderRegions(placeInput)
+  assert.deepEqual(selectEntryVms(index, places, 7).map(vm => vm.vm), ['m2', 'c1', 'k1', 'm1'])
 })
 
 function backend (name: string, fields: Partial<Backend> = {}): Backend {
@@ -82,8 +82,8 @@
     if (observed === undefined) throw new Error('no server')
     for (const policy of ['slots', 'owner'] as const) {
       const sum: number = peers.reduce((total: number, self): number => {
-        const ctx: PolicyContext = { cfg: { ...defaultObservation, slowStartMs: 0.001 }, self, peers, random: makeRandom(1), now: 1000 }
-        return total + makePolicy(policy).slotsFor(observed, ctx)
+        const ctx: PolicyContext = { cfg: { ...defaultObservation, slowStartMs: 0.001 }, self, peers, random: createRandom(1), now: 1000 }
+        return total + createServerPolicy(policy).countUsableSlots(observed, ctx)
       }, 0)
       assert.equal(sum, slots, policy)
     }
@@ -96,8 +96,8 @@
   setBackends(backends, [backend('a')], 0)
   const observed = backends.byId.get(brandId<ServerId>('a'))
   if (observed === undefined) throw new Error('no server')
-  const ctx: PolicyContext = { cfg: defaultObservation, self: brandId('far'), peers: [brandId<VmId>('near')], random: makeRandom(1), now: 60_000 }
-  for (const policy of ['alone', 'slots', 'owner'] as const) assert.ok(makePolicy(policy).slotsFor(observed, ctx) > 0, policy)
+  const ctx: PolicyContext = { cfg: defaultObservation, self: brandId('far'), peers: [brandId<VmId>('near')], random: createRandom(1), now: 60_000 }
+  for (const policy of ['alone', 'slots', 'owner'] as const) assert.ok(createServerPolicy(policy).countUsableSlots(observed, ctx) > 0, policy)
 })
 
 test('a server that fails is set aside, for longer each time, and let back slowly', () => {
@@ -107,15 +107,15 @@
   if (observed === undefined) throw new Error('no server')
   const fail = (now: number): void => {
     for (let n = 0; n < defaultObservation.ejectAfter; n++) {
-      noteSent(observed)
-      noteEnded(backends, observed, 'failed', 1, now)
+      recordAttemptStart(observed)
+      recordAttemptEnd(backends, observed, 'failed', 1, now)
     }
   }
   fail(10_000)
   assert.equal(isUsable(observed, 10_001), false)
   refreshBackend(backends, observed, 10_000 + defaultObservation.ejectMs)
   assert.equal(isUsable(observed, 12_000), true)
-  assert.equal(openSlots(defaultObservation, observed, 12_000), 1, 'slow start')
+  assert.equal(countOpenSlots(defaultObservation, observed, 12_000), 1, 'slow start')
   fail(12_000)
   refreshBackend(backends, observed, 12_000 + defaultObservation.ejectMs)
   assert.equal(isUsable(observed, 14_000), false, 'the second time lasts twice as long')
@@ -126,38 +126,38 @@
   setBackends(backends, [backend('a')], 0)
   const observed = backends.byId.get(brandId<ServerId>('a'))
   if (observed === undefined) throw new Error('no server')
-  noteSent(observed)
-  noteEnded(backends, observed, 'shed', 1, 100)
+  recordAttemptStart(observed)
+  recordAttemptEnd(backends, observed, 'shed', 1, 100)
   assert.equal(isUsable(observed, 101), false)
   assert.equal(isUsable(observed, 100 + defaultObservation.shedPauseMs), true)
-  for (const load of [NaN, -1, Infinity, 1e9]) noteReportedLoad(observed, load, 100)
+  for (const load of [NaN, -1, Infinity, 1e9]) recordReportedLoad(observed, load, 100)
   assert.equal(observed.reportedLoad, 0)
 })
 
 test('no more in flight at a server than its slots, nothing to one that leaves, and none past a limit', () => {
   const choices = fc.array(fc.record({ send: fc.boolean(), leave: fc.nat(3), pick: fc.nat(20), open: fc.boolean() }), { maxLength: 80 })
   fc.assert(fc.property(choices, list => {
-    const router = createRouter({ self: brandId('v'), region: kochi, policy: makePolicy('alone'), observation: defaultObservation, chart, random: makeRandom(3), latencies: new Map() })
+    const router = createRouter({ self: brandId('v'), region: kochi, policy: createServerPolicy('alone'), observation: defaultObservation, chart, random: createRandom(3), latencies: new Map() })
     router.peers = new Map([[kochi, [brandId<VmId>('v')]]])
     const left = new Set<string>()
-    const open: Array<Parameters<typeof leaveAttempt>[1]> = []
+    const open: Array<Parameters<typeof endAttempt>[1]> = []
     let now = 100_000
     for (const { send, leave, pick, open: isOpen } of list) {
       now += 10
       if (leave === 0) left.add(`s${pick % 4}`)
       setBackends(router.backends, [0, 1, 2, 3].map(n => backend(`s${n}`, { leaving: left.has(`s${n}`) })), now - 60_000)
       if (send) {
-        const gate = { mayEnter: () => isOpen, resourcesOf: () => [] }
-        const decision = routeRequest(router, { service: brandId('s'), places: [{ region: kochi, shift: undefined }], tried: new Set() }, gate, now)
+        const gate = { hasCapacity: () => isOpen, getResources: () => [] }
+        const decision = routeRequest(router, { service: brandId('s'), places: [{ region: kochi, shift: undefined }], triedServers: new Set() }, gate, now)
         if (decision.type === 'wait') continue
         assert.ok(isOpen)
         assert.ok(!left.has(decision.observed.backend.id))
         assert.ok(decision.observed.inFlight < 3)
-        enterAttempt(decision.observed)
+        beginAttempt(decision.observed)
         open.push(decision.observed)
       } else {
         const [observed] = open.splice(pick % Math.max(1, open.length), 1)
-        if (observed !== undefined) leaveAttempt(router, observed, 'answered', 5, now)
+        if (observed !== undefined) endAttempt(router, observed, 'answered', 5, now)
       }
     }
   }), run)
@@ -165,7 +165,7 @@
 
 test('the queue gives out by deadline, stays within its bound, and lets anyone leave', () => {
   fc.assert(fc.property(fc.array(fc.nat(100), { maxLength: 40 }), fc.nat(20), (deadlines, leaver) => {
-    const queue = createQueue<{ deadline: number, order: number }>(25)
+    const queue = createDeadlineQueue<{ deadline: number, order: number }>(25)
     const items = deadlines.map((deadline, order) => ({ deadline, order })).filter(item => enqueue(queue, item))
     assert.ok(items.length <= 25)
     const gone = items[leaver]
@@ -177,7 +177,7 @@
 })
 
 test('retries stay within their share of requests', () => {
-  const budget = createBudget()
+  const budget = createRetryBudget()
   let spent = 0
   for (let n = 0; n < 1000; n++) {
     earnRetry(budget, 0.1)
@@ -187,32 +187,32 @@
 })
 
 test('what can\'t end in time is refused, with when to come back', () => {
-  const input = { deadline: 1000, slots: 3, waiting: 0, serviceMs: 100, overheadMs: 50, intervalMs: 0 }
-  assert.equal(canFinish(input, 800), true)
-  assert.equal(canFinish(input, 900), false)
-  assert.equal(canFinish({ ...input, waiting: 30 }, 0), false)
-  assert.equal(canFinish({ ...input, slots: 0 }, 0), false)
-  assert.equal(retryAfter({ ...input, waiting: 30 }), 1000)
-  assert.equal(canFinish({ ...input, slots: 60, waiting: 30, intervalMs: 40 }, 0), false, 'slots that others fill')
+  const input = { deadline: 1000, slots: 3, queueLength: 0, serviceMs: 100, overheadMs: 50, completionIntervalMs: 0 }
+  assert.equal(canCompleteInTime(input, 800), true)
+  assert.equal(canCompleteInTime(input, 900), false)
+  assert.equal(canCompleteInTime({ ...input, queueLength: 30 }, 0), false)
+  assert.equal(canCompleteInTime({ ...input, slots: 0 }, 0), false)
+  assert.equal(getRetryAfterMs({ ...input, queueLength: 30 }), 1000)
+  assert.equal(canCompleteInTime({ ...input, slots: 60, queueLength: 30, completionIntervalMs: 40 }, 0), false, 'slots that others fill')
 })
 
 test('a request that was shed is not sent again so late that its deadline would cut the send', () => {
   // Guards against this failure: a caller hears that the outcome of an offer is unknown, though every server said that it did not start it.
-  assert.equal(lastSendAfterShed(1000, 1300), 1225)
-  assert.equal(lastSendAfterShed(1000, 1040), 1030, 'a short deadline leaves time for a send')
-  assert.equal(lastSendAfterShed(1000, 6000), 5900, 'a long one loses no more than an answer takes')
+  assert.equal(getLatestResendTime(1000, 1300), 1225)
+  assert.equal(getLatestResendTime(1000, 1040), 1030, 'a short deadline leaves time for a send')
+  assert.equal(getLatestResendTime(1000, 6000), 5900, 'a long one loses no more than an answer takes')
 })
 
 test('those who can not be served in time at the present pace are found, and nobody else', () => {
   // Guards against this failure: callers hear near their deadlines that they are not served.
-  const pace = createPace()
-  for (let now = 0; now <= 1000; now += 10) notePace(pace, now)
+  const pace = createCompletionRate()
+  for (let now = 0; now <= 1000; now += 10) recordCompletion(pace, now)
   assert.equal(pace.intervalMs, 10)
   const items = Array.from({ length: 50 }, (_, order) => ({ deadline: 1400, order }))
-  const hopeless = findHopeless(items, pace, 100, 1000)
+  const hopeless = findUnservable(items, pace, 100, 1000)
   assert.deepEqual(hopeless.map(item => item.order), Array.from({ length: 19 }, (_, n) => n + 31))
-  pausePace(pace)
-  notePace(pace, 9000)
+  pauseCompletionRate(pace)
+  recordCompletion(pace, 9000)
   assert.equal(pace.intervalMs, 10, 'idle time is no pace')
 })
 
@@ -221,7 +221,7 @@
   fc.assert(fc.property(fc.infiniteStream(fc.nat(7)), choices => {
     const next = (): number => choices.next().value as number
     const flow = createOnceFlow(attempt)
-    let effect: OnceEffect = startOnce(flow, next() > 1)
+    let effect: OnceEffect = startOnceFlow(flow, next() > 1)
     let claimed = false
     let ran: 'no' | 'maybe' | 'yes' = 'no'
     let recorded = false
@@ -231,27 +231,27 @@
         case 'claim': {
           const event = (['granted', 'granted', 'taken', 'refused', 'noAnswer'] as const)[next() % 5] ?? 'granted'
           claimed = event === 'granted'
-          effect = afterClaim(flow, event)
+          effect = continueAfterClaim(flow, event)
           break
         }
-        case 'getSlot': effect = afterSlot(flow, next() === 0 ? 'none' : undefined); break
+        case 'getSlot': effect = continueAfterSlot(flow, next() === 0 ? 'none' : undefined); break
         case 'send': {
           assert.ok(claimed)
           assert.equal(ran, 'no')
           const event = (['answered', 'lost', 'shed', 'notSent'] as const)[next() % 4] ?? 'lost'
           if (event === 'answered') ran = 'yes'
           if (event === 'lost') ran = 'maybe'
-          effect = afterAttempt(flow, event, next() > 2)
+          effect = continueAfterAttempt(flow, event, next() > 2)
           break
         }
         case 'recordNotRun':
           recorded = next() > 2
-          effect = afterRecord(recorded, effect.reason)
+          effect = continueAfterRecord(recorded, effect.reason)
           break
       }
     }
-    if (effect.told === 'notRun') assert.ok(ran === 'no' && recorded)
-    if (ran === 'yes') assert.equal(effect.told, 'done')
-    if (ran === 'maybe') assert.deepEqual([effect.told, effect.record], ['unknown', 'unknown'])
+    if (effect.callerOutcome === 'notRun') assert.ok(ran === 'no' && recorded)
+    if (ran === 'yes') assert.equal(effect.callerOutcome, 'done')
+    if (ran === 'maybe') assert.deepEqual([effect.callerOutcome, effect.record], ['unknown', 'unknown'])
   }), run)
 })
--- a/packages/routing/src/core/admission.ts
+++ b/packages/routing/src/core/admission.ts
@@ -1,17 +1,17 @@
 /** Admission: whether a request can still be served in time, judged before anything is spent on it. */
 import type { Millis } from '@lynxcourse/base'
-import type { Waiting } from './deadlineQueue.js'
+import type { QueueItem } from './deadlineQueue.js'
 
 /** What admission knows when a request arrives. */
 export interface AdmissionInput {
   readonly deadline: Millis
   /** Slots that this VM may fill for the service, in all places open to the request. */
   readonly slots: number
-  readonly waiting: number
+  readonly queueLength: number
   /** Smoothed service time. */
   readonly serviceMs: Millis
   /** Smoothed time between two requests that ended while others waited; 0 while nobody had to wait. */
-  readonly intervalMs: Millis
+  readonly completionIntervalMs: Millis
   /** Two-way latency to the nearest place, with that of a claim if one is needed. */
   readonly overheadMs: Millis
 }
@@ -36,13 +36,13 @@
  * ones, so the pace at which requests really end is asked as well; the longer answer counts.
  */
 export function expectedWait (input: AdmissionInput): Millis {
-  const bySlots = Math.floor(input.waiting / Math.max(1, input.slots)) * input.serviceMs
-  const byPace = input.waiting * input.intervalMs
+  const bySlots = Math.floor(input.queueLength / Math.max(1, input.slots)) * input.serviceMs
+  const byPace = input.queueLength * input.completionIntervalMs
   return Math.max(bySlots, byPace)
 }
 
 /** Whether a request would end before its deadline. */
-export function canFinish (input: AdmissionInput, now: Millis): boolean {
+export function canCompleteInTime (input: AdmissionInput, now: Millis): boolean {
   return input.slots > 0 && expectedEnd(input, now) <= input.deadline
 }
 
@@ -53,7 +53,7 @@
 const maxSheds = 60
 
 /** Whether a request that was shed so often may go on looking for a slot. */
-export function mayTryAfterSheds (sheds: number, waiting: number): boolean {
+export function canRetryAfterSheds (sheds: number, waiting: number): boolean {
   return sheds < (waiting > 0 ? maxShedsInQueue : maxSheds)
 }
 
@@ -66,17 +66,17 @@
  * while it is under way: the caller of a request that no server started then hears that its outcome is
  * unknown (three of seven requests that all servers shed, with 300 ms to go, on loopback), and may not repeat it.
  */
-export function lastSendAfterShed (arrivedAt: Millis, deadline: Millis): Millis {
+export function getLatestResendTime (arrivedAt: Millis, deadline: Millis): Millis {
   return deadline - Math.min(maxAnswerMs, (deadline - arrivedAt) * answerPart)
 }
 
 /** When a refused caller should come back: when the present queue will have been served. */
-export function retryAfter (input: AdmissionInput): Millis {
+export function getRetryAfterMs (input: AdmissionInput): Millis {
   return Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, Math.ceil(expectedWait(input))))
 }
 
 /** The pace at which requests end while others wait. */
-export interface Pace {
+export interface CompletionRate {
   /** Smoothed time between two ends; 0 while unknown. */
   intervalMs: Millis
   /** When the last request ended, if somebody has waited ever since. */
@@ -85,12 +85,12 @@
 
 const paceSmoothing = 0.1
 
-export function createPace (): Pace {
+export function createCompletionRate (): CompletionRate {
   return { intervalMs: 0, lastAt: undefined }
 }
 
 /** Notes that a request ended while others waited. */
-export function notePace (pace: Pace, now: Millis): void {
+export function recordCompletion (pace: CompletionRate, now: Millis): void {
   if (pace.lastAt !== undefined) {
     const gap = now - pace.lastAt
     pace.intervalMs = pace.intervalMs === 0 ? gap : pace.intervalMs + (gap - pace.intervalMs) * paceSmoothing
@@ -99,7 +99,7 @@
 }
 
 /** Notes that nobody waits: the next gap would count idle time. */
-export function pausePace (pace: Pace): void {
+export function pauseCompletionRate (pace: CompletionRate): void {
   pace.lastAt = undefined
 }
 
@@ -107,7 +107,7 @@
  * Those who wait and can't be served in time at the present pace. They are told at once: held until
  * their deadlines they would learn the same, later.
  */
-export function findHopeless<Item extends Waiting> (items: readonly Item[], pace: Pace, serviceMs: Millis, now: Millis): Item[] {
+export function findUnservable<Item extends QueueItem> (items: readonly Item[], pace: CompletionRate, serviceMs: Millis, now: Millis): Item[] {
   const inOrder = [...items].sort((a, b) => a.deadline - b.deadline || a.order - b.order)
   const hopeless: Item[] = []
   let place = 0
--- a/packages/routing/src/core/backends.ts
+++ b/packages/routing/src/core/backends.ts
@@ -2,7 +2,7 @@
  * What one entry VM knows of backend servers by its own observation: work in flight, latency,
  * failures, sheds. Announced and reported figures lag and mislead, so they come second.
  */
-import { canTake, nextState } from '@lynxcourse/base'
+import { hasTransition, nextState } from '@lynxcourse/base'
 import type { Chart, Millis, ServerId, ServiceId } from '@lynxcourse/base'
 import type { Backend } from '../types/view.js'
 
@@ -31,7 +31,7 @@
 }
 
 /** A server as this VM uses it. */
-export interface Observed {
+export interface ObservedServer {
   backend: Backend
   /** By the `server` chart. */
   state: string
@@ -52,8 +52,8 @@
 export interface Backends {
   readonly cfg: ObservationCfg
   readonly chart: Chart
-  byId: Map<ServerId, Observed>
-  byService: Map<ServiceId, Observed[]>
+  byId: Map<ServerId, ObservedServer>
+  byService: Map<ServiceId, ObservedServer[]>
 }
 
 const smoothing = 0.1
@@ -84,13 +84,13 @@
   observed.backend = backend
   if (backend.leaving) {
     takeServerEvent(backends, observed, 'leaving')
-  } else if (canTake(backends.chart, observed.state, 'returned')) {
+  } else if (hasTransition(backends.chart, observed.state, 'returned')) {
     takeServerEvent(backends, observed, 'returned')
     observed.freshSince = now
   }
 }
 
-function freshObserved (state: string, backend: Backend, now: Millis): Observed {
+function freshObserved (state: string, backend: Backend, now: Millis): ObservedServer {
   return {
     backend,
     state,
@@ -106,8 +106,8 @@
   }
 }
 
-function groupByService (backends: Backends): Map<ServiceId, Observed[]> {
-  const groups = new Map<ServiceId, Observed[]>()
+function groupByService (backends: Backends): Map<ServiceId, ObservedServer[]> {
+  const groups = new Map<ServiceId, ObservedServer[]>()
   for (const observed of backends.byId.values()) {
     const { service } = observed.backend
     const group = groups.get(service)
@@ -117,12 +117,12 @@
   return groups
 }
 
-function takeServerEvent (backends: Backends, observed: Observed, event: string): void {
-  if (canTake(backends.chart, observed.state, event)) observed.state = nextState(backends.chart, observed.state, event)
+function takeServerEvent (backends: Backends, observed: ObservedServer, event: string): void {
+  if (hasTransition(backends.chart, observed.state, event)) observed.state = nextState(backends.chart, observed.state, event)
 }
 
 /** Moves servers whose time in a state is over. */
-export function refreshBackend (backends: Backends, observed: Observed, now: Millis): void {
+export function refreshBackend (backends: Backends, observed: ObservedServer, now: Millis): void {
   if (observed.state === 'ejected' && now >= observed.until) {
     takeServerEvent(backends, observed, 'letBack')
     observed.freshSince = now
@@ -134,17 +134,17 @@
 }
 
 /** Whether a server takes part; it may be left alone for a moment all the same. */
-export function isServing (observed: Observed): boolean {
+export function isServing (observed: ObservedServer): boolean {
   return (observed.state === 'fresh' || observed.state === 'serving') && !observed.backend.starting
 }
 
 /** Whether a server may get new work now. */
-export function isUsable (observed: Observed, now: Millis): boolean {
+export function isUsable (observed: ObservedServer, now: Millis): boolean {
   return isServing(observed) && now >= observed.pausedUntil
 }
 
 /** Slots that may be used now: all, or a growing share of at least one while fresh. */
-export function openSlots (cfg: ObservationCfg, observed: Observed, now: Millis): number {
+export function countOpenSlots (cfg: ObservationCfg, observed: ObservedServer, now: Millis): number {
   const { slots } = observed.backend
   if (observed.state !== 'fresh') return slots
   const warmth = Math.min(1, (now - observed.freshSince) / cfg.slowStartMs)
@@ -152,28 +152,28 @@
 }
 
 /** Load that others put on a server, by its own report, discounted by the report's age. */
-export function reportedWeight (cfg: ObservationCfg, observed: Observed, now: Millis): number {
+export function reportedWeight (cfg: ObservationCfg, observed: ObservedServer, now: Millis): number {
   const age = now - observed.reportedAt
   return observed.reportedLoad * 2 ** (-age / cfg.reportHalfLifeMs)
 }
 
 /** Notes a server's report of its load. Values that make no sense are dropped. */
-export function noteReportedLoad (observed: Observed, load: number, now: Millis): void {
+export function recordReportedLoad (observed: ObservedServer, load: number, now: Millis): void {
   if (!Number.isFinite(load) || load < 0 || load > observed.backend.slots * 1000) return
   observed.reportedLoad = load
   observed.reportedAt = now
 }
 
 /** Notes that an attempt began. */
-export function noteSent (observed: Observed): void {
+export function recordAttemptStart (observed: ObservedServer): void {
   observed.inFlight += 1
 }
 
 /** How an attempt ended, as far as it tells of the server. */
-export type AttemptEnd = 'answered' | 'shed' | 'failed' | 'cancelled'
+export type AttemptOutcome = 'answered' | 'shed' | 'failed' | 'cancelled'
 
 /** Notes that an attempt ended. */
-export function noteEnded (backends: Backends, observed: Observed, end: AttemptEnd, tookMs: Millis, now: Millis): void {
+export function recordAttemptEnd (backends: Backends, observed: ObservedServer, end: AttemptOutcome, tookMs: Millis, now: Millis): void {
   observed.inFlight = Math.max(0, observed.inFlight - 1)
   switch (end) {
     case 'answered':
@@ -192,10 +192,10 @@
 }
 
 /** A server that keeps failing is set aside for a time that doubles, and let back as a fresh one. */
-function noteFailure (backends: Backends, observed: Observed, now: Millis): void {
+function noteFailure (backends: Backends, observed: ObservedServer, now: Millis): void {
   const { cfg } = backends
   observed.failuresInRow += 1
-  if (observed.failuresInRow < cfg.ejectAfter || !canTake(backends.chart, observed.state, 'ejected')) return
+  if (observed.failuresInRow < cfg.ejectAfter || !hasTransition(backends.chart, observed.state, 'ejected')) return
   takeServerEvent(backends, observed, 'ejected')
   observed.until = now + Math.min(cfg.maxEjectMs, cfg.ejectMs * 2 ** observed.ejections)
   observed.ejections += 1
--- a/packages/routing/src/core/blockTable.ts
+++ b/packages/routing/src/core/blockTable.ts
@@ -12,14 +12,14 @@
   readonly region: RegionId
 }
 
-/** The number in `regionOf` that means no region is known. */
+/** The number in `regionIndexes` that means no region is known. */
 export const noRegion = 0xffff
 
 export interface BlockTable {
   readonly regions: readonly RegionId[]
   /** First address of each interval; intervals are disjoint, sorted and cover all addresses. */
   readonly starts: Uint32Array
-  readonly regionOf: Uint16Array
+  readonly regionIndexes: Uint16Array
   /** For each 16-bit prefix, the interval that holds its first address. */
   readonly prefixes: Uint32Array
 }
@@ -105,7 +105,7 @@
     prefixes[prefix] = interval
   }
   prefixes[prefixCount] = starts.length - 1
-  return { regions, starts, regionOf, prefixes }
+  return { regions, starts, regionIndexes: regionOf, prefixes }
 }
 
 /**
@@ -114,7 +114,7 @@
  * @param address IPv4 as an unsigned 32-bit number
  * @returns index into `regions`, or `noRegion`
  */
-export function regionNumber (table: BlockTable, address: number): number {
+export function findRegionIndex (table: BlockTable, address: number): number {
   const prefix = address >>> 16
   let low = table.prefixes[prefix] as number
   let high = table.prefixes[prefix + 1] as number
@@ -124,12 +124,12 @@
     if ((starts[middle] as number) <= address) low = middle
     else high = middle - 1
   }
-  return table.regionOf[low] as number
+  return table.regionIndexes[low] as number
 }
 
 /** Region of an address; undefined when no block holds it. */
-export function regionOfAddress (table: BlockTable, address: number): RegionId | undefined {
-  const number = regionNumber(table, address)
+export function findRegion (table: BlockTable, address: number): RegionId | undefined {
+  const number = findRegionIndex(table, address)
   return number === noRegion ? undefined : table.regions[number]
 }
 
@@ -160,12 +160,12 @@
 }
 
 /** Bytes that a table takes. */
-export function tableBytes (table: BlockTable): number {
-  return table.starts.byteLength + table.regionOf.byteLength + table.prefixes.byteLength
+export function getTableBytes (table: BlockTable): number {
+  return table.starts.byteLength + table.regionIndexes.byteLength + table.prefixes.byteLength
 }
 
 /** The /24 of an address, spread over 32 bits: callers of one block stay together. */
-export function blockHash (address: number): number {
+export function hashBlock (address: number): number {
   let hash = (address >>> 8) + 0x9e3779b9
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b)
   hash = Math.imul(hash ^ (hash >>> 13), 0xc2b2ae35)
--- a/packages/routing/src/core/connections.ts
+++ b/packages/routing/src/core/connections.ts
@@ -30,7 +30,7 @@
 }
 
 /** Whether a request may go over a connection. One that must not repeat needs proof of life. */
-export function mayCarry (cfg: ConnectionCfg, connection: ConnectionState, mustNotRepeat: boolean, now: Millis): boolean {
+export function isReusable (cfg: ConnectionCfg, connection: ConnectionState, mustNotRepeat: boolean, now: Millis): boolean {
   if (connection.state !== 'idle') return false
   const quietMs = now - connection.progressAt
   return mustNotRepeat ? quietMs < cfg.staleMs / 2 : quietMs < cfg.staleMs
@@ -42,12 +42,12 @@
 }
 
 /** Notes that bytes came over a connection. */
-export function noteProgress (chart: Chart, connection: ConnectionState, now: Millis): void {
+export function recordProgress (chart: Chart, connection: ConnectionState, now: Millis): void {
   connection.state = nextState(chart, connection.state, 'progress')
   connection.progressAt = now
 }
 
 /** Moves a connection by its chart. */
-export function takeConnectionEvent (chart: Chart, connection: ConnectionState, event: string): void {
+export function applyConnectionEvent (chart: Chart, connection: ConnectionState, event: string): void {
   connection.state = nextState(chart, connection.state, event)
 }
--- a/packages/routing/src/core/deadlineQueue.ts
+++ b/packages/routing/src/core/deadlineQueue.ts
@@ -1,28 +1,28 @@
 /** Requests that wait for a slot, ordered by deadline. Bounded; the caller says what happens at the bound. */
 import type { Millis } from '@lynxcourse/base'
 
-export interface Waiting {
+export interface QueueItem {
   readonly deadline: Millis
   readonly order: number
 }
 
 /** Waiting requests as a binary heap. */
-export interface DeadlineQueue<Item extends Waiting> {
+export interface DeadlineQueue<Item extends QueueItem> {
   /** Most that may wait; those who wait already stay when it is lowered. */
   limit: number
   heap: Item[]
 }
 
-export function createQueue<Item extends Waiting> (limit: number): DeadlineQueue<Item> {
+export function createDeadlineQueue<Item extends QueueItem> (limit: number): DeadlineQueue<Item> {
   return { limit, heap: [] }
 }
 
-function isBefore (a: Waiting, b: Waiting): boolean {
+function isBefore (a: QueueItem, b: QueueItem): boolean {
   return a.deadline < b.deadline || (a.deadline === b.deadline && a.order < b.order)
 }
 
 /** Adds a request; false when the queue is full. */
-export function enqueue<Item extends Waiting> (queue: DeadlineQueue<Item>, item: Item): boolean {
+export function enqueue<Item extends QueueItem> (queue: DeadlineQueue<Item>, item: Item): boolean {
   if (queue.heap.length >= queue.limit) return false
   queue.heap.push(item)
   siftUp(queue.heap, queue.heap.length - 1)
@@ -30,19 +30,19 @@
 }
 
 /** Takes out the request with the earliest deadline. */
-export function dequeue<Item extends Waiting> (queue: DeadlineQueue<Item>): Item | undefined {
+export function dequeue<Item extends QueueItem> (queue: DeadlineQueue<Item>): Item | undefined {
   return removeAt(queue.heap, 0)
 }
 
 /** Takes one request out, wherever it stands. */
-export function removeItem<Item extends Waiting> (queue: DeadlineQueue<Item>, item: Item): boolean {
+export function removeItem<Item extends QueueItem> (queue: DeadlineQueue<Item>, item: Item): boolean {
   const place = queue.heap.indexOf(item)
   if (place < 0) return false
   removeAt(queue.heap, place)
   return true
 }
 
-function removeAt<Item extends Waiting> (heap: Item[], place: number): Item | undefined {
+function removeAt<Item extends QueueItem> (heap: Item[], place: number): Item | undefined {
   const removed = heap[place]
   const last = heap.pop()
   if (removed === undefined || last === undefined || place >= heap.length) return removed
@@ -52,7 +52,7 @@
   return removed
 }
 
-function siftUp<Item extends Waiting> (heap: Item[], from: number): void {
+function siftUp<Item extends QueueItem> (heap: Item[], from: number): void {
   let place = from
   while (place > 0) {
     const parent = (place - 1) >> 1
@@ -62,7 +62,7 @@
   }
 }
 
-function siftDown<Item extends Waiting> (heap: Item[], from: number): void {
+function siftDown<Item extends QueueItem> (heap: Item[], from: number): void {
   let place = from
   for (;;) {
     const left = place * 2 + 1
--- a/packages/routing/src/core/lookup.ts
+++ b/packages/routing/src/core/lookup.ts
@@ -2,8 +2,8 @@
 import { rankByHash } from '@lynxcourse/base'
 import type { RegionId, VmId } from '@lynxcourse/base'
 import type { EntryVm } from '../types/view.js'
-import { callerBuckets } from './places.js'
-import type { Place } from './places.js'
+import { callerBucketCount } from './regionOrder.js'
+import type { CandidateRegion } from './regionOrder.js'
 
 /** Most entry VMs in one answer. */
 export const maxLookupVms = 6
@@ -30,8 +30,8 @@
  * @param callerHash `blockHash` of the caller's address: callers of one block get one order, so that
  * caches stay warm, and the loss of a VM moves only the callers that it had
  */
-export function lookupVms (index: LookupIndex, places: readonly Place[], callerHash: number): readonly EntryVm[] {
-  const bucket = callerHash % callerBuckets
+export function selectEntryVms (index: LookupIndex, places: readonly CandidateRegion[], callerHash: number): readonly EntryVm[] {
+  const bucket = callerHash % callerBucketCount
   const key = `${bucket} ${places.map(place => place.region).join(' ')}`
   const known = index.orders.get(key)
   if (known !== undefined) return known
@@ -40,7 +40,7 @@
   return order
 }
 
-function orderVms (index: LookupIndex, places: readonly Place[], bucket: number): readonly EntryVm[] {
+function orderVms (index: LookupIndex, places: readonly CandidateRegion[], bucket: number): readonly EntryVm[] {
   const named = new Set(places.map(place => place.region))
   const others = [...index.byRegion.keys()].filter(region => !named.has(region))
   const ordered: EntryVm[] = []
--- a/packages/routing/src/core/onceFlow.ts
+++ b/packages/routing/src/core/onceFlow.ts
@@ -23,7 +23,7 @@
   /** Record the id as not run; the caller waits for that. */
   | { readonly type: 'recordNotRun', readonly reason: string }
   /** Tell the caller; `record` is recorded without the caller waiting. */
-  | { readonly type: 'answer', readonly told: OnceTold, readonly reason: string, readonly record: OnceEnd | undefined }
+  | { readonly type: 'answer', readonly callerOutcome: OnceTold, readonly reason: string, readonly record: OnceEnd | undefined }
 
 /** What the caller is told. `taken` and `refused` pass on what the register said. */
 export type OnceTold = 'done' | 'notRun' | 'unknown' | 'taken' | 'refused'
@@ -53,14 +53,14 @@
 }
 
 /** The first step: a request that can't be served in time is refused before it costs anything. */
-export function startOnce (flow: OnceFlow, isAdmitted: boolean): OnceEffect {
+export function startOnceFlow (flow: OnceFlow, isAdmitted: boolean): OnceEffect {
   if (!isAdmitted) return refuse(flow, 'no capacity in time')
   take(flow, 'claim')
   return { type: 'claim' }
 }
 
 /** After the register answered. */
-export function afterClaim (flow: OnceFlow, event: ClaimEvent): OnceEffect {
+export function continueAfterClaim (flow: OnceFlow, event: ClaimEvent): OnceEffect {
   switch (event) {
     case 'granted':
       take(flow, 'granted')
@@ -69,27 +69,27 @@
       return refuse(flow, 'the register of claims did not answer in time')
     default:
       take(flow, 'refuse')
-      return { type: 'answer', told: event, reason: 'the register refused the claim', record: undefined }
+      return { type: 'answer', callerOutcome: event, reason: 'the register refused the claim', record: undefined }
   }
 }
 
 /** After a slot came, or did not. */
-export function afterSlot (flow: OnceFlow, noSlotReason: string | undefined): OnceEffect {
+export function continueAfterSlot (flow: OnceFlow, noSlotReason: string | undefined): OnceEffect {
   if (noSlotReason !== undefined) return refuse(flow, noSlotReason)
   take(flow, 'send')
   return { type: 'send' }
 }
 
 /** After an attempt ended. */
-export function afterAttempt (flow: OnceFlow, event: AttemptEvent, mayTryAgain: boolean): OnceEffect {
+export function continueAfterAttempt (flow: OnceFlow, event: AttemptEvent, mayTryAgain: boolean): OnceEffect {
   switch (event) {
     case 'answered':
       take(flow, 'answer')
-      return { type: 'answer', told: 'done', reason: 'done', record: 'done' }
+      return { type: 'answer', callerOutcome: 'done', reason: 'done', record: 'done' }
     case 'lost':
       take(flow, 'fail')
       take(flow, 'giveUp')
-      return { type: 'answer', told: 'unknown', reason: 'sent, but no whole answer came', record: 'unknown' }
+      return { type: 'answer', callerOutcome: 'unknown', reason: 'sent, but no whole answer came', record: 'unknown' }
     default:
       take(flow, 'shed')
       return mayTryAgain ? { type: 'getSlot' } : refuse(flow, event === 'shed' ? 'servers shed' : 'servers can not be reached')
@@ -100,7 +100,7 @@
  * After the register was asked to record not-run. Without its word another copy of the id may still
  * run, so the caller must not hear `not-run`.
  */
-export function afterRecord (isRecorded: boolean, reason: string): OnceEffect {
-  if (isRecorded) return { type: 'answer', told: 'notRun', reason, record: undefined }
-  return { type: 'answer', told: 'unknown', reason: `${reason}; this copy was not sent, but the register could not rule out others`, record: undefined }
+export function continueAfterRecord (isRecorded: boolean, reason: string): OnceEffect {
+  if (isRecorded) return { type: 'answer', callerOutcome: 'notRun', reason, record: undefined }
+  return { type: 'answer', callerOutcome: 'unknown', reason: `${reason}; this copy was not sent, but the register could not rule out others`, record: undefined }
 }
--- a/packages/routing/src/core/places.ts
+++ b/packages/routing/src/core/regionOrder.ts
@@ -4,7 +4,7 @@
 import type { ActiveShift, RegionLatencies } from '../types/view.js'
 
 /** A region to try, and the shift that put it there. */
-export interface Place {
+export interface CandidateRegion {
   readonly region: RegionId
   readonly shift: ShiftId | undefined
 }
@@ -26,13 +26,13 @@
 const percents = 100
 
 /** Callers' blocks are put in this many groups, which share look-up answers and shifts. */
-export const callerBuckets = 512
+export const callerBucketCount = 512
 
 /**
  * Orders regions for a caller: its own first, the rest by latency from there and then by preference;
  * a shift that took the caller's block puts its destination before its origin.
  */
-export function orderPlaces (input: PlaceInput): Place[] {
+export function orderRegions (input: PlaceInput): CandidateRegion[] {
   const { callerRegion, places, drained } = input
   const usable = places.filter(region => !drained.has(region))
   const distance = (region: RegionId): number =>
@@ -40,11 +40,11 @@
   const ordered = usable
     .map((region, preference) => ({ region, preference }))
     .sort((a, b) => distance(a.region) - distance(b.region) || a.preference - b.preference)
-    .map(({ region }): Place => ({ region, shift: undefined }))
+    .map(({ region }): CandidateRegion => ({ region, shift: undefined }))
   return input.shifts.reduce((list, shift) => applyShift(list, shift, input), ordered)
 }
 
-function applyShift (list: Place[], shift: ActiveShift, input: PlaceInput): Place[] {
+function applyShift (list: CandidateRegion[], shift: ActiveShift, input: PlaceInput): CandidateRegion[] {
   if (shift.service !== input.service || !isTaken(shift, input.callerHash)) return list
   const from = list.findIndex(place => place.region === shift.from)
   const to = list.findIndex(place => place.region === shift.to)
@@ -57,5 +57,5 @@
 
 /** Whether a shift takes a caller's block; a block once taken stays taken as the share grows. */
 export function isTaken (shift: ActiveShift, callerHash: number): boolean {
-  return callerHash % callerBuckets * percents < shift.percent * callerBuckets
+  return callerHash % callerBucketCount * percents < shift.percent * callerBucketCount
 }
--- a/packages/routing/src/core/budget.ts
+++ b/packages/routing/src/core/retryBudget.ts
@@ -11,7 +11,7 @@
 /** Most unused retries carried over. */
 export const maxBudget = 20
 
-export function createBudget (): RetryBudget {
+export function createRetryBudget (): RetryBudget {
   return { tokens: maxBudget / 2 }
 }
 
--- a/packages/routing/src/core/routeTable.ts
+++ b/packages/routing/src/core/routeTable.ts
@@ -1,5 +1,5 @@
 /** Finds the route of a request, and the service among the parts of a weighted split. */
-import { partsOf } from '@lynxcourse/state'
+import { getRouteServices } from '@lynxcourse/state'
 import type { Route } from '@lynxcourse/state'
 import type { ServiceId } from '@lynxcourse/base'
 
@@ -30,14 +30,14 @@
 }
 
 /** How far each route's split has got. */
-export type SplitPicker = Map<string, { key: string, credits: number[] }>
+export type SplitStates = Map<string, { key: string, credits: number[] }>
 
 /**
  * Picks the service of a request by smooth weighted round-robin: over any stretch each part gets its
  * share to within one request, where drawing at random would stray by tens of percent on short ones.
  */
-export function pickService (picker: SplitPicker, route: Route): ServiceId {
-  const parts = partsOf(route)
+export function selectService (picker: SplitStates, route: Route): ServiceId {
+  const parts = getRouteServices(route)
   const only = parts.length === 1 ? parts[0] : undefined
   if (only !== undefined) return only.service
   const key = parts.map(part => `${part.service}=${part.weight}`).join()
--- a/packages/routing/src/core/router.ts
+++ b/packages/routing/src/core/router.ts
@@ -2,9 +2,9 @@
 import type { Chart, Millis, Random, RegionId, ResourceId, ServiceId, VmId } from '@lynxcourse/base'
 import type { RegionLatencies } from '../types/view.js'
 import { latencyBetween } from '../types/view.js'
-import { createBackends, isServing, isUsable, noteEnded, noteSent, refreshBackend } from './backends.js'
-import type { AttemptEnd, Backends, ObservationCfg, Observed } from './backends.js'
-import type { Place } from './places.js'
+import { createBackends, isServing, isUsable, recordAttemptEnd, recordAttemptStart, refreshBackend } from './backends.js'
+import type { AttemptOutcome, Backends, ObservationCfg, ObservedServer } from './backends.js'
+import type { CandidateRegion } from './regionOrder.js'
 import type { PolicyContext, ServerPolicy } from './serverPolicy.js'
 
 /** What the router needs for its whole life. */
@@ -21,9 +21,9 @@
 /** Limits as the router sees them. */
 export interface LimitGate {
   /** Whether a request may start against these resources now. */
-  mayEnter (resources: readonly ResourceId[]): boolean
+  hasCapacity (resources: readonly ResourceId[]): boolean
   /** The capped resources that a request to a place uses. */
-  resourcesOf (place: Place): readonly ResourceId[]
+  getResources (place: CandidateRegion): readonly ResourceId[]
 }
 
 export interface Router {
@@ -36,20 +36,20 @@
 /** A request as routing sees it. */
 export interface RouteRequest {
   readonly service: ServiceId
-  readonly places: readonly Place[]
+  readonly places: readonly CandidateRegion[]
   /** Servers already tried. */
-  readonly tried: ReadonlySet<string>
+  readonly triedServers: ReadonlySet<string>
 }
 
 /** Why a place was passed over, for `route explain` and the log. */
-export interface PassedOver {
+export interface PassedOverRegion {
   readonly region: RegionId
   readonly reason: 'noServer' | 'noSlot' | 'limit'
 }
 
 export type RouteDecision =
-  | { readonly type: 'send', readonly observed: Observed, readonly place: Place, readonly resources: readonly ResourceId[], readonly passedOver: readonly PassedOver[] }
-  | { readonly type: 'wait', readonly passedOver: readonly PassedOver[] }
+  | { readonly type: 'send', readonly observed: ObservedServer, readonly place: CandidateRegion, readonly resources: readonly ResourceId[], readonly passedOver: readonly PassedOverRegion[] }
+  | { readonly type: 'wait', readonly passedOver: readonly PassedOverRegion[] }
 
 export function createRouter (setup: RouterSetup): Router {
   return { setup, backends: createBackends(setup.observation, setup.chart), peers: new Map() }
@@ -65,15 +65,15 @@
 
 /** Chooses the first place, in order, with a free slot and room under its limits. */
 export function routeRequest (router: Router, request: RouteRequest, gate: LimitGate, now: Millis): RouteDecision {
-  const passedOver: PassedOver[] = []
+  const passedOver: PassedOverRegion[] = []
   for (const place of request.places) {
     const usable = servingIn(router, request, place.region, now).filter(observed => isUsable(observed, now))
     if (usable.length === 0) {
       passedOver.push({ region: place.region, reason: 'noServer' })
       continue
     }
-    const resources = gate.resourcesOf(place)
-    if (!gate.mayEnter(resources)) {
+    const resources = gate.getResources(place)
+    if (!gate.hasCapacity(resources)) {
       passedOver.push({ region: place.region, reason: 'limit' })
       continue
     }
@@ -86,21 +86,21 @@
   return { type: 'wait', passedOver }
 }
 
-function servingIn (router: Router, request: RouteRequest, region: RegionId, now: Millis): Observed[] {
+function servingIn (router: Router, request: RouteRequest, region: RegionId, now: Millis): ObservedServer[] {
   const all = router.backends.byService.get(request.service) ?? []
   return all.filter(observed => {
-    if (observed.backend.region !== region || request.tried.has(observed.backend.id)) return false
+    if (observed.backend.region !== region || request.triedServers.has(observed.backend.id)) return false
     refreshBackend(router.backends, observed, now)
     return isServing(observed)
   })
 }
 
-function slotsFor (router: Router, observed: Observed, ctx: PolicyContext): number {
-  return router.setup.policy.slotsFor(observed, ctx)
+function slotsFor (router: Router, observed: ObservedServer, ctx: PolicyContext): number {
+  return router.setup.policy.countUsableSlots(observed, ctx)
 }
 
 /** Slots that this VM may fill for a request, busy or free, also those that are left alone for a moment. */
-export function slotsOpenTo (router: Router, request: RouteRequest, now: Millis): number {
+export function countAvailableSlots (router: Router, request: RouteRequest, now: Millis): number {
   let slots = 0
   for (const place of request.places) {
     const ctx = contextFor(router, place.region, now)
@@ -110,23 +110,23 @@
 }
 
 /** Mean service time of a service as this VM saw it, in milliseconds. */
-export function serviceTime (router: Router, service: ServiceId): Millis {
+export function getMeanServiceMs (router: Router, service: ServiceId): Millis {
   const all = router.backends.byService.get(service) ?? []
   if (all.length === 0) return 0
   return all.reduce((sum, observed) => sum + observed.latencyMs, 0) / all.length
 }
 
 /** Two-way latency from this VM to a region. */
-export function roundTripTo (router: Router, region: RegionId): Millis {
+export function getRoundTripMs (router: Router, region: RegionId): Millis {
   return 2 * latencyBetween(router.setup.latencies, router.setup.region, region)
 }
 
-/** Counts an attempt in; pair it with `leaveAttempt`. */
-export function enterAttempt (observed: Observed): void {
-  noteSent(observed)
+/** Counts an attempt in; pair it with `endAttempt`. */
+export function beginAttempt (observed: ObservedServer): void {
+  recordAttemptStart(observed)
 }
 
 /** Counts an attempt out. */
-export function leaveAttempt (router: Router, observed: Observed, end: AttemptEnd, tookMs: Millis, now: Millis): void {
-  noteEnded(router.backends, observed, end, tookMs, now)
+export function endAttempt (router: Router, observed: ObservedServer, end: AttemptOutcome, tookMs: Millis, now: Millis): void {
+  recordAttemptEnd(router.backends, observed, end, tookMs, now)
 }
