--- a/packages/routing/src/core/serverPolicy.ts
+++ b/packages/routing/src/core/serverPolicy.ts
@@ -1,8 +1,8 @@
 /** How one of several VMs picks a backend server without asking the others. */
-import { ownerByHash } from '@lynxcourse/base'
+import { findOwnerByHash } from '@lynxcourse/base'
 import type { Millis, Random, VmId } from '@lynxcourse/base'
-import { openSlots, reportedWeight } from './backends.js'
-import type { ObservationCfg, Observed } from './backends.js'
+import { countOpenSlots, reportedWeight } from './backends.js'
+import type { ObservationCfg, ObservedServer } from './backends.js'
 
 /** What a policy may look at. */
 export interface PolicyContext {
@@ -20,25 +20,25 @@
   abstract readonly name: string
 
   /** Slots of a server that this VM may fill. */
-  abstract slotsFor (observed: Observed, ctx: PolicyContext): number
+  abstract countUsableSlots (observed: ObservedServer, ctx: PolicyContext): number
 
   /** Whether the slot counts are shared out, so that no two VMs fill the same slot. */
   abstract readonly isShared: boolean
 
   /** Picks among servers that have a free slot: the less loaded of two drawn at random. */
-  pick (candidates: readonly Observed[], ctx: PolicyContext): Observed | undefined {
+  pick (candidates: readonly ObservedServer[], ctx: PolicyContext): ObservedServer | undefined {
     if (candidates.length <= 1) return candidates[0]
     const first = Math.floor(ctx.random() * candidates.length)
     const second = (first + 1 + Math.floor(ctx.random() * (candidates.length - 1))) % candidates.length
-    const a = candidates[first] as Observed
-    const b = candidates[second] as Observed
+    const a = candidates[first] as ObservedServer
+    const b = candidates[second] as ObservedServer
     return this.loadOf(a, ctx) <= this.loadOf(b, ctx) ? a : b
   }
 
   /** Share of a server's slots in use: our own work, or what the server reports if that is more. */
-  protected loadOf (observed: Observed, ctx: PolicyContext): number {
+  protected loadOf (observed: ObservedServer, ctx: PolicyContext): number {
     const busy = Math.max(observed.inFlight, reportedWeight(ctx.cfg, observed, ctx.now))
-    return busy / openSlots(ctx.cfg, observed, ctx.now)
+    return busy / countOpenSlots(ctx.cfg, observed, ctx.now)
   }
 }
 
@@ -55,8 +55,8 @@
   readonly name = 'alone'
   readonly isShared = false
 
-  override slotsFor (observed: Observed, ctx: PolicyContext): number {
-    return openSlots(ctx.cfg, observed, ctx.now)
+  override countUsableSlots (observed: ObservedServer, ctx: PolicyContext): number {
+    return countOpenSlots(ctx.cfg, observed, ctx.now)
   }
 }
 
@@ -66,8 +66,8 @@
   readonly isShared = true
   private readonly owners = new Map<string, readonly (VmId | undefined)[]>()
 
-  override slotsFor (observed: Observed, ctx: PolicyContext): number {
-    const open = openSlots(ctx.cfg, observed, ctx.now)
+  override countUsableSlots (observed: ObservedServer, ctx: PolicyContext): number {
+    const open = countOpenSlots(ctx.cfg, observed, ctx.now)
     if (isForeign(ctx)) return open
     let mine = 0
     for (const owner of this.ownersOf(observed, ctx).slice(0, open)) {
@@ -76,13 +76,13 @@
     return mine
   }
 
-  private ownersOf (observed: Observed, ctx: PolicyContext): readonly (VmId | undefined)[] {
+  private ownersOf (observed: ObservedServer, ctx: PolicyContext): readonly (VmId | undefined)[] {
     const { id, slots } = observed.backend
     const key = `${id} ${slots} ${ctx.peers.join()}`
     const known = this.owners.get(key)
     if (known !== undefined) return known
     if (this.owners.size > maxKnownOwners) this.owners.clear()
-    const owners = Array.from({ length: slots }, (_, slot) => ownerByHash(`${id} ${slot}`, ctx.peers))
+    const owners = Array.from({ length: slots }, (_, slot) => findOwnerByHash(`${id} ${slot}`, ctx.peers))
     this.owners.set(key, owners)
     return owners
   }
@@ -95,9 +95,9 @@
   readonly name = 'owner'
   readonly isShared = true
 
-  override slotsFor (observed: Observed, ctx: PolicyContext): number {
-    const mayFill = isForeign(ctx) || ownerByHash(observed.backend.id, ctx.peers) === ctx.self
-    return mayFill ? openSlots(ctx.cfg, observed, ctx.now) : 0
+  override countUsableSlots (observed: ObservedServer, ctx: PolicyContext): number {
+    const mayFill = isForeign(ctx) || findOwnerByHash(observed.backend.id, ctx.peers) === ctx.self
+    return mayFill ? countOpenSlots(ctx.cfg, observed, ctx.now) : 0
   }
 }
 
@@ -107,7 +107,7 @@
 export type PolicyName = typeof policyNames[number]
 
 /** Makes a policy by its name. */
-export function makePolicy (name: PolicyName): ServerPolicy {
+export function createServerPolicy (name: PolicyName): ServerPolicy {
   switch (name) {
     case 'alone': return new AlonePolicy()
     case 'slots': return new SlotLeasePolicy()
--- a/packages/routing/src/internal.ts
+++ b/packages/routing/src/internal.ts
@@ -1,11 +1,11 @@
 /** Fixes the order in which the modules of this package load. */
 export * from './types/view.js'
 export * from './core/blockTable.js'
-export * from './core/places.js'
+export * from './core/regionOrder.js'
 export * from './core/lookup.js'
 export * from './core/backends.js'
 export * from './core/serverPolicy.js'
-export * from './core/budget.js'
+export * from './core/retryBudget.js'
 export * from './core/deadlineQueue.js'
 export * from './core/connections.js'
 export * from './core/admission.js'
--- a/packages/state/__tests__/incarnations.test.ts
+++ b/packages/state/__tests__/incarnations.test.ts
@@ -4,8 +4,8 @@
 import fc from 'fast-check'
 import { brandId, loadChart } from '@lynxcourse/base'
 import type { FailureDomainId, ServerId, ServiceId } from '@lynxcourse/base'
-import { applyEntry, createMachine, findItem, isCredible, isNews } from '@lynxcourse/state'
-import type { BackendFacts, Machine, OrderId, RouteCommand } from '@lynxcourse/state'
+import { applyEntry, createStateMachine, findItem, acceptsAnnouncement, hasBackendChanged } from '@lynxcourse/state'
+import type { BackendAnnouncement, StateMachine, RouteChangeId, RouteCommand } from '@lynxcourse/state'
 
 const seed = 47
 console.log(`seed ${seed}`)
@@ -16,19 +16,19 @@
 const firstBorn = 1000
 const nextBorn = 9000
 
-function apply (machine: Machine, command: RouteCommand): void {
+function apply (machine: StateMachine, command: RouteCommand): void {
   applyEntry(machine, { index: machine.applied + 1, term: 1, at: 0, body: { type: 'command', command } })
 }
 
-function facts (parts: Partial<BackendFacts> = {}): BackendFacts {
+function facts (parts: Partial<BackendAnnouncement> = {}): BackendAnnouncement {
   return { id, service: desk, address: '10.0.0.1:80', failureDomain: brandId<FailureDomainId>('kochi-a'), slots: 3, software: 'v1', bornAt: firstBorn, isDraining: false, seq: 1, coldMs: 0, ...parts }
 }
 
-function withDesk (): Machine {
-  const machine = createMachine(charts)
+function withDesk (): StateMachine {
+  const machine = createStateMachine(charts)
   const upstream = { name: desk, healthPath: '/health', maxConnections: 100, warmupMs: 0, warmupPerSecond: 10, annotations: {} }
   const limits = { maxHeaderBytes: 16_384, maxBodyBytes: 1000, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
-  apply(machine, { type: 'replaceRoutes', order: 'one' as OrderId, baseVersion: 0, routesVersion: 1, set: { routes: [], upstreams: [upstream], limits } })
+  apply(machine, { type: 'replaceRoutes', order: 'one' as RouteChangeId, baseVersion: 0, routesVersion: 1, set: { routes: [], upstreams: [upstream], limits } })
   return machine
 }
 
@@ -60,8 +60,8 @@
   apply(machine, { type: 'announce', facts: facts() })
   apply(machine, { type: 'dismiss', ids: [id], bornAt: firstBorn })
   assert.equal(findItem(machine.config, 'backend', id)?.state, 'gone')
-  assert.equal(isNews(machine.config, facts({ seq: 2 })), false)
-  assert.equal(isNews(machine.config, facts({ bornAt: nextBorn })), true)
+  assert.equal(hasBackendChanged(machine.config, facts({ seq: 2 })), false)
+  assert.equal(hasBackendChanged(machine.config, facts({ bornAt: nextBorn })), true)
   apply(machine, { type: 'announce', facts: facts({ bornAt: nextBorn }) })
   assert.equal(findItem(machine.config, 'backend', id)?.state, 'serving')
 })
@@ -69,8 +69,8 @@
 test('a server without a time of start is told by its count alone, as ever', () => {
   const machine = withDesk()
   apply(machine, { type: 'announce', facts: facts({ bornAt: 0, seq: 5 }) })
-  assert.equal(isCredible(machine.config, facts({ bornAt: 0, seq: 4 })), false)
-  assert.equal(isCredible(machine.config, facts({ bornAt: 0, seq: 6 })), true)
+  assert.equal(acceptsAnnouncement(machine.config, facts({ bornAt: 0, seq: 4 })), false)
+  assert.equal(acceptsAnnouncement(machine.config, facts({ bornAt: 0, seq: 6 })), true)
 })
 
 /** Guards against this failure: a server that answers is left out. */
--- a/packages/state/__tests__/routes.test.ts
+++ b/packages/state/__tests__/routes.test.ts
@@ -4,10 +4,10 @@
 import { brandId, loadChart } from '@lynxcourse/base'
 import type { FailureDomainId, ServerId, ServiceId } from '@lynxcourse/base'
 import {
-  applyEntry, createConfig, createMachine, deltaSince, findItem, isNews, listItems, presentBackends, readMachine, routeSetOf, routesVersionOf,
-  takeDelta, writeMachine
+  applyEntry, createConfig, createStateMachine, getDeltaSince, findItem, hasBackendChanged, listItems, listPresentBackends, deserializeStateMachine, findRouteSet, getRoutesVersion,
+  applyDelta, serializeStateMachine
 } from '@lynxcourse/state'
-import type { BackendFacts, ChangeAnswer, Machine, OrderId, Route, RouteCommand, RouteSet, Upstream } from '@lynxcourse/state'
+import type { BackendAnnouncement, ChangeAnswer, StateMachine, RouteChangeId, Route, RouteCommand, RouteSet, Upstream } from '@lynxcourse/state'
 import { route } from './support/route.js'
 
 const charts = { claim: loadChart('claim'), drain: loadChart('drain'), shift: loadChart('shift') }
@@ -23,21 +23,21 @@
   return { routes, upstreams: [upstream(desk), upstream(ledger)], limits }
 }
 
-function start (): Machine {
-  return createMachine(charts)
+function start (): StateMachine {
+  return createStateMachine(charts)
 }
 
-function apply (machine: Machine, command: RouteCommand): ChangeAnswer {
+function apply (machine: StateMachine, command: RouteCommand): ChangeAnswer {
   const answer = applyEntry(machine, { index: machine.applied + 1, term: 1, at: 0, body: { type: 'command', command } })
   assert.equal(answer.type, 'change')
   return (answer as { change: ChangeAnswer }).change
 }
 
 function replace (order: string, baseVersion: number, routesVersion: number, set: RouteSet): RouteCommand {
-  return { type: 'replaceRoutes', order: order as OrderId, baseVersion, routesVersion, set }
+  return { type: 'replaceRoutes', order: order as RouteChangeId, baseVersion, routesVersion, set }
 }
 
-function facts (id: string, parts: Partial<BackendFacts> = {}): BackendFacts {
+function facts (id: string, parts: Partial<BackendAnnouncement> = {}): BackendAnnouncement {
   return { id: brandId<ServerId>(id), service: desk, address: '10.0.0.1:80', failureDomain: brandId<FailureDomainId>('kochi-a'), slots: 3, software: 'v1', isDraining: false, bornAt: 0, seq: 1, coldMs: 0, ...parts }
 }
 
@@ -54,7 +54,7 @@
   assert.equal(machine.config.version, version)
   assert.equal(codeOf(apply(machine, replace('two', 5, 9, setOf(route('read'), route('write'))))), 'ok')
   assert.equal(codeOf(apply(machine, order)), 'ok', 'also after a later change')
-  assert.equal(routesVersionOf(machine.config), 9)
+  assert.equal(getRoutesVersion(machine.config), 9)
 })
 
 test('of two orders on one version the first wins, also under an equal number', () => {
@@ -62,7 +62,7 @@
   apply(machine, replace('one', 0, 5, setOf(route('read'))))
   assert.equal(codeOf(apply(machine, replace('left', 5, 8, setOf(route('left'))))), 'ok')
   assert.equal(codeOf(apply(machine, replace('right', 5, 8, setOf(route('right'))))), 'versionConflict')
-  assert.deepEqual(routeSetOf(machine.config)?.routes.map(held => held.name), ['left'])
+  assert.deepEqual(findRouteSet(machine.config)?.routes.map(held => held.name), ['left'])
 })
 
 test('an order that is not valid names the item and changes nothing', () => {
@@ -82,21 +82,21 @@
     assert.match(answer.ok ? '' : answer.detail, expected)
   })
   assert.equal(codeOf(apply(machine, replace('old', 5, 5, setOf(route('z'))))), 'badRequest')
-  assert.deepEqual(routeSetOf(machine.config)?.routes.map(held => held.name), ['read'])
+  assert.deepEqual(findRouteSet(machine.config)?.routes.map(held => held.name), ['read'])
 })
 
 test('an update puts and removes items by name, as one version', () => {
   const machine = start()
   apply(machine, replace('one', 0, 5, setOf(route('read'), route('write'))))
   const before = machine.config.version
-  const update: RouteCommand = { type: 'updateRoutes', order: 'two' as OrderId, baseVersion: 5, routesVersion: 7, putRoutes: [route('extra')], putUpstreams: [], removeRoutes: ['write'], removeUpstreams: [], limits: undefined }
+  const update: RouteCommand = { type: 'updateRoutes', order: 'two' as RouteChangeId, baseVersion: 5, routesVersion: 7, putRoutes: [route('extra')], putUpstreams: [], removeRoutes: ['write'], removeUpstreams: [], limits: undefined }
   assert.equal(codeOf(apply(machine, update)), 'ok')
-  const changed = deltaSince(machine.config, before)
+  const changed = getDeltaSince(machine.config, before)
   assert.equal(changed.full, false)
   assert.ok(changed.items.every(held => held.version === machine.config.version))
   const copy = createConfig()
-  takeDelta(copy, deltaSince(machine.config, 0))
-  assert.deepEqual(routeSetOf(copy)?.routes.map(held => held.name).sort(), ['extra', 'read'])
+  applyDelta(copy, getDeltaSince(machine.config, 0))
+  assert.deepEqual(findRouteSet(copy)?.routes.map(held => held.name).sort(), ['extra', 'read'])
 })
 
 /** Guards against this failure: a new server at a reused address gets no work. */
@@ -104,10 +104,10 @@
   const machine = start()
   apply(machine, { type: 'announce', facts: facts('old', { seq: 4 }) })
   apply(machine, { type: 'announce', facts: facts('new') })
-  assert.deepEqual(presentBackends(machine.config), ['new'])
+  assert.deepEqual(listPresentBackends(machine.config), ['new'])
   apply(machine, { type: 'announce', facts: facts('old', { seq: 5 }) })
-  assert.deepEqual(presentBackends(machine.config), ['new'])
-  assert.equal(isNews(machine.config, facts('old', { seq: 6 })), false)
+  assert.deepEqual(listPresentBackends(machine.config), ['new'])
+  assert.equal(hasBackendChanged(machine.config, facts('old', { seq: 6 })), false)
 })
 
 /** Guards against this failure: a server that leaves gets new work again. */
@@ -127,10 +127,10 @@
   const machine = start()
   apply(machine, { type: 'announce', facts: facts('s') })
   apply(machine, { type: 'miss', ids: [brandId<ServerId>('s')] })
-  assert.deepEqual(presentBackends(machine.config), [])
-  assert.equal(isNews(machine.config, facts('s', { seq: 2 })), true)
+  assert.deepEqual(listPresentBackends(machine.config), [])
+  assert.equal(hasBackendChanged(machine.config, facts('s', { seq: 2 })), true)
   apply(machine, { type: 'announce', facts: facts('s', { seq: 2 }) })
-  assert.deepEqual(presentBackends(machine.config), ['s'])
+  assert.deepEqual(listPresentBackends(machine.config), ['s'])
 })
 
 test('routes, evacuations, servers and accepted orders outlive a snapshot', () => {
@@ -139,9 +139,9 @@
   apply(machine, order)
   apply(machine, { type: 'announce', facts: facts('s') })
   apply(machine, { type: 'evacuate', failureDomain: brandId<FailureDomainId>('kochi-a'), isActive: true })
-  const back = readMachine(charts, writeMachine(machine))
-  assert.deepEqual(routeSetOf(back.config), routeSetOf(machine.config))
-  assert.deepEqual(presentBackends(back.config), ['s'])
+  const back = deserializeStateMachine(charts, serializeStateMachine(machine))
+  assert.deepEqual(findRouteSet(back.config), findRouteSet(machine.config))
+  assert.deepEqual(listPresentBackends(back.config), ['s'])
   assert.deepEqual(listItems(back.config, 'evacuation').map(item => [item.key, item.isActive]), [['kochi-a', true]])
   assert.equal(codeOf(apply(back, order)), 'ok')
 })
@@ -173,5 +173,5 @@
   }
   apply(machine, { type: 'announce', facts: facts('new', { address: '10.0.1.0:80' }) })
   apply(machine, { type: 'announce', facts: facts('old-0', { address: '10.0.1.0:80', seq: 7 }) })
-  assert.deepEqual(presentBackends(machine.config), ['new'])
+  assert.deepEqual(listPresentBackends(machine.config), ['new'])
 })
--- a/packages/state/__tests__/state.test.ts
+++ b/packages/state/__tests__/state.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { brandId, loadChart, makeRandom, makeRequestId } from '@lynxcourse/base'
+import { brandId, loadChart, createRandom, createRequestId } from '@lynxcourse/base'
 import type { ChangeId, HolderId, ResourceId } from '@lynxcourse/base'
 import {
-  applyEntry, claimLifetimeMs, claimSkewMs, createConfig, createMachine, deltaSince, findItem, listItems, outstanding,
-  profileSchema, readMachine, takeDelta, writeMachine, changeSchema, setItem
+  applyEntry, claimLifetimeMs, claimSkewMs, createConfig, createStateMachine, getDeltaSince, findItem, listItems, outstanding,
+  profileSchema, deserializeStateMachine, applyDelta, serializeStateMachine, changeSchema, setItem
 } from '@lynxcourse/state'
-import type { Answer, ChangeAnswer, ClaimAnswer, Command, Machine, SettleAnswer } from '@lynxcourse/state'
+import type { CommandAnswer, ChangeAnswer, ClaimAnswer, Command, StateMachine, SettleAnswer } from '@lynxcourse/state'
 
 const seed = 13
 const run = { seed, numRuns: 150 }
@@ -16,13 +16,13 @@
 const charts = { claim: loadChart('claim'), drain: loadChart('drain'), shift: loadChart('shift') }
 const startAt = 1_800_000_000_000
 
-interface Log { machine: Machine, index: number, at: number }
+interface Log { machine: StateMachine, index: number, at: number }
 
 function newLog (): Log {
-  return { machine: createMachine(charts), index: 0, at: startAt }
+  return { machine: createStateMachine(charts), index: 0, at: startAt }
 }
 
-function apply (log: Log, command: Command): Answer {
+function apply (log: Log, command: Command): CommandAnswer {
   log.index += 1
   return applyEntry(log.machine, { index: log.index, term: 1, at: log.at, body: { type: 'command', command } })
 }
@@ -56,7 +56,7 @@
   const first = publish(log, 0, 'change-aa')
   publish(log, 1, 'change-bb')
   assert.deepEqual(publish(log, 0, 'change-aa'), first)
-  log.machine = readMachine(charts, writeMachine(log.machine))
+  log.machine = deserializeStateMachine(charts, serializeStateMachine(log.machine))
   assert.deepEqual(publish(log, 0, 'change-aa'), first)
   assert.equal(findItem(log.machine.config, 'profile', 'desk')?.itemVersion, 2)
 })
@@ -72,8 +72,8 @@
 test('an id is granted to one copy only, and never after not-run was recorded', () => {
   fc.assert(fc.property(fc.array(claimAction, { maxLength: 60 }), actions => {
     const log = newLog()
-    const random = makeRandom(1)
-    const ids = Array.from({ length: 4 }, () => makeRequestId(startAt, random))
+    const random = createRandom(1)
+    const ids = Array.from({ length: 4 }, () => createRequestId(startAt, random))
     const granted = new Map<string, string>()
     const notRun = new Set<string>()
     for (const { what, id: pick, holder: by, token: copy } of actions) {
@@ -98,7 +98,7 @@
           notRun.add(id)
         }
       }
-      if (pick % 2 === 0) log.machine = readMachine(charts, writeMachine(log.machine))
+      if (pick % 2 === 0) log.machine = deserializeStateMachine(charts, serializeStateMachine(log.machine))
     }
   }), run)
 })
@@ -106,11 +106,11 @@
 test('ids that are too old or from the future are refused, and memory goes with them', () => {
   // Guards against this failure: a late copy runs again.
   const log = newLog()
-  const random = makeRandom(2)
-  const id = makeRequestId(startAt, random)
+  const random = createRandom(2)
+  const id = createRequestId(startAt, random)
   const claim = (one: typeof id): ClaimAnswer => (apply(log, { type: 'claim', id: one, holder: brandId('v1/a'), token: 't' }) as { claim: ClaimAnswer }).claim
   assert.equal(claim(id).result, 'granted')
-  assert.equal(claim(makeRequestId(startAt + claimSkewMs + 1, random)).result, 'refused')
+  assert.equal(claim(createRequestId(startAt + claimSkewMs + 1, random)).result, 'refused')
   log.at += claimLifetimeMs + 20_000
   assert.equal(claim(id).result, 'refused')
   assert.equal(log.machine.claims.records.size, 0)
@@ -121,7 +121,7 @@
     const source = createConfig()
     const states = names.map((name, place) => {
       setItem(source, place + 1, { kind: 'service', key: brandId(`s${name}`), profile: brandId(`p${place}`), origin: { changeId: brandId<ChangeId>('c'), operator: 'o', at: 0 } })
-      return deltaSince(source, 0)
+      return getDeltaSince(source, 0)
     })
     const copy = createConfig()
     for (const [to, from] of picks) {
@@ -130,10 +130,10 @@
       if (state === undefined) continue
       const sinceVersion = from % 41
       const delta = { ...state, from: sinceVersion, full: false, items: state.items.filter(item => item.version > sinceVersion) }
-      takeDelta(copy, delta)
+      applyDelta(copy, delta)
       assert.ok(copy.version >= before)
     }
-    takeDelta(copy, deltaSince(source, copy.version))
+    applyDelta(copy, getDeltaSince(source, copy.version))
     assert.equal(copy.version, source.version)
     const sorted = (config: typeof copy): string => JSON.stringify(listItems(config, 'service').map(item => [item.key, item.profile]).sort())
     assert.equal(sorted(copy), sorted(source))
--- a/packages/state/src/core/caps.ts
+++ b/packages/state/src/core/caps.ts
@@ -1,21 +1,21 @@
 /** Resources with a cap, their names and what of a cap may be granted. */
 import type { RegionId, ResourceId, ShiftId } from '@lynxcourse/base'
-import { activeShifts, listItems } from './config.js'
+import { listActiveShifts, listItems } from './config.js'
 import type { Config } from './config.js'
 import type { Profile } from '../types/profile.js'
 
 /** The cap on requests in flight to a region, under one profile. */
-export function regionResource (profile: Profile, region: RegionId): ResourceId {
+export function createRegionResourceId (profile: Profile, region: RegionId): ResourceId {
   return `region:${profile.name}:${region}` as ResourceId
 }
 
 /** The cap on requests in flight over a link between regions, under one profile. */
-export function linkResource (profile: Profile, from: RegionId, to: RegionId): ResourceId {
+export function createLinkResourceId (profile: Profile, from: RegionId, to: RegionId): ResourceId {
   return `link:${profile.name}:${from}>${to}` as ResourceId
 }
 
 /** The cap on requests in flight that a shift moved. */
-export function shiftResource (shift: ShiftId): ResourceId {
+export function createShiftResourceId (shift: ShiftId): ResourceId {
   return `shift:${shift}` as ResourceId
 }
 
@@ -25,13 +25,13 @@
   for (const { profile, retired } of listItems(config, 'profile')) {
     if (retired) continue
     for (const [region, cap] of Object.entries(profile.regionCaps)) {
-      caps.set(regionResource(profile, region as RegionId), cap)
+      caps.set(createRegionResourceId(profile, region as RegionId), cap)
     }
     for (const [link, cap] of Object.entries(profile.linkCaps)) {
       caps.set(`link:${profile.name}:${link}` as ResourceId, cap)
     }
   }
-  for (const shift of activeShifts(config)) caps.set(shiftResource(shift.key), shift.cap)
+  for (const shift of listActiveShifts(config)) caps.set(createShiftResourceId(shift.key), shift.cap)
   return caps
 }
 
--- a/packages/state/src/core/changes.ts
+++ b/packages/state/src/core/changes.ts
@@ -1,9 +1,9 @@
 /** Applies operators' changes and the leader's own steps to the configuration. */
-import { canTake, nextState } from '@lynxcourse/base'
+import { hasTransition, nextState } from '@lynxcourse/base'
 import type { Chart } from '@lynxcourse/base'
 import type { AdvanceDrainCommand, AdvanceShiftCommand, Change, ChangeAnswer, Winner } from '../types/commands.js'
 import type { DrainItem, Origin, ProfileItem, ShiftItem } from '../types/items.js'
-import { findItem, isPicked, profileOf, setItem } from './config.js'
+import { findItem, isPicked, findServiceProfile, setItem } from './config.js'
 import type { Config } from './config.js'
 
 /** The charts that changes follow. */
@@ -91,7 +91,7 @@
 function cancelDrain (config: Config, charts: ChangeCharts, change: ChangeOf<'cancelDrain'>, version: number, origin: Origin): ChangeAnswer {
   const held = findItem(config, 'drain', change.drain)
   if (held === undefined) return refuse('notFound', `drain '${change.drain}'`)
-  if (!canTake(charts.drain, held.state, 'cancel')) return refuse('badRequest', `drain is ${held.state}`)
+  if (!hasTransition(charts.drain, held.state, 'cancel')) return refuse('badRequest', `drain is ${held.state}`)
   setItem(config, version, { ...held, state: nextState(charts.drain, held.state, 'cancel'), origin })
   return accept(config, version)
 }
@@ -99,7 +99,7 @@
 function startShift (config: Config, charts: ChangeCharts, change: ChangeOf<'startShift'>, version: number, origin: Origin): ChangeAnswer {
   const { shift, service, from, to } = change
   if (findItem(config, 'shift', shift) !== undefined) return refuse('badRequest', `shift '${shift}' exists`)
-  const profile = profileOf(config, service)
+  const profile = findServiceProfile(config, service)
   if (profile === undefined) return refuse('notFound', `service '${service}' with a profile`)
   for (const region of [from, to]) {
     if (!profile.places.includes(region)) return refuse('badRequest', `region '${region}' is not among the profile's places`)
@@ -126,7 +126,7 @@
 function steerShift (config: Config, charts: ChangeCharts, change: ChangeOf<'steerShift'>, version: number): ChangeAnswer {
   const held = findItem(config, 'shift', change.shift)
   if (held === undefined) return refuse('notFound', `shift '${change.shift}'`)
-  if (!canTake(charts.shift, held.state, change.event)) return refuse('badRequest', `shift is ${held.state}`)
+  if (!hasTransition(charts.shift, held.state, change.event)) return refuse('badRequest', `shift is ${held.state}`)
   const state = nextState(charts.shift, held.state, change.event)
   const percent = state === 'cancelled' ? 0 : held.percent
   setItem(config, version, { ...held, state, percent })
@@ -137,7 +137,7 @@
 export function advanceShift (config: Config, charts: ChangeCharts, command: AdvanceShiftCommand, version: number, at: number): void {
   const held = findItem(config, 'shift', command.shift)
   if (held === undefined || held.percent !== command.fromPercent) return
-  if (!canTake(charts.shift, held.state, command.event)) return
+  if (!hasTransition(charts.shift, held.state, command.event)) return
   const percent = Math.min(command.percent, held.targetPercent, held.percent + held.stepPercent)
   const state = nextState(charts.shift, held.state, command.event)
   const steppedAt = percent === held.percent ? held.steppedAt : at
@@ -147,6 +147,6 @@
 /** Moves a drain on if its chart allows it. */
 export function advanceDrain (config: Config, charts: ChangeCharts, command: AdvanceDrainCommand, version: number): void {
   const held = findItem(config, 'drain', command.drain)
-  if (held === undefined || !canTake(charts.drain, held.state, command.event)) return
+  if (held === undefined || !hasTransition(charts.drain, held.state, command.event)) return
   setItem(config, version, { ...held, state: nextState(charts.drain, held.state, command.event) })
 }
--- a/packages/state/src/core/claims.ts
+++ b/packages/state/src/core/claims.ts
@@ -6,9 +6,9 @@
  * spent whatever its end, and an id is refused once it is older than records are kept: both are
  * judged by the log's own time, which all copies share and which never goes back.
  */
-import { issueTimeOf, nextState } from '@lynxcourse/base'
+import { getIssueTime, nextState } from '@lynxcourse/base'
 import type { Chart, HolderId, Millis, RequestId } from '@lynxcourse/base'
-import type { ClaimAnswer, ClaimCommand, ClaimOutcome, KeptAnswer, SettleAnswer, SettleCommand } from '../types/commands.js'
+import type { ClaimAnswer, ClaimCommand, ClaimOutcome, StoredAnswer, SettleAnswer, SettleCommand } from '../types/commands.js'
 
 /** How long an id is good for after its issue, and so how long its record is kept. */
 export const claimLifetimeMs = 600_000
@@ -25,7 +25,7 @@
   readonly holder: HolderId
   readonly token: string
   state: string
-  answer: KeptAnswer | undefined
+  answer: StoredAnswer | undefined
 }
 
 export interface Claims {
@@ -97,7 +97,7 @@
 }
 
 function refusalOf (claims: Claims, id: RequestId, at: Millis): ClaimAnswer | undefined {
-  const age = at - issueTimeOf(id)
+  const age = at - getIssueTime(id)
   if (age >= claimLifetimeMs) {
     return { result: 'refused', code: 'badRequestId', detail: `issued ${age} ms ago, good for ${claimLifetimeMs} ms` }
   }
@@ -120,7 +120,7 @@
 
 function bucketOf (id: RequestId): number {
   // Rounded up, so that a record outlives the last moment at which its id is still good.
-  return Math.ceil((issueTimeOf(id) + claimLifetimeMs) / bucketMs)
+  return Math.ceil((getIssueTime(id) + claimLifetimeMs) / bucketMs)
 }
 
 /** Drops records whose ids are refused by now anyway. */
--- a/packages/state/src/core/config.ts
+++ b/packages/state/src/core/config.ts
@@ -60,7 +60,7 @@
 }
 
 /** What a copy at version `from` lacks. */
-export function deltaSince (config: Config, from: number): ConfigDelta {
+export function getDeltaSince (config: Config, from: number): ConfigDelta {
   const full = from < config.prunedBelow || from > config.version
   const items = [...config.items.values()].filter(held => full || held.version > from)
   return { full, from, version: config.version, items }
@@ -71,7 +71,7 @@
  *
  * @returns whether the copy is now at the delta's version or above; false asks for a full one
  */
-export function takeDelta (config: Config, delta: ConfigDelta): boolean {
+export function applyDelta (config: Config, delta: ConfigDelta): boolean {
   if (delta.version <= config.version) return true
   if (!delta.full && delta.from > config.version) return false
   if (delta.full) config.items = new Map()
@@ -95,7 +95,7 @@
 }
 
 /** Version at which an item last changed; 0 for one that is not there. */
-export function versionOf (config: Config, kind: ConfigItem['kind'], key: string): number {
+export function getItemVersion (config: Config, kind: ConfigItem['kind'], key: string): number {
   return config.items.get(itemKey(kind, key))?.version ?? 0
 }
 
@@ -111,7 +111,7 @@
 }
 
 /** The profile that a service runs under; undefined when it picked none or a retired one. */
-export function profileOf (config: Config, service: ServiceId): Profile | undefined {
+export function findServiceProfile (config: Config, service: ServiceId): Profile | undefined {
   const pick = findItem(config, 'service', service)
   if (pick === undefined) return undefined
   const item: ProfileItem | undefined = findItem(config, 'profile', pick.profile)
@@ -124,11 +124,11 @@
 }
 
 /** Drains that keep new work away now. */
-export function activeDrains (config: Config): DrainItem[] {
+export function listActiveDrains (config: Config): DrainItem[] {
   return listItems(config, 'drain').filter(drain => drain.state === 'draining' || drain.state === 'drained')
 }
 
 /** Shifts that move traffic now. */
-export function activeShifts (config: Config): ShiftItem[] {
+export function listActiveShifts (config: Config): ShiftItem[] {
   return listItems(config, 'shift').filter(shift => shift.state !== 'cancelled' && shift.percent > 0)
 }
--- a/packages/state/src/core/knownVersions.ts
+++ b/packages/state/src/core/knownVersions.ts
@@ -25,7 +25,7 @@
 }
 
 /** Notes that a VM knows a version from `now` on. */
-export function noteVersion (versions: KnownVersions, version: number, now: Millis): void {
+export function recordKnownVersion (versions: KnownVersions, version: number, now: Millis): void {
   const last = versions.known.at(-1)
   if (last !== undefined && version <= last.version) return
   versions.known.push({ at: now, version })
@@ -34,6 +34,6 @@
 }
 
 /** The version that was known at a time; 0 where that is not remembered. */
-export function versionAt ({ known }: KnownVersions, at: Millis): number {
+export function getKnownVersionAt ({ known }: KnownVersions, at: Millis): number {
   return known.findLast(entry => entry.at <= at)?.version ?? 0
 }
--- a/packages/state/src/core/routeChanges.ts
+++ b/packages/state/src/core/routeChanges.ts
@@ -3,10 +3,10 @@
 import type { ChangeAnswer } from '../types/commands.js'
 import { routingKey } from '../types/routes.js'
 import type {
-  BackendFacts, BackendItem, BackendState, CallerLimits, DismissCommand, EvacuateCommand, MissCommand, OrderId,
+  BackendAnnouncement, BackendItem, BackendState, CallerLimits, DismissCommand, EvacuateCommand, MissCommand, RouteChangeId,
   ReplaceRoutesCommand, Route, RouteCommand, RouteSet, RoutingItem, UpdateRoutesCommand, Upstream
 } from '../types/routes.js'
-import { findItem, listItems, setItem, versionOf } from './config.js'
+import { findItem, listItems, setItem, getItemVersion } from './config.js'
 import type { Config } from './config.js'
 
 /** An aim this far above the time-out is taken for a slip of the pen. */
@@ -16,7 +16,7 @@
 export const maxKeptOrders = 20_000
 
 /** Orders that were accepted, so that one sent again after its answer was lost succeeds again. */
-export type AcceptedOrders = Map<OrderId, number>
+export type AcceptedOrders = Map<RouteChangeId, number>
 
 /** Whether a command concerns routes or backend servers. */
 export function isRouteCommand (command: { readonly type: string }): command is RouteCommand {
@@ -41,12 +41,12 @@
 }
 
 /** The routes' version, by operators' count; 0 before the first. */
-export function routesVersionOf (config: Config): number {
+export function getRoutesVersion (config: Config): number {
   return findItem(config, 'routing', routingKey)?.routesVersion ?? 0
 }
 
 /** The routes in force; undefined before the first order. */
-export function routeSetOf (config: Config): RouteSet | undefined {
+export function findRouteSet (config: Config): RouteSet | undefined {
   const routing = findItem(config, 'routing', routingKey)
   if (routing === undefined) return undefined
   const routes = listItems(config, 'route').flatMap(item => item.route ?? [])
@@ -55,7 +55,7 @@
 }
 
 function accepted (config: Config): ChangeAnswer {
-  return { ok: true, version: config.version, itemVersion: routesVersionOf(config) }
+  return { ok: true, version: config.version, itemVersion: getRoutesVersion(config) }
 }
 
 function refused (code: 'versionConflict' | 'badRequest', detail: string): ChangeAnswer {
@@ -64,7 +64,7 @@
 
 function applyOrder (config: Config, orders: AcceptedOrders, command: ReplaceRoutesCommand | UpdateRoutesCommand, version: number): ChangeAnswer {
   if (orders.has(command.order)) return accepted(config)
-  const current = routesVersionOf(config)
+  const current = getRoutesVersion(config)
   if (command.baseVersion !== current) return refused('versionConflict', `builds on version ${command.baseVersion}, but ${current} is current`)
   if (command.routesVersion <= current) return refused('badRequest', `version: ${command.routesVersion} is not above ${current}`)
   const next = command.type === 'replaceRoutes' ? command.set : mergeRoutes(config, command)
@@ -85,7 +85,7 @@
 }
 
 function mergeRoutes (config: Config, command: UpdateRoutesCommand): RouteSet | undefined {
-  const held = routeSetOf(config)
+  const held = findRouteSet(config)
   if (held === undefined) return undefined
   return {
     routes: mergeByName(held.routes, command.putRoutes, command.removeRoutes),
@@ -122,7 +122,7 @@
   if (!(route.timeoutMs > 0)) return 'timeout is not above 0'
   if (route.aimMs >= route.timeoutMs + maxAimOverTimeoutMs) return 'latency objective is a minute or more above the timeout'
   if (!route.pathPrefix.startsWith('/') || !route.pathPrefix.endsWith('/')) return 'pathPrefix must begin and end with a slash'
-  const parts = partsOf(route)
+  const parts = getRouteServices(route)
   if (parts.length === 0) return 'names no service'
   const unknown = parts.find(part => !services.has(part.service))
   if (unknown !== undefined) return `service '${unknown.service}' is not known`
@@ -132,7 +132,7 @@
 }
 
 /** The services of a route with their weights. */
-export function partsOf (route: Route): readonly WeightedPart[] {
+export function getRouteServices (route: Route): readonly WeightedPart[] {
   return route.service === undefined ? route.split : [{ service: route.service, weight: 1 }]
 }
 
@@ -163,7 +163,7 @@
   const { failureDomain, isActive, baseVersion } = command
   const held = findItem(config, 'evacuation', failureDomain)
   if ((held?.isActive ?? false) === isActive) return accepted(config)
-  const changedAt = versionOf(config, 'evacuation', failureDomain)
+  const changedAt = getItemVersion(config, 'evacuation', failureDomain)
   // An order that lay at a VM that was frozen or cut off would undo what was confirmed meanwhile.
   if (baseVersion !== undefined && changedAt > baseVersion) {
     return refused('versionConflict', `failure domain '${failureDomain}' changed at version ${changedAt}, after ${baseVersion}`)
@@ -172,9 +172,9 @@
   return accepted(config)
 }
 
-function announce (config: Config, facts: BackendFacts, version: number): ChangeAnswer {
+function announce (config: Config, facts: BackendAnnouncement, version: number): ChangeAnswer {
   const held = findItem(config, 'backend', facts.id)
-  if (!isCredible(config, facts, held)) return accepted(config)
+  if (!acceptsAnnouncement(config, facts, held)) return accepted(config)
   for (const other of othersAt(config, facts)) setBackend(config, other, 'gone', version)
   // Once a server said that it leaves, it leaves; the next start under its id did not say so.
   const isDraining = facts.isDraining || (held?.state === 'draining' && !isNextStart(facts, held))
@@ -190,7 +190,7 @@
  * would undo what the present one said, revive a server that has ended, or take the address from its successor; one for a service
  * that no route knows would do so too. It shows as a server that is left out though it answers, or used though it has ended.
  */
-export function isCredible (config: Config, facts: BackendFacts, held = findItem(config, 'backend', facts.id)): boolean {
+export function acceptsAnnouncement (config: Config, facts: BackendAnnouncement, held = findItem(config, 'backend', facts.id)): boolean {
   if (!isKnownService(config, facts.service)) return false
   if (othersAt(config, facts).some(other => other.state !== 'lost' && isFormerStart(facts, other))) return false
   if (held === undefined || isNextStart(facts, held)) return true
@@ -202,20 +202,20 @@
 
 /** Servers start before the first routes come; from then on a service has to be named by them. */
 function isKnownService (config: Config, service: ServiceId): boolean {
-  return routesVersionOf(config) === 0 || findItem(config, 'upstream', service)?.upstream !== undefined
+  return getRoutesVersion(config) === 0 || findItem(config, 'upstream', service)?.upstream !== undefined
 }
 
 /** Servers that were at the same address and have not ended. */
-function othersAt (config: Config, facts: BackendFacts): BackendItem[] {
+function othersAt (config: Config, facts: BackendAnnouncement): BackendItem[] {
   return listItems(config, 'backend').filter(other => other.key !== facts.id && other.facts.address === facts.address && other.state !== 'gone')
 }
 
 /** Whether a server started after the start that is known; without a time of start nobody can tell. */
-function isNextStart (facts: BackendFacts, held: BackendItem): boolean {
+function isNextStart (facts: BackendAnnouncement, held: BackendItem): boolean {
   return facts.bornAt > held.facts.bornAt && held.facts.bornAt > 0
 }
 
-function isFormerStart (facts: BackendFacts, held: BackendItem): boolean {
+function isFormerStart (facts: BackendAnnouncement, held: BackendItem): boolean {
   return facts.bornAt > 0 && facts.bornAt < held.facts.bornAt
 }
 
@@ -236,9 +236,9 @@
 }
 
 /** Whether an announcement says anything that the configuration doesn't hold yet. */
-export function isNews (config: Config, facts: BackendFacts): boolean {
+export function hasBackendChanged (config: Config, facts: BackendAnnouncement): boolean {
   const held = findItem(config, 'backend', facts.id)
-  if (!isCredible(config, facts, held)) return false
+  if (!acceptsAnnouncement(config, facts, held)) return false
   if (held === undefined || held.state === 'lost' || isNextStart(facts, held)) return true
   if (facts.isDraining !== (held.state === 'draining')) return facts.isDraining
   const { service, address, failureDomain, slots, software } = held.facts
@@ -247,7 +247,7 @@
 }
 
 /** Ids of the servers that count as present. */
-export function presentBackends (config: Config): ServerId[] {
+export function listPresentBackends (config: Config): ServerId[] {
   return listItems(config, 'backend').filter(item => item.state === 'serving' || item.state === 'draining').map(item => item.key)
 }
 
--- a/packages/state/src/core/machine.ts
+++ b/packages/state/src/core/stateMachine.ts
@@ -1,9 +1,9 @@
 /** The state machine that the replicated log drives: equal logs give equal states on every copy. */
 import type { Entry } from '@lynxcourse/agreement'
 import type { Chart, ChangeId, Millis, RequestId, ResourceId } from '@lynxcourse/base'
-import type { Answer, Change, ChangeAnswer, Command } from '../types/commands.js'
+import type { CommandAnswer, Change, ChangeAnswer, Command } from '../types/commands.js'
 import type { ProfileItem, VersionedItem } from '../types/items.js'
-import type { OrderId } from '../types/routes.js'
+import type { RouteChangeId } from '../types/routes.js'
 import { allocate, createAllocations } from './allocations.js'
 import type { Allocation, Allocations } from './allocations.js'
 import { capOf } from './caps.js'
@@ -23,12 +23,12 @@
 export const maxHistory = 20
 
 /** The charts that the machine follows. */
-export interface MachineCharts extends ChangeCharts {
+export interface StateMachineCharts extends ChangeCharts {
   readonly claim: Chart
 }
 
-export interface Machine {
-  readonly charts: MachineCharts
+export interface StateMachine {
+  readonly charts: StateMachineCharts
   applied: number
   config: Config
   claims: Claims
@@ -38,7 +38,7 @@
   history: Map<string, ProfileItem[]>
 }
 
-export function createMachine (charts: MachineCharts): Machine {
+export function createStateMachine (charts: StateMachineCharts): StateMachine {
   return {
     charts,
     applied: 0,
@@ -52,13 +52,13 @@
 }
 
 /** Applies one committed entry. */
-export function applyEntry (machine: Machine, entry: Entry): Answer {
+export function applyEntry (machine: StateMachine, entry: Entry): CommandAnswer {
   machine.applied = entry.index
   if (entry.body.type !== 'command') return { type: 'none' }
   return applyCommand(machine, entry.body.command as Command, entry.index, entry.at)
 }
 
-function applyCommand (machine: Machine, command: Command, version: number, at: Millis): Answer {
+function applyCommand (machine: StateMachine, command: Command, version: number, at: Millis): CommandAnswer {
   if (isRouteCommand(command)) {
     return { type: 'change', change: applyRouteCommand(machine.config, machine.orders, command, version) }
   }
@@ -79,7 +79,7 @@
 }
 
 /** An operator who lost the answer sends the change again; it must not take effect a second time. */
-function applyOnce (machine: Machine, change: Change, version: number, at: Millis): ChangeAnswer {
+function applyOnce (machine: StateMachine, change: Change, version: number, at: Millis): ChangeAnswer {
   const kept = machine.answers.get(change.changeId)
   if (kept !== undefined) return kept
   const answer = applyChange(machine.config, machine.charts, change, version, at)
@@ -94,7 +94,7 @@
   if (oldest !== undefined) answers.delete(oldest)
 }
 
-function keepHistory (machine: Machine, change: Change): void {
+function keepHistory (machine: StateMachine, change: Change): void {
   if (change.type !== 'publishProfile' && change.type !== 'retireProfile') return
   const name = change.type === 'publishProfile' ? change.profile.name : change.name
   const item = findItem(machine.config, 'profile', name)
@@ -111,12 +111,12 @@
   readonly claims: ReadonlyArray<readonly [RequestId, ClaimRecord]>
   readonly allocations: ReadonlyArray<readonly [ResourceId, ReadonlyArray<readonly [string, Allocation]>]>
   readonly answers: ReadonlyArray<readonly [ChangeId, ChangeAnswer]>
-  readonly orders: ReadonlyArray<readonly [OrderId, number]>
+  readonly orders: ReadonlyArray<readonly [RouteChangeId, number]>
   readonly history: ReadonlyArray<readonly [string, ProfileItem[]]>
 }
 
 /** Writes the state as text, for a snapshot of the log. */
-export function writeMachine (machine: Machine): string {
+export function serializeStateMachine (machine: StateMachine): string {
   const allocations = [...machine.allocations.byResource].map(([id, shares]) => [id, [...shares]] as const)
   const data: MachineData = {
     applied: machine.applied,
@@ -133,8 +133,8 @@
 }
 
 /** Reads the state back; an empty text is the state before the first entry. */
-export function readMachine (charts: MachineCharts, text: string): Machine {
-  const machine = createMachine(charts)
+export function deserializeStateMachine (charts: StateMachineCharts, text: string): StateMachine {
+  const machine = createStateMachine(charts)
   if (text === '') return machine
   const data = JSON.parse(text) as MachineData
   machine.applied = data.applied
--- a/packages/state/src/types/commands.ts
+++ b/packages/state/src/types/commands.ts
@@ -3,7 +3,7 @@
   ChangeId, DrainId, HolderId, ProfileName, RegionId, RequestId, ResourceId, ServiceId, ShiftId
 } from '@lynxcourse/base'
 import * as z from 'zod'
-import { nameSchema, profileSchema } from './profile.js'
+import { createNameSchema, profileSchema } from './profile.js'
 import type { RouteCommand } from './routes.js'
 
 /** What a drain empties. */
@@ -22,8 +22,8 @@
 /** Schema of a change that an operator may ask for. */
 export const changeSchema = z.discriminatedUnion('type', [
   z.strictObject({ ...common, type: z.literal('publishProfile'), expectedVersion: z.number().int().min(0), profile: profileSchema }),
-  z.strictObject({ ...common, type: z.literal('retireProfile'), expectedVersion: z.number().int().min(0), name: nameSchema<ProfileName>() }),
-  z.strictObject({ ...common, type: z.literal('pickProfile'), service: nameSchema<ServiceId>(), profile: nameSchema<ProfileName>() }),
+  z.strictObject({ ...common, type: z.literal('retireProfile'), expectedVersion: z.number().int().min(0), name: createNameSchema<ProfileName>() }),
+  z.strictObject({ ...common, type: z.literal('pickProfile'), service: createNameSchema<ServiceId>(), profile: createNameSchema<ProfileName>() }),
   z.strictObject({
     ...common,
     type: z.literal('startDrain'),
@@ -37,9 +37,9 @@
     ...common,
     type: z.literal('startShift'),
     shift: id<ShiftId>(),
-    service: nameSchema<ServiceId>(),
-    from: nameSchema<RegionId>(),
-    to: nameSchema<RegionId>(),
+    service: createNameSchema<ServiceId>(),
+    from: createNameSchema<RegionId>(),
+    to: createNameSchema<RegionId>(),
     /** Share of the traffic to move in the end. */
     percent: z.number().int().min(1).max(100),
     /** Largest step. */
@@ -57,7 +57,7 @@
 export type ChangeInput = z.input<typeof changeSchema>
 
 /** A backend server's answer, kept so that a caller who asks again gets it again. */
-export interface KeptAnswer {
+export interface StoredAnswer {
   readonly status: number
   readonly contentType: string
   /** Base64; undefined when the answer was over the size that is kept. */
@@ -83,7 +83,7 @@
   readonly holder: HolderId
   readonly token: string
   readonly outcome: ClaimOutcome
-  readonly answer: KeptAnswer | undefined
+  readonly answer: StoredAnswer | undefined
 }
 
 /** One holder's share of a cap. */
@@ -140,7 +140,7 @@
 /** Answer to a claim. Only `granted` lets the holder send the request. */
 export type ClaimAnswer =
   | { readonly result: 'granted' }
-  | { readonly result: 'taken', readonly state: string, readonly answer: KeptAnswer | undefined }
+  | { readonly result: 'taken', readonly state: string, readonly answer: StoredAnswer | undefined }
   | { readonly result: 'refused', readonly code: 'badRequestId' | 'registerFull', readonly detail: string }
 
 /** Answer to a settle: what the register now says of the id. */
@@ -150,7 +150,7 @@
   readonly accepted: boolean
 }
 
-export type Answer =
+export type CommandAnswer =
   | { readonly type: 'change', readonly change: ChangeAnswer }
   | { readonly type: 'claim', readonly claim: ClaimAnswer }
   | { readonly type: 'settle', readonly settle: SettleAnswer }
--- a/packages/state/src/types/profile.ts
+++ b/packages/state/src/types/profile.ts
@@ -5,7 +5,7 @@
 const namePattern = /^[a-z0-9][a-z0-9.-]{0,62}$/
 
 /** Schema of a branded name: lower case letters, digits, dots and dashes. */
-export function nameSchema<Id extends string> (): z.ZodType<Id> {
+export function createNameSchema<Id extends string> (): z.ZodType<Id> {
   const schema = z.string().regex(namePattern, 'must be lower case letters, digits, dots and dashes, 63 at most')
   return schema as unknown as z.ZodType<Id>
 }
@@ -16,9 +16,9 @@
 
 /** Schema of a profile. All caps count requests in flight; all times are milliseconds. */
 export const profileSchema = z.strictObject({
-  name: nameSchema<ProfileName>(),
+  name: createNameSchema<ProfileName>(),
   /** Regions in order of preference; a caller's own region goes first if it is among them. */
-  places: z.array(nameSchema<RegionId>()).min(1).max(64),
+  places: z.array(createNameSchema<RegionId>()).min(1).max(64),
   /** Most requests in flight to one region, from all VMs together. */
   regionCaps: z.record(z.string().regex(namePattern), cap).default({}),
   /** Most requests in flight from one region's VMs to another region, by `from>to`. */
--- a/packages/state/src/types/routes.ts
+++ b/packages/state/src/types/routes.ts
@@ -65,7 +65,7 @@
 }
 
 /** What an announcement tells of a backend server. */
-export interface BackendFacts {
+export interface BackendAnnouncement {
   readonly id: ServerId
   readonly service: ServiceId
   readonly address: string
@@ -90,18 +90,18 @@
 /** The version of the routes that operators count in; there is one such item. */
 export interface RoutingItem { readonly kind: 'routing', readonly key: string, readonly routesVersion: number, readonly limits: CallerLimits }
 export interface EvacuationItem { readonly kind: 'evacuation', readonly key: FailureDomainId, readonly isActive: boolean }
-export interface BackendItem { readonly kind: 'backend', readonly key: ServerId, readonly facts: BackendFacts, readonly state: BackendState }
+export interface BackendItem { readonly kind: 'backend', readonly key: ServerId, readonly facts: BackendAnnouncement, readonly state: BackendState }
 
 /** Key of the one routing item. */
 export const routingKey = 'routes'
 
 /** Id under which an order is recognised when it is sent again: a digest of all that it says. */
-export type OrderId = string & { readonly __brand: 'OrderId' }
+export type RouteChangeId = string & { readonly __brand: 'OrderId' }
 
 /** Replaces all routes. */
 export interface ReplaceRoutesCommand {
   readonly type: 'replaceRoutes'
-  readonly order: OrderId
+  readonly order: RouteChangeId
   readonly baseVersion: number
   readonly routesVersion: number
   readonly set: RouteSet
@@ -110,7 +110,7 @@
 /** Changes some routes and upstreams, by name. */
 export interface UpdateRoutesCommand {
   readonly type: 'updateRoutes'
-  readonly order: OrderId
+  readonly order: RouteChangeId
   readonly baseVersion: number
   readonly routesVersion: number
   readonly putRoutes: readonly Route[]
@@ -131,9 +131,9 @@
 }
 
 /** Takes an announcement over. */
-export interface AnnounceCommand { readonly type: 'announce', readonly facts: BackendFacts }
+export interface AnnounceCommand { readonly type: 'announce', readonly facts: BackendAnnouncement }
 /** Takes over the announcements of several servers, in their order. */
-export interface AnnounceAllCommand { readonly type: 'announceAll', readonly servers: readonly BackendFacts[] }
+export interface AnnounceAllCommand { readonly type: 'announceAll', readonly servers: readonly BackendAnnouncement[] }
 /** Notes that servers ended for good; with `bornAt`, only incarnations up to it. */
 export interface DismissCommand { readonly type: 'dismiss', readonly ids: readonly ServerId[], readonly bornAt?: Millis }
 /** Notes that servers fell silent; planned by the leader. */
--- a/packages/steering/__tests__/steering.test.ts
+++ b/packages/steering/__tests__/steering.test.ts
@@ -3,13 +3,13 @@
 import fc from 'fast-check'
 import { brandId } from '@lynxcourse/base'
 import type { DrainId, VmId } from '@lynxcourse/base'
-import { FixedStepRule, HeadroomStepRule, addReading, judgeDrain, planShift, shiftFillLimit, summarizeReadings } from '@lynxcourse/steering'
-import type { Headroom, Reading, ShiftView, VmProgress } from '@lynxcourse/steering'
+import { FixedStepRule, HeadroomStepRule, addReading, evaluateDrain, planShift, shiftFillLimit, summarizeReadings } from '@lynxcourse/steering'
+import type { ShiftLoads, LoadReading, ShiftView, VmProgress } from '@lynxcourse/steering'
 
 const seed = 29
 console.log(`seed ${seed}`)
 
-const drain = { id: brandId<DrainId>('d'), state: 'draining', at: 0, version: 7, seenAt: 1000 }
+const drain = { id: brandId<DrainId>('d'), state: 'draining', at: 0, version: 7, firstSeenAt: 1000 }
 const leaseMs = 4000
 const holdMs = 2000
 
@@ -18,7 +18,7 @@
 }
 
 test('a drain waits for VMs that hold no drain yet, for work in flight, and for leases to end', () => {
-  const judge = (now: number, ...reports: VmProgress[]) => judgeDrain(drain, reports, leaseMs, holdMs, now)
+  const judge = (now: number, ...reports: VmProgress[]) => evaluateDrain(drain, reports, leaseMs, holdMs, now)
   assert.equal(judge(6000, report('a', 5900, 7, 0)).event, 'empty')
   assert.equal(judge(6000, report('a', 5900, 7, 2)).event, undefined)
   assert.deepEqual(judge(6000, report('a', 5900, 6, 0)).waitingFor, ['a'])
@@ -28,22 +28,22 @@
 test('a drain is not over while a silent VM may still have work in flight', () => {
   // Guards against this failure: a server is stopped and a request is cut.
   const silent = report('b', 500, 7, 0)
-  assert.equal(judgeDrain(drain, [silent], leaseMs, holdMs, 6000).event, undefined)
-  assert.equal(judgeDrain(drain, [silent], leaseMs, holdMs, 1000 + leaseMs + holdMs + 1).event, 'empty')
+  assert.equal(evaluateDrain(drain, [silent], leaseMs, holdMs, 6000).event, undefined)
+  assert.equal(evaluateDrain(drain, [silent], leaseMs, holdMs, 1000 + leaseMs + holdMs + 1).event, 'empty')
 })
 
 test('a scheduled drain begins when it is due', () => {
   const scheduled = { ...drain, state: 'scheduled', at: 5000 }
-  assert.equal(judgeDrain(scheduled, [], leaseMs, holdMs, 4999).event, undefined)
-  assert.equal(judgeDrain(scheduled, [], leaseMs, holdMs, 5000).event, 'due')
+  assert.equal(evaluateDrain(scheduled, [], leaseMs, holdMs, 4999).event, undefined)
+  assert.equal(evaluateDrain(scheduled, [], leaseMs, holdMs, 5000).event, 'due')
 })
 
 const times = { lookupTtlMs: 5000, reportLagMs: 1500, staleMs: 2000 }
 const moving: ShiftView = { state: 'moving', percent: 0, targetPercent: 100, stepPercent: 10, steppedAt: 0, cap: 20 }
 
 test('no step without measurements, before caches have run out, or past the destination\'s headroom', () => {
-  const headroom: Headroom = { measuredAt: 9000, busy: 10, slots: 100, originBusy: 50 }
-  const plan = (shift: Partial<ShiftView>, head: Partial<Headroom>, now = 10_000) => planShift({ ...moving, ...shift }, { ...headroom, ...head }, new FixedStepRule(), times, now)
+  const headroom: ShiftLoads = { measuredAt: 9000, busy: 10, slots: 100, originBusy: 50 }
+  const plan = (shift: Partial<ShiftView>, head: Partial<ShiftLoads>, now = 10_000) => planShift({ ...moving, ...shift }, { ...headroom, ...head }, new FixedStepRule(), times, now)
   assert.deepEqual(plan({}, {}), { type: 'step', percent: 10 })
   assert.deepEqual(plan({}, { measuredAt: undefined }), { type: 'wait', reason: 'noMeasurement' })
   assert.deepEqual(plan({}, { measuredAt: 7000 }), { type: 'wait', reason: 'noMeasurement' })
@@ -57,7 +57,7 @@
 test('a step is not planned on one low reading', () => {
   // Guards against this failure: a shift overloads its destination.
   const busy = [16, 17, 15, 18, 16, 17, 3]
-  const readings = busy.reduce<Reading[]>((list, one, place) => addReading(list, { at: place * 200, busy: one, originBusy: 10 }), [])
+  const readings = busy.reduce<LoadReading[]>((list, one, place) => addReading(list, { at: place * 200, busy: one, originBusy: 10 }), [])
   assert.deepEqual(summarizeReadings(readings), { busy: 18, originBusy: 10 })
   assert.equal(summarizeReadings(readings.slice(0, 4)), undefined, 'too few')
   assert.equal(addReading(readings, { at: 10_000, busy: 1, originBusy: 1 }).length, 1, 'old ones go')
--- a/packages/steering/src/core/drainPlan.ts
+++ b/packages/steering/src/core/drainPlan.ts
@@ -21,10 +21,10 @@
   /** Configuration version at which it began. */
   readonly version: number
   /** When this leader first saw it draining. */
-  readonly seenAt: Millis
+  readonly firstSeenAt: Millis
 }
 
-export interface DrainJudgement {
+export interface DrainStatus {
   readonly event: 'due' | 'empty' | undefined
   /** Requests known to be in flight. */
   readonly remaining: number
@@ -42,9 +42,9 @@
  * @param leaseMs how long a VM may act on what it last heard
  * @param holdMs longest that a request may run
  */
-export function judgeDrain (
+export function evaluateDrain (
   drain: DrainView, reports: Iterable<VmProgress>, leaseMs: Millis, holdMs: Millis, now: Millis
-): DrainJudgement {
+): DrainStatus {
   if (drain.state === 'scheduled') {
     return { event: drain.at <= now ? 'due' : undefined, remaining: 0, waitingFor: [] }
   }
@@ -60,7 +60,7 @@
     if (report.version < drain.version) waitingFor.push(report.vm)
     remaining += report.remaining.get(drain.id) ?? 0
   }
-  const elapsedMs = now - drain.seenAt
+  const elapsedMs = now - drain.firstSeenAt
   const silentAreDone = !anySilent || elapsedMs > leaseMs + holdMs
   const leasesAreOver = elapsedMs > leaseMs
   const isEmpty = drain.state === 'draining' && remaining === 0 && waitingFor.length === 0 && silentAreDone && leasesAreOver
--- a/packages/steering/src/core/readings.ts
+++ b/packages/steering/src/core/readings.ts
@@ -8,7 +8,7 @@
 import type { Millis } from '@lynxcourse/base'
 
 /** One reading. */
-export interface Reading {
+export interface LoadReading {
   readonly at: Millis
   /** Requests in flight at the destination. */
   readonly busy: number
@@ -25,12 +25,12 @@
 export const leastReadings = 5
 
 /** Adds a reading and drops the old ones. */
-export function addReading (readings: readonly Reading[], reading: Reading): Reading[] {
+export function addReading (readings: readonly LoadReading[], reading: LoadReading): LoadReading[] {
   return [...readings.filter(other => reading.at - other.at < readingWindowMs), reading]
 }
 
 /** What the readings come to; undefined while they are too few. */
-export function summarizeReadings (readings: readonly Reading[]): { readonly busy: number, readonly originBusy: number } | undefined {
+export function summarizeReadings (readings: readonly LoadReading[]): { readonly busy: number, readonly originBusy: number } | undefined {
   if (readings.length < leastReadings) return undefined
   const sorted = readings.map(reading => reading.busy).sort((a, b) => a - b)
   const busy = sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * highShare))] ?? 0
--- a/packages/steering/src/core/shiftPlan.ts
+++ b/packages/steering/src/core/shiftPlan.ts
@@ -2,7 +2,7 @@
 import type { Millis } from '@lynxcourse/base'
 
 /** What is measured at the destination. */
-export interface Headroom {
+export interface ShiftLoads {
   /** When the oldest of the reports behind it was made; undefined without any. */
   readonly measuredAt: Millis | undefined
   /** Requests in flight at the destination's servers. */
@@ -48,14 +48,14 @@
   abstract readonly name: string
 
   /** Largest sound step from here, in percent; 0 says to wait. */
-  abstract sizeOf (shift: ShiftView, headroom: Headroom): number
+  abstract computeStepPercent (shift: ShiftView, headroom: ShiftLoads): number
 }
 
 /** Every step has the shift's own size, if it fits at all. */
 export class FixedStepRule extends StepRule {
   readonly name = 'fixed'
 
-  override sizeOf (shift: ShiftView, headroom: Headroom): number {
+  override computeStepPercent (shift: ShiftView, headroom: ShiftLoads): number {
     return fittingPercent(shift, headroom) >= shift.stepPercent ? shift.stepPercent : 0
   }
 }
@@ -64,14 +64,14 @@
 export class HeadroomStepRule extends StepRule {
   readonly name = 'headroom'
 
-  override sizeOf (shift: ShiftView, headroom: Headroom): number {
+  override computeStepPercent (shift: ShiftView, headroom: ShiftLoads): number {
     const cautious = Math.floor(fittingPercent(shift, headroom) / 2)
     return Math.min(shift.stepPercent, cautious)
   }
 }
 
 /** How many percent of the origin's whole load fit into the destination. */
-function fittingPercent (shift: ShiftView, headroom: Headroom): number {
+function fittingPercent (shift: ShiftView, headroom: ShiftLoads): number {
   const room = headroom.slots * shiftFillLimit - headroom.busy
   if (room <= 0) return 0
   const whole = headroom.originBusy / Math.max(0.01, 1 - shift.percent / 100)
@@ -81,7 +81,7 @@
 }
 
 /** Decides what a shift does next. */
-export function planShift (shift: ShiftView, headroom: Headroom, rule: StepRule, times: ShiftTimes, now: Millis): ShiftStep {
+export function planShift (shift: ShiftView, headroom: ShiftLoads, rule: StepRule, times: ShiftTimes, now: Millis): ShiftStep {
   if (shift.state === 'settling') return planSettling(shift, times, now)
   if (shift.state !== 'moving') return { type: 'wait', reason: 'stopped' }
   if (shift.percent >= shift.targetPercent) return { type: 'step', percent: shift.percent }
@@ -89,7 +89,7 @@
     // Without measurements nobody knows what the last step did; the next one could overload.
     return { type: 'wait', reason: 'noMeasurement' }
   }
-  const size = rule.sizeOf(shift, headroom)
+  const size = rule.computeStepPercent(shift, headroom)
   if (size <= 0) return { type: 'wait', reason: 'headroom' }
   return { type: 'step', percent: Math.min(shift.targetPercent, shift.percent + size) }
 }
--- a/scripts/__tests__/realFaults.test.ts
+++ b/scripts/__tests__/realFaults.test.ts
@@ -6,7 +6,7 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { after, before, test } from 'node:test'
-import { makeRandom, makeRequestId } from '@lynxcourse/base'
+import { createRandom, createRequestId } from '@lynxcourse/base'
 import { Client, request } from 'undici'
 import { stringify } from 'yaml'
 import { answers, ended, kill, mustCli, runCli, sleep, until } from '../support/processes.js'
@@ -15,7 +15,7 @@
 import type { SmallSystem } from '../support/system.js'
 
 const seed = 43
-const random = makeRandom(seed)
+const random = createRandom(seed)
 console.log(`seed ${seed}`)
 
 const serverIp = '127.20.9.1'
@@ -100,7 +100,7 @@
 }
 
 function newId (): string {
-  return makeRequestId(Date.now(), random)
+  return createRequestId(Date.now(), random)
 }
 
 const ready = async (daemon: DaemonProcess): Promise<void> => await until(`${daemon.plan.vm} is ready`, async () => await answers(daemon.plan, '/readyz'))
--- a/scripts/bench/capacityModules.ts
+++ b/scripts/bench/capacityModules.ts
@@ -1,10 +1,10 @@
 /** Slopes of the modules alone: the look-up table, the directory and the state machine. */
-import { brandId, loadChart, makeRandom, makeRequestId } from '@lynxcourse/base'
-import { answerRequest, buildRequest, createDirectory, createUplink, defaultMembershipTimes, putRecord, takeAnswer } from '@lynxcourse/membership'
+import { brandId, loadChart, createRandom, createRequestId } from '@lynxcourse/base'
+import { answerSyncRequest, buildSyncRequest, createDirectory, createUplink, defaultMembershipTimes, putRecord, applySyncAnswer } from '@lynxcourse/membership'
 import type { ServerRecord, VmRecord } from '@lynxcourse/membership'
-import { buildBlockTable, tableBytes } from '@lynxcourse/routing'
-import { applyEntry, createMachine, writeMachine } from '@lynxcourse/state'
-import type { Machine } from '@lynxcourse/state'
+import { buildBlockTable, getTableBytes } from '@lynxcourse/routing'
+import { applyEntry, createStateMachine, serializeStateMachine } from '@lynxcourse/state'
+import type { StateMachine } from '@lynxcourse/state'
 import { targetBlocks } from './path.js'
 import { slope } from './capacityFigures.js'
 import type { CapacityFigures } from './capacityFigures.js'
@@ -32,7 +32,7 @@
     const startedAt = performance.now()
     const table = buildBlockTable(blocks)
     build.push([size, performance.now() - startedAt])
-    bytes.push([size, tableBytes(table)])
+    bytes.push([size, getTableBytes(table)])
   }
   slope(figures, 'look-up table memory', 'bytes', 'block', bytes)
   slope(figures, 'look-up table build time', 'ms', 'block', build)
@@ -63,13 +63,13 @@
     })
     memory.push([size, bytes])
     const uplink = createUplink()
-    const request = buildRequest(uplink, child, vmRecord('child'), 0, 0)
+    const request = buildSyncRequest(uplink, child, vmRecord('child'), 0, 0)
     fullBytes.push([size, JSON.stringify(request).length])
-    takeAnswer(uplink, child, request, answerRequest(parent, request, 0, '', 0), 0)
+    applySyncAnswer(uplink, child, request, answerSyncRequest(parent, request, 0, '', 0), 0)
     for (const held of child.records.values()) held.record = { ...held.record, seq: held.record.seq + 1 }
     const startedAt = performance.now()
-    const refresh = buildRequest(uplink, child, vmRecord('child'), 0, defaultMembershipTimes.refreshMs)
-    answerRequest(parent, JSON.parse(JSON.stringify(refresh)), 0, '', defaultMembershipTimes.refreshMs)
+    const refresh = buildSyncRequest(uplink, child, vmRecord('child'), 0, defaultMembershipTimes.refreshMs)
+    answerSyncRequest(parent, JSON.parse(JSON.stringify(refresh)), 0, '', defaultMembershipTimes.refreshMs)
     refreshCpu.push([size, (performance.now() - startedAt) * 1000])
   }
   slope(figures, 'directory memory', 'bytes', 'record', memory)
@@ -81,20 +81,20 @@
 export function measureMachine (figures: CapacityFigures, quick: boolean): void {
   const sizes = quick ? [2000, 4000, 8000] : [20_000, 50_000, 100_000]
   const charts = { claim: loadChart('claim'), drain: loadChart('drain'), shift: loadChart('shift') }
-  const random = makeRandom(3)
+  const random = createRandom(3)
   const memory: Array<[number, number]> = []
   const snapshot: Array<[number, number]> = []
   const apply: Array<[number, number]> = []
   for (const size of sizes) {
     let applyMs = 0
     const { thing: machine, bytes } = measureHeap(() => {
-      const built = createMachine(charts)
+      const built = createStateMachine(charts)
       applyMs = fillClaims(built, size, random)
       return built
     })
     apply.push([size, applyMs * 1000])
     memory.push([size, bytes])
-    snapshot.push([size, writeMachine(machine).length])
+    snapshot.push([size, serializeStateMachine(machine).length])
   }
   slope(figures, 'register memory', 'bytes', 'claim kept', memory)
   slope(figures, 'snapshot size', 'bytes', 'claim kept', snapshot)
@@ -102,11 +102,11 @@
 }
 
 /** Claims and ends so many requests; gives the time that applying took, in milliseconds. */
-function fillClaims (machine: Machine, size: number, random: () => number): number {
+function fillClaims (machine: StateMachine, size: number, random: () => number): number {
   const at = 1_800_000_000_000
   let ms = 0
   for (let number = 0; number < size; number++) {
-    const claim = { type: 'claim', id: makeRequestId(at, random), holder: 'kochi-a-1/abcdefgh', token: `t${number}` }
+    const claim = { type: 'claim', id: createRequestId(at, random), holder: 'kochi-a-1/abcdefgh', token: `t${number}` }
     const end = { ...claim, type: 'settle', outcome: 'done', answer: { status: 200, contentType: 'application/json', body: 'eyJvayI6dHJ1ZX0=' } }
     // As from the wire: strings of their own.
     const entries = [claim, end].map((command, place) => ({ index: number * 2 + place + 1, term: 1, at, body: { type: 'command' as const, command: JSON.parse(JSON.stringify(command)) as unknown } }))
--- a/scripts/bench/capacitySystem.ts
+++ b/scripts/bench/capacitySystem.ts
@@ -1,7 +1,7 @@
 /** Slopes of a running system: what members and claims cost, how fast changes spread, how fast a VM catches up. */
 import { rmSync } from 'node:fs'
 import { join } from 'node:path'
-import { makeRandom, makeRequestId } from '@lynxcourse/base'
+import { createRandom, createRequestId } from '@lynxcourse/base'
 import { callPeer, createRpcClient } from '@lynxcourse/daemon'
 import type { RpcClient } from '@lynxcourse/daemon'
 import { forkScript, kill, mustCli, sleep, startDaemonProcess, until, answers } from '../support/processes.js'
@@ -175,7 +175,7 @@
   const cpu: Array<[number, number]> = []
   const followerCpu: Array<[number, number]> = []
   const bytes: Array<[number, number]> = []
-  const random = makeRandom(5)
+  const random = createRandom(5)
   // Once unmeasured, so that the compiler's work on the first claims doesn't count.
   const warm = system.daemons[await leaderIndex(system)]
   if (warm !== undefined) await claimAt(client, warm.plan.rpc, rates[0] ?? 100, seconds, random)
@@ -217,7 +217,7 @@
     const count = Math.min(200, Math.floor(owed))
     owed -= count
     if (count === 0) continue
-    const commands = Array.from({ length: count }, () => ({ type: 'claim', id: makeRequestId(Date.now(), random), holder: 'bench/1', token: 't' }))
+    const commands = Array.from({ length: count }, () => ({ type: 'claim', id: createRequestId(Date.now(), random), holder: 'bench/1', token: 't' }))
     const sentAt = performance.now()
     const work = callPeer(client, address, 'claims.submit', { commands }).then(() => { latencies.push(performance.now() - sentAt) }, () => undefined)
     open.add(work)
--- a/scripts/bench/claimPlaces.ts
+++ b/scripts/bench/claimPlaces.ts
@@ -2,7 +2,7 @@
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { makeRandom, makeRequestId } from '@lynxcourse/base'
+import { createRandom, createRequestId } from '@lynxcourse/base'
 import { callPeer, createRpcClient } from '@lynxcourse/daemon'
 import { stringify } from 'yaml'
 import { startDelayProxy } from '../support/delayProxy.js'
@@ -95,11 +95,11 @@
   const oneWayMs = leader.region === 'kochi' ? withinRegionMs : betweenRegionsMs
   await using proxy = await startDelayProxy('127.0.71.1', leader.rpc, oneWayMs)
   await using client = createRpcClient({ timeoutMs: callTimeoutMs, localAddress: '', tls: () => undefined, metrics: undefined })
-  const random = makeRandom(9)
+  const random = createRandom(9)
   const times: number[] = []
   for (let number = 0; number < count; number++) {
     const startedAt = performance.now()
-    await callPeer(client, proxy.address, 'claims.submit', { commands: [{ type: 'claim', id: makeRequestId(Date.now(), random), holder: 'bench/1', token: 't' }] })
+    await callPeer(client, proxy.address, 'claims.submit', { commands: [{ type: 'claim', id: createRequestId(Date.now(), random), holder: 'bench/1', token: 't' }] })
     if (number > 2) times.push(performance.now() - startedAt)
   }
   return times
@@ -111,10 +111,10 @@
   const startedAt = Date.now()
   for (const daemon of lost) await kill(daemon.child)
   await using client = createRpcClient({ timeoutMs: 1000, localAddress: '', tls: () => undefined, metrics: undefined })
-  const random = makeRandom(10)
+  const random = createRandom(10)
   while (Date.now() - startedAt < 15_000) {
     for (const daemon of left) {
-      const id = makeRequestId(Date.now(), random)
+      const id = createRequestId(Date.now(), random)
       const granted = await callPeer(client, daemon.plan.rpc, 'claims.submit', { commands: [{ type: 'claim', id, holder: 'bench/2', token: 't' }] }).then(() => true, () => false)
       if (granted) return `${Date.now() - startedAt} ms without claims`
     }
--- a/scripts/bench/path.ts
+++ b/scripts/bench/path.ts
@@ -2,9 +2,9 @@
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { brandId, makeRandom } from '@lynxcourse/base'
+import { brandId, createRandom } from '@lynxcourse/base'
 import type { RegionId } from '@lynxcourse/base'
-import { buildBlockTable, buildLookupIndex, blockHash, lookupVms, orderPlaces, regionNumber, regionOfAddress, tableBytes } from '@lynxcourse/routing'
+import { buildBlockTable, buildLookupIndex, hashBlock, selectEntryVms, orderRegions, findRegionIndex, findRegion, getTableBytes } from '@lynxcourse/routing'
 import type { BlockTable, CallerBlock } from '@lynxcourse/routing'
 import { Client } from 'undici'
 import { kill, mustCli, sleep } from '../support/processes.js'
@@ -32,7 +32,7 @@
 
 /** 860,000 blocks of mixed sizes over 41 regions, as at the target. */
 export function targetBlocks (count: number): CallerBlock[] {
-  const random = makeRandom(1)
+  const random = createRandom(1)
   const blocks: CallerBlock[] = []
   for (let place = 0; place < count; place++) {
     const network = Math.floor(place * (2 ** 24 / count))
@@ -44,7 +44,7 @@
 
 /** Look-ups a second of a function on one core. */
 function ratePure (work: (address: number) => unknown): number {
-  const random = makeRandom(2)
+  const random = createRandom(2)
   const addresses = Uint32Array.from({ length: 1 << 16 }, () => Math.floor(random() * 2 ** 32))
   let sink = 0
   const run = (rounds: number): void => { for (let n = 0; n < rounds; n++) for (const address of addresses) if (work(address) !== undefined) sink += 1 }
@@ -63,12 +63,12 @@
   const index = buildLookupIndex(places.flatMap(region => [1, 2, 3].map(n => ({ vm: brandId<never>(`${region}-${n}`), region, failureDomain: brandId<never>('d'), http: '127.0.0.1:1', suspected: false }))))
   const cache = new Map<number, unknown>()
   return address => {
-    const bucket = blockHash(address) % 512
-    const key = regionNumber(table, address) * 512 + bucket
+    const bucket = hashBlock(address) % 512
+    const key = findRegionIndex(table, address) * 512 + bucket
     const known = cache.get(key)
     if (known !== undefined) return known
-    const input = { service: brandId<never>('s'), places: places.slice(0, 6), callerRegion: regionOfAddress(table, address), drained: new Set<RegionId>(), shifts: [], callerHash: bucket, latencies: new Map<string, number>() }
-    const made = lookupVms(index, orderPlaces(input), bucket)
+    const input = { service: brandId<never>('s'), places: places.slice(0, 6), callerRegion: findRegion(table, address), drained: new Set<RegionId>(), shifts: [], callerHash: bucket, latencies: new Map<string, number>() }
+    const made = selectEntryVms(index, orderRegions(input), bucket)
     cache.set(key, made)
     return made
   }
@@ -82,9 +82,9 @@
   const buildMs = performance.now() - startedAt
   return {
     blocks: blocks.length,
-    tableMB: round(tableBytes(table) / 1e6),
+    tableMB: round(getTableBytes(table) / 1e6),
     buildMs: Math.round(buildMs),
-    blockToRegionPerSecond: Math.round(ratePure(address => regionNumber(table, address))),
+    blockToRegionPerSecond: Math.round(ratePure(address => findRegionIndex(table, address))),
     wholeLookupPerSecond: Math.round(ratePure(wholeLookup(table)))
   }
 }
--- a/scripts/soak.ts
+++ b/scripts/soak.ts
@@ -6,7 +6,7 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { Command, InvalidArgumentError } from 'commander'
-import { messageOf } from '@lynxcourse/base'
+import { getErrorMessage } from '@lynxcourse/base'
 import { planSoak } from './soak/faultPlan.js'
 import type { GoneSeen } from './soak/goneChecks.js'
 import { runSoak } from './soak/soakRun.js'
@@ -61,7 +61,7 @@
 
 /** A run that could not be played to its end proves nothing, so it counts as one that broke a promise. */
 function notPlayed (seed: number, err: unknown): SoakResult {
-  return { seed, broken: [`not played to its end: ${messageOf(err)}`], requests: 0, servedShare: 0, lastShare: 0, steps: 0, gone: undefined }
+  return { seed, broken: [`not played to its end: ${getErrorMessage(err)}`], requests: 0, servedShare: 0, lastShare: 0, steps: 0, gone: undefined }
 }
 
 async function main (): Promise<void> {
--- a/scripts/soak/callers.ts
+++ b/scripts/soak/callers.ts
@@ -1,5 +1,5 @@
 /** Makes a soak's callers: some for each entry VM, from all regions. */
-import { makeRandom } from '@lynxcourse/base'
+import { createRandom } from '@lynxcourse/base'
 import type { Caller, EntryPlace } from './caller.js'
 import { regions } from './soakWorld.js'
 import type { SoakWorld } from './soakWorld.js'
@@ -18,7 +18,7 @@
     client: world.client,
     places,
     ledger: world.ledger,
-    random: makeRandom(seed * 1000 + place),
+    random: createRandom(seed * 1000 + place),
     isFaithful: keepTo !== undefined || place % 2 === 1,
     isImpatient: keepTo !== undefined,
     pools: new Map(),
--- a/scripts/soak/controlClient.ts
+++ b/scripts/soak/controlClient.ts
@@ -1,5 +1,5 @@
 /** How operators and servers of a soak reach the control VMs: any of them, again until the answer is clear. */
-import { messageOf } from '@lynxcourse/base'
+import { getErrorMessage } from '@lynxcourse/base'
 import type { Random } from '@lynxcourse/base'
 import { callPeer, createRpcClient } from '@lynxcourse/daemon'
 import type { RpcClient } from '@lynxcourse/daemon'
@@ -31,7 +31,7 @@
       problem = err
     }
   }
-  throw new Error(`no control VM answered ${method}: ${messageOf(problem)}`, { cause: problem })
+  throw new Error(`no control VM answered ${method}: ${getErrorMessage(problem)}`, { cause: problem })
 }
 
 /** Calls until some control VM answers; undefined if none does in time. */
--- a/scripts/soak/faultPlan.ts
+++ b/scripts/soak/faultPlan.ts
@@ -1,5 +1,5 @@
 /** Draws the faults of a soak from its seed: in series with calm between them, overlapping within a series. */
-import { hashText, makeRandom } from '@lynxcourse/base'
+import { hashText, createRandom } from '@lynxcourse/base'
 import type { Random } from '@lynxcourse/base'
 import type { LinkFault } from './faultProxy.js'
 
@@ -72,9 +72,9 @@
 
 /** Draws the plan of a seed; equal seeds and sizes give equal plans. */
 export function planSoak (seed: number, size: SoakSize, series: number): SoakPlan {
-  const random = makeRandom(seed)
+  const random = createRandom(seed)
   // Draws of their own, so that the other faults of a seed don't depend on them.
-  const shortages = makeRandom(hashText(`shortage ${seed}`))
+  const shortages = createRandom(hashText(`shortage ${seed}`))
   const steps: SoakStep[] = []
   for (let number = 0; number < series; number++) {
     const start = number * (seriesMs + calmMs)
--- a/scripts/soak/operator.ts
+++ b/scripts/soak/operator.ts
@@ -1,7 +1,7 @@
 /** The operator of a soak: changes routes, races against a second one, evacuates failure domains, reads back. */
 import type { FailureDomainId, ServiceId } from '@lynxcourse/base'
 import type { RoutesRead } from '@lynxcourse/daemon'
-import type { ChangeAnswer, OrderId, ReplaceRoutesCommand, Route, RouteCommand } from '@lynxcourse/state'
+import type { ChangeAnswer, RouteChangeId, ReplaceRoutesCommand, Route, RouteCommand } from '@lynxcourse/state'
 import { sleep } from '../support/processes.js'
 import { callAny, callUntilClear } from './controlClient.js'
 import type { ControlClient } from './controlClient.js'
@@ -40,7 +40,7 @@
   operator.orders += 1
   return {
     type: 'replaceRoutes',
-    order: `order-${operator.orders}-${version}` as OrderId,
+    order: `order-${operator.orders}-${version}` as RouteChangeId,
     baseVersion: operator.version,
     routesVersion: version,
     set: {
--- a/scripts/soak/soakRun.ts
+++ b/scripts/soak/soakRun.ts
@@ -1,5 +1,5 @@
 /** One run of the soak: builds the system, lets callers and faults at it, and judges what was seen. */
-import { messageOf } from '@lynxcourse/base'
+import { getErrorMessage } from '@lynxcourse/base'
 import { createOwned } from '@lynxcourse/daemon'
 import { request } from 'undici'
 import { sleep, until } from '../support/processes.js'
@@ -98,7 +98,7 @@
   }
   for (const server of world.servers) setFault(server.proxy, 'none')
   for (const vm of world.vms) {
-    await until(`${vm.name} is ready again`, async () => await isReady(vm), recoveryMs).catch((err: unknown) => world.ledger.notes.push(`recover: ${messageOf(err)}`))
+    await until(`${vm.name} is ready again`, async () => await isReady(vm), recoveryMs).catch((err: unknown) => world.ledger.notes.push(`recover: ${getErrorMessage(err)}`))
   }
 }
 
--- a/scripts/soak/soakWorld.ts
+++ b/scripts/soak/soakWorld.ts
@@ -1,7 +1,7 @@
 /** Builds what one run of the soak consists of: VMs, backend servers, an operator and the ledger. */
 import { mkdirSync } from 'node:fs'
 import { join } from 'node:path'
-import { brandId, makeRandom } from '@lynxcourse/base'
+import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServiceId } from '@lynxcourse/base'
 import { own } from '@lynxcourse/daemon'
 import type { FleetFileInput, Owned } from '@lynxcourse/daemon'
@@ -37,7 +37,7 @@
 
 /** Builds a world whose VMs are not started yet; what it opens is owned by the stack. */
 export async function buildWorld (seed: number, size: SoakSize, folder: string, stack: Owned): Promise<SoakWorld> {
-  const random = makeRandom(seed + 1)
+  const random = createRandom(seed + 1)
   const ledger = createLedger()
   mkdirSync(folder, { recursive: true })
   const vms: SoakVm[] = []
--- a/scripts/soak/stubServer.ts
+++ b/scripts/soak/stubServer.ts
@@ -4,7 +4,7 @@
 import type { AddressInfo } from 'node:net'
 import { brandId, hashText } from '@lynxcourse/base'
 import type { FailureDomainId, Random, ServerId, ServiceId } from '@lynxcourse/base'
-import type { BackendFacts } from '@lynxcourse/state'
+import type { BackendAnnouncement } from '@lynxcourse/state'
 import { sleep } from '../support/processes.js'
 import { startFaultProxy } from './faultProxy.js'
 import type { FaultProxy } from './faultProxy.js'
@@ -27,7 +27,7 @@
   readonly proxy: FaultProxy
   readonly ledger: Ledger
   readonly random: Random
-  facts: BackendFacts
+  facts: BackendAnnouncement
   server: Server | undefined
   lifetimes: number
   running: number
--- a/scripts/support/callers.ts
+++ b/scripts/support/callers.ts
@@ -1,5 +1,5 @@
 /** Callers that look up, cache the answer for its lifetime, and call. */
-import { makeRequestId } from '@lynxcourse/base'
+import { createRequestId } from '@lynxcourse/base'
 import { Agent } from 'undici'
 import type { RegionPlan } from './topology.js'
 
@@ -61,7 +61,7 @@
 export async function callService (group: CallerGroup, service: string, kind: 'read' | 'once', deadlineMs = 2000): Promise<CallResult> {
   const startedAt = performance.now()
   const at = Date.now()
-  const id = kind === 'once' ? makeRequestId(at, Math.random) : undefined
+  const id = kind === 'once' ? createRequestId(at, Math.random) : undefined
   const echo = Math.random().toString(36).slice(2)
   const vms = await lookUp(group, service)
   let failovers = 0
