--- a/packages/daemon/__tests__/loopWatch.test.ts
+++ b/packages/daemon/__tests__/loopWatch.test.ts
@@ -14,7 +14,7 @@
   const until = presentTime() + stopMs
   while (presentTime() < until) { /* the loop stands still */ }
   while (stops.length === 0) await delay(10)
-  assert.ok(watch.turns.markedAt >= until)
+  assert.ok(watch.turns.checkpointAt >= until)
   assert.ok((stops[0] as number) >= stopMs / 2, `${stops.join()}`)
   assert.equal(Math.max(...late), stops[0])
 })
--- a/packages/daemon/__tests__/presence.test.ts
+++ b/packages/daemon/__tests__/presence.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import { createPresence, isInTouch, missedServers, noteEntry, noteReported, noteWatching, presentTime, reportedEntries, takeAnnouncement, takePresenceReport } from '@lynxcourse/daemon'
 import type { PresenceReport } from '@lynxcourse/daemon'
-import { createLoadBoard, takeNews } from '@lynxcourse/placement'
+import { createLoadBoard, storeLoadUpdate } from '@lynxcourse/placement'
 import type { EntryPresence, LoadDigest, LoadUpdate } from '@lynxcourse/placement'
 import { brandId, isLynxError } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServerId } from '@lynxcourse/base'
@@ -83,7 +83,7 @@
   const board = createLoadBoard()
   const weights = { version: 7, servers: [[server, 0.5] as const] }
   const news: LoadUpdate = { full: [], plans: [], silent: [] }
-  takeNews(board, { ...news, weights })
-  takeNews(board, news)
+  storeLoadUpdate(board, { ...news, weights })
+  storeLoadUpdate(board, news)
   assert.deepEqual([board.news.weights, board.weights.get(server)], [weights, 0.5])
 })
--- a/packages/daemon/__tests__/unread.test.ts
+++ b/packages/daemon/__tests__/unread.test.ts
@@ -1,7 +1,7 @@
 /** Requests that a VM gets to long after their bytes came. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import type { LoopTurns } from '@lynxcourse/placement'
+import type { LoopIterations } from '@lynxcourse/placement'
 import { ask, publish, routeTo, startRig, startServer } from './support/fleetRig.js'
 import { startBackend, startRig as startServiceRig } from './support/rig.js'
 import { connectThreadCaller } from './support/threadCaller.js'
@@ -47,14 +47,14 @@
   await using rig = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
   await publish(rig, [server], [routeTo('read')])
-  const turns = rig.daemons.at(-1)?.gateway?.loop.turns as LoopTurns
+  const turns = rig.daemons.at(-1)?.gateway?.loop.turns as LoopIterations
   Object.assign(turns, { isOpen: true, notedAt: -Infinity })
   const refused = await ask(rig, '/read/1')
   assert.equal(refused.status, 503)
   assert.equal(refused.headers.connection, 'close')
   assert.ok(Number(refused.headers['retry-after']) > 0)
   assert.equal(server.requests.length, 0)
-  turns.isOpen = false
+  turns.isIterationRecorded = false
   assert.equal((await ask(rig, '/read/1')).status, 200)
 })
 
--- a/packages/daemon/src/core/entry/attemptSteps.ts
+++ b/packages/daemon/src/core/entry/attemptSteps.ts
@@ -1,7 +1,7 @@
 /** Steps that repeatable and once-only requests share: getting a slot, running an attempt, logging. */
 import { isFinal, nextState } from '@lynxcourse/base'
 import { isLeaseValid } from '@lynxcourse/membership'
-import { mustLook, noteLook } from '@lynxcourse/placement'
+import { needsPoll, recordPoll } from '@lynxcourse/placement'
 import type { Millis } from '@lynxcourse/base'
 import type { AttemptOutcome } from '@lynxcourse/routing'
 import type { Cancel } from '../../utils/cancel.js'
@@ -52,7 +52,7 @@
 }
 
 async function renewCallerView ({ entry, caller, signal, request }: Serving): Promise<void> {
-  while (!signal.aborted && presentTime() < request.deadline && mustLook(caller, presentTime())) noteLook(caller, (await nextLook(entry.loop.looks)).beganAt)
+  while (!signal.aborted && presentTime() < request.deadline && needsPoll(caller, presentTime())) recordPoll(caller, (await nextLook(entry.loop.looks)).beganAt)
 }
 
 function mayStillSend (serving: Serving): boolean {
--- a/packages/daemon/src/core/entry/connectionPool.ts
+++ b/packages/daemon/src/core/entry/connectionPool.ts
@@ -1,7 +1,7 @@
 /** Connections to backend servers, one `undici` client each, judged by their chart. */
 import type { Socket } from 'node:net'
 import { Client, buildConnector } from 'undici'
-import { createIdleConnectionHistory, hasOpenedLate, getMaxIdleMs, recordResetAfterIdle, recordUnansweredAfterIdle } from '@lynxcourse/placement'
+import { createIdleConnectionHistory, isLateConnection, getMaxIdleMs, recordResetAfterIdle, recordUnansweredAfterIdle } from '@lynxcourse/placement'
 import type { IdleConnectionHistory } from '@lynxcourse/placement'
 import { createConnectionState, isReusable, recordProgress, applyConnectionEvent } from '@lynxcourse/routing'
 import type { ConnectionCfg, ConnectionState } from '@lynxcourse/routing'
@@ -113,7 +113,7 @@
       resetUnanswered(socket)
       socket.on('error', failure => { if ((failure as NodeJS.ErrnoException).code === 'ECONNRESET') connection().wasReset = true })
     }
-    if (err !== null || !hasOpenedLate(startedAt, presentTime())) callback(...result)
+    if (err !== null || !isLateConnection(startedAt, presentTime())) callback(...result)
     else handOver(pool.looks, socket, callback).catch(failure => callback(failure as Error, null))
   })
 }
--- a/packages/daemon/src/core/entry/forwarding.ts
+++ b/packages/daemon/src/core/entry/forwarding.ts
@@ -1,7 +1,7 @@
 /** Serves a caller's request to a service, from its head to its one final answer. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { isLeaseValid } from '@lynxcourse/membership'
-import { createCallerView } from '@lynxcourse/placement'
+import { createCallerLiveness } from '@lynxcourse/placement'
 import { earnRetry, getRoundTripMs, getMeanServiceMs, countAvailableSlots } from '@lynxcourse/routing'
 import type { AdmissionInput, CandidateRegion } from '@lynxcourse/routing'
 import type { Millis } from '@lynxcourse/base'
@@ -65,7 +65,7 @@
   refreshView(entry, now)
   earnRetry(budgetOf(entry, request.service), request.profile.retryBudget)
   const places = openPlaces(entry, request, address, now)
-  const serving: Serving = { entry, request, places, signal, caller: createCallerView(), admission: admissionOf(entry, request, places, now) }
+  const serving: Serving = { entry, request, places, signal, caller: createCallerLiveness(), admission: admissionOf(entry, request, places, now) }
   return request.isIdempotent ? await serveRepeatable(serving) : await serveOnce(serving)
 }
 
--- a/packages/daemon/src/core/entry/serving.ts
+++ b/packages/daemon/src/core/entry/serving.ts
@@ -1,6 +1,6 @@
 /** One request being served: what the ways of serving it share. */
 import { canCompleteInTime, createRetryBudget, getRetryAfterMs } from '@lynxcourse/routing'
-import type { CallerView } from '@lynxcourse/placement'
+import type { CallerLiveness } from '@lynxcourse/placement'
 import type { AdmissionInput, CandidateRegion, RetryBudget } from '@lynxcourse/routing'
 import type { Millis, ServiceId } from '@lynxcourse/base'
 import type { Cancel } from '../../utils/cancel.js'
@@ -15,7 +15,7 @@
   readonly places: readonly CandidateRegion[]
   /** Aborted when the caller is gone. */
   readonly signal: Cancel
-  readonly caller: CallerView
+  readonly caller: CallerLiveness
   readonly admission: AdmissionInput
 }
 
--- a/packages/daemon/src/core/fleet/fleetControl.ts
+++ b/packages/daemon/src/core/fleet/fleetControl.ts
@@ -16,8 +16,8 @@
 import type { Announcing } from './announcing.js'
 import { controlAddresses } from './fleetNode.js'
 import type { FleetNode } from './fleetNode.js'
-import { createLoadBoard, createLoadIntake } from '@lynxcourse/placement'
-import type { LoadBoard, LoadIntake } from '@lynxcourse/placement'
+import { createLoadBoard, createLoadAggregate } from '@lynxcourse/placement'
+import type { LoadBoard, LoadAggregate } from '@lynxcourse/placement'
 import { createPresence, isInTouch } from './presence.js'
 import type { Presence } from './presence.js'
 
@@ -28,7 +28,7 @@
   /** Versions of the state that this VM has known of late. */
   readonly versions: KnownVersions
   readonly presence: Presence
-  readonly intake: LoadIntake
+  readonly intake: LoadAggregate
   readonly board: LoadBoard
   readonly announcing: Announcing
 }
@@ -59,7 +59,7 @@
   const note = (): void => recordKnownVersion(versions, host.machine.config.version, presentTime())
   note()
   host.onProgress.push(note)
-  return { node, host, versions, presence: createPresence(), intake: createLoadIntake(), board: createLoadBoard(), announcing: createAnnouncing() }
+  return { node, host, versions, presence: createPresence(), intake: createLoadAggregate(), board: createLoadBoard(), announcing: createAnnouncing() }
 }
 
 function envOf (node: FleetNode, isFounder: boolean): ControlEnv {
--- a/packages/daemon/src/core/fleet/fleetMethods.ts
+++ b/packages/daemon/src/core/fleet/fleetMethods.ts
@@ -3,7 +3,7 @@
 import type { BackendAnnouncement, ChangeAnswer, ConfigDelta, RouteCommand } from '@lynxcourse/state'
 import { LynxError, brandId, getErrorMessage } from '@lynxcourse/base'
 import type { Millis, RegionId, ServerId } from '@lynxcourse/base'
-import { chooseEntries, isGathering, newsFor, noteDigest, noteLoadReport } from '@lynxcourse/placement'
+import { selectEntries, isDiscovering, omitKnownWeights, applyDigest, addLoadReport } from '@lynxcourse/placement'
 import type { EntryPresence, LoadUpdate, LoadReport } from '@lynxcourse/placement'
 import * as z from 'zod'
 import type { Cancel } from '../../utils/cancel.js'
@@ -116,14 +116,14 @@
 export function lookUp (control: FleetControl, region: RegionId | undefined, now: Millis): FleetLookup {
   const { times } = control.node.cfg
   const { entries, gathering } = control.presence
-  const addresses = isGathering(gathering, now) ? [] : chooseEntries([...entries.values()], region, times.presenceStaleMs, now, control.node.random)
+  const addresses = isDiscovering(gathering, now) ? [] : selectEntries([...entries.values()], region, times.presenceStaleMs, now, control.node.random)
   return { addresses, ttlMs: times.lookupTtlMs }
 }
 
 function answerPresence (control: FleetControl, report: PresenceReport): PresenceReply {
   const now = presentTime()
-  noteDigest(control.board, report.from.rpc, report.load, now)
-  return { ...takePresenceReport(control.presence, report, now), news: newsFor(control.board.news, report.weights) }
+  applyDigest(control.board, report.from.rpc, report.load, now)
+  return { ...takePresenceReport(control.presence, report, now), news: omitKnownWeights(control.board.news, report.weights) }
 }
 
 /** @throws LynxError `cancelled` if the caller has left */
@@ -150,7 +150,7 @@
 async function answerWatch (control: FleetControl, loop: PresenceLoop, request: WatchRequest, call: RpcCall): Promise<WatchReply> {
   const isNews = noteWatching(control.presence, request.self, presentTime())
   if (isNews) loop.urge()
-  if (request.load !== undefined) noteLoadReport(control.intake, request.self.name, request.self.region, request.load, presentTime())
+  if (request.load !== undefined) addLoadReport(control.intake, request.self.name, request.self.region, request.load, presentTime())
   const startedAt = presentTime()
   if (request.version === 0) await waitUntilCurrent(control, request.waitMs, call.gone)
   if (control.host.machine.config.version <= request.version) await waitForNews(control, request, call.gone)
@@ -165,7 +165,7 @@
     ageMs: Number.isFinite(age) ? age : null,
     controls: control.node.controls,
     entries: [...control.presence.entries.keys()],
-    news: newsFor(control.board.news, request.weights)
+    news: omitKnownWeights(control.board.news, request.weights)
   }
 }
 
--- a/packages/daemon/src/core/fleet/fleetNode.ts
+++ b/packages/daemon/src/core/fleet/fleetNode.ts
@@ -12,8 +12,8 @@
 import { createRpcClient } from '../rpc/rpcClient.js'
 import type { RpcClient } from '../rpc/rpcClient.js'
 import type { FleetSettings } from '../../types/fleetSettings.js'
-import { createLoadNotes } from '@lynxcourse/placement'
-import type { LoadUpdate, LoadNotes } from '@lynxcourse/placement'
+import { createLoadObservations } from '@lynxcourse/placement'
+import type { LoadUpdate, LoadObservations } from '@lynxcourse/placement'
 
 /** A control VM as others find it. */
 export interface ControlPlace {
@@ -39,7 +39,7 @@
   freshAt: Millis
   isLeaving: boolean
   /** What this VM has seen of the load since its last report. */
-  readonly load: LoadNotes
+  readonly load: LoadObservations
   /** What all VMs together saw of the load, by the last word of it. */
   loadNews: LoadUpdate
   /** Called when the copy changed. */
@@ -71,7 +71,7 @@
     entryNames: cfg.roles.includes('entry') ? [cfg.name] : [],
     freshAt: -Infinity,
     isLeaving: false,
-    load: createLoadNotes(now),
+    load: createLoadObservations(now),
     loadNews: { full: [], plans: [], silent: [] },
     onChange: [],
     onLoad: []
--- a/packages/daemon/src/core/fleet/presence.ts
+++ b/packages/daemon/src/core/fleet/presence.ts
@@ -1,17 +1,17 @@
 /** Which entry VMs and backend servers were heard of late: kept in memory, exchanged through the leader. */
 import type { Millis, ServerId } from '@lynxcourse/base'
-import { createEntryGathering, noteReadyEntry } from '@lynxcourse/placement'
-import type { EntryGathering, EntryPresence, HeardEntry, LoadDigest, LoadUpdate } from '@lynxcourse/placement'
+import { createEntryDiscovery, recordReadyEntry } from '@lynxcourse/placement'
+import type { EntryDiscovery, EntryPresence, KnownEntry, LoadDigest, LoadUpdate } from '@lynxcourse/placement'
 import type { ControlPlace } from './fleetNode.js'
 
 /** What one control VM holds. */
 export interface Presence {
   /** Entry VMs by name. */
-  readonly entries: Map<string, HeardEntry>
+  readonly entries: Map<string, KnownEntry>
   /** What entry VMs told this VM themselves, by name, until the leader has it. */
   readonly watching: Map<string, EntryPresence>
   /** Whether enough of them were heard since this VM started. */
-  readonly gathering: EntryGathering
+  readonly gathering: EntryDiscovery
   /** Control VMs by RPC address. */
   readonly controls: Map<string, { readonly place: ControlPlace, readonly heardAt: Millis }>
   /** Backend servers heard since the last exchange. */
@@ -60,7 +60,7 @@
   return {
     entries: new Map(),
     watching: new Map(),
-    gathering: createEntryGathering(),
+    gathering: createEntryDiscovery(),
     controls: new Map(),
     heard: new Set(),
     heardAt: new Map(),
@@ -72,9 +72,9 @@
 /** Notes an entry VM; older news never replaces newer. */
 export function noteEntry (presence: Presence, entry: EntryPresence, heardAt: Millis): boolean {
   const held = presence.entries.get(entry.name)
-  if (held !== undefined && held.heardAt >= heardAt) return false
-  presence.entries.set(entry.name, { presence: entry, heardAt })
-  if (entry.isReady && held?.presence.isReady !== true) noteReadyEntry(presence.gathering, heardAt)
+  if (held !== undefined && held.lastSeenAt >= heardAt) return false
+  presence.entries.set(entry.name, { presence: entry, lastSeenAt: heardAt })
+  if (entry.isReady && held?.presence.isReady !== true) recordReadyEntry(presence.gathering, heardAt)
   return held === undefined || held.presence.isReady !== entry.isReady || held.presence.address !== entry.address
 }
 
@@ -102,14 +102,14 @@
 
 /** Entry VMs with the age of the news. */
 export function agedEntries (presence: Presence, now: Millis): AgedEntry[] {
-  const fresh = [...presence.entries.values()].filter(entry => now - entry.heardAt < maxAgeMs)
-  return fresh.map(entry => ({ presence: entry.presence, ageMs: Math.max(0, now - entry.heardAt) }))
+  const fresh = [...presence.entries.values()].filter(entry => now - entry.lastSeenAt < maxAgeMs)
+  return fresh.map(entry => ({ presence: entry.presence, ageMs: Math.max(0, now - entry.lastSeenAt) }))
 }
 
 /** Drops what is too old to matter. */
 export function prunePresence (presence: Presence, now: Millis): void {
   for (const [name, entry] of presence.entries) {
-    if (now - entry.heardAt <= maxAgeMs) continue
+    if (now - entry.lastSeenAt <= maxAgeMs) continue
     presence.entries.delete(name)
     presence.watching.delete(name)
   }
--- a/packages/daemon/src/core/fleet/presenceLoop.ts
+++ b/packages/daemon/src/core/fleet/presenceLoop.ts
@@ -10,7 +10,7 @@
 import { callPeer } from '../rpc/rpcClient.js'
 import { leaderOf, submitRouteCommand } from './fleetControl.js'
 import type { FleetControl } from './fleetControl.js'
-import { newsLines, noteDigest, takeDigest, takeNews, takePlanLines, updateBoard } from '@lynxcourse/placement'
+import { describeLoadChanges, applyDigest, flushDigest, storeLoadUpdate, flushPlanLines, updateBoard } from '@lynxcourse/placement'
 import { openSlots, serverPlaces } from './serverSlots.js'
 import { missedServers, noteEntry, noteReported, prunePresence, reportedEntries, takePresenceReport } from './presence.js'
 import type { PresenceNews, PresenceReply, PresenceReport } from './presence.js'
@@ -61,7 +61,7 @@
   try {
     const kept = await readPlacement(dataFolder)
     if (kept === undefined || board.news.plans.length > 0) return
-    takeNews(board, kept)
+    storeLoadUpdate(board, kept)
     log(node.logs, 'member', 'info', 'Placement read.', { services: kept.plans.length, weights: kept.weights?.servers.length ?? 0 })
   } catch (err) {
     log(node.logs, 'member', 'warn', 'Placement not read; objects may get other servers.', { error: getErrorMessage(err) })
@@ -71,8 +71,8 @@
 function keepPlacement (control: FleetControl, now: Millis): void {
   const { node, board } = control
   const { dataFolder } = node.cfg
-  if (dataFolder === undefined || board.news.plans.length === 0 || now - board.keptAt < keepEveryMs) return
-  board.keptAt = now
+  if (dataFolder === undefined || board.news.plans.length === 0 || now - board.savedAt < keepEveryMs) return
+  board.savedAt = now
   // A disk that stalls must not hold the exchange up; the next write comes soon.
   writePlacement(dataFolder, board.news).catch((err: unknown) => log(node.logs, 'member', 'warn', 'Placement not kept.', { error: getErrorMessage(err) }))
 }
@@ -81,7 +81,7 @@
   const { node, host, presence, intake, board } = control
   const now = presentTime()
   prunePresence(presence, now)
-  const report: PresenceReport = { from: { rpc: node.cfg.rpc, region: node.cfg.region }, entries: reportedEntries(presence, now), heard: [...presence.heard], load: takeDigest(intake, now), weights: board.news.weights?.version ?? 0 }
+  const report: PresenceReport = { from: { rpc: node.cfg.rpc, region: node.cfg.region }, entries: reportedEntries(presence, now), heard: [...presence.heard], load: flushDigest(intake, now), weights: board.news.weights?.version ?? 0 }
   if (leads(host)) {
     presence.heard.clear()
     presence.watching.clear()
@@ -99,7 +99,7 @@
   noteReported(presence, report.entries)
   presence.exchangedAt = presentTime()
   takeReply(control, reply)
-  takeNews(control.board, reply.news)
+  storeLoadUpdate(control.board, reply.news)
 }
 
 /** The leader's part: the board of loads, and a line for each thing that it now tells otherwise. */
@@ -107,12 +107,12 @@
   const { node, host, board } = control
   const { config } = host.machine
   const before = board.news
-  noteDigest(board, node.cfg.rpc, report.load, now)
+  applyDigest(board, node.cfg.rpc, report.load, now)
   updateBoard(board, openSlots(config, node.cfg.regions), serverPlaces(config, node.cfg.regions), now)
-  for (const { service, region, near, demand, slots } of takePlanLines(board)) {
+  for (const { service, region, near, demand, slots } of flushPlanLines(board)) {
     log(node.logs, 'shift', 'info', 'Region plan moved.', { service, from: region, near: Math.round(near * 1000) / 1000, demand: Math.round(demand), slots })
   }
-  for (const { message, fields } of newsLines(before, board.news)) log(node.logs, 'member', 'info', message, fields)
+  for (const { message, fields } of describeLoadChanges(before, board.news)) log(node.logs, 'member', 'info', message, fields)
 }
 
 function takeReply (control: FleetControl, reply: PresenceNews): void {
--- a/packages/daemon/src/core/fleet/watching.ts
+++ b/packages/daemon/src/core/fleet/watching.ts
@@ -2,7 +2,7 @@
 import { getErrorMessage, rankByHash } from '@lynxcourse/base'
 import type { Millis } from '@lynxcourse/base'
 import { applyDelta } from '@lynxcourse/state'
-import { takeLoadReport } from '@lynxcourse/placement'
+import { flushLoadReport } from '@lynxcourse/placement'
 import type { EntryPresence } from '@lynxcourse/placement'
 import { presentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
@@ -83,7 +83,7 @@
 
 async function watchOnce (watching: Watching, parent: string, waitMs: Millis): Promise<WatchReply> {
   const { node } = watching
-  const load = takeLoadReport(node.load, presentTime())
+  const load = flushLoadReport(node.load, presentTime())
   const request: WatchRequest = { version: node.config.version, waitMs, self: watching.self(), weights: node.loadNews.weights?.version ?? 0, ...(load === undefined ? {} : { load }) }
   return await callPeer<WatchReply>(node.client, parent, 'fleet.watch', request, waitMs + node.cfg.times.rpcTimeoutMs)
 }
--- a/packages/daemon/src/core/gateway/call.ts
+++ b/packages/daemon/src/core/gateway/call.ts
@@ -1,6 +1,6 @@
 /** One caller's request on its way through the gateway, and its final answer. */
 import type { Millis, ServiceId } from '@lynxcourse/base'
-import type { CallerView } from '@lynxcourse/placement'
+import type { CallerLiveness } from '@lynxcourse/placement'
 import type { Route } from '@lynxcourse/state'
 import type { HeaderMap } from '../../types/answers.js'
 import type { Cancel } from '../../utils/cancel.js'
@@ -24,7 +24,7 @@
   /** Aborted when the caller has closed its connection. */
   readonly gone: Cancel
   /** Until when a close of its connection would have been seen. */
-  readonly caller: CallerView
+  readonly caller: CallerLiveness
   /** For how long that close can have lain unread; undefined before it is read. */
   readonly closeUnreadMs: () => Millis | undefined
 }
--- a/packages/daemon/src/core/gateway/callerFront.ts
+++ b/packages/daemon/src/core/gateway/callerFront.ts
@@ -4,8 +4,8 @@
 import type { Socket } from 'node:net'
 import { LynxError, getErrorMessage } from '@lynxcourse/base'
 import type { Millis, ServiceId } from '@lynxcourse/base'
-import { createCallerView, mayTakeUp, noteLook, noteMoreRead, turnSpent } from '@lynxcourse/placement'
-import type { RoutedService, TurnSpent } from '@lynxcourse/placement'
+import { createCallerLiveness, fitsIterationBudget, recordPoll, invalidateLiveness, getIterationTime } from '@lynxcourse/placement'
+import type { RoutedService, IterationTime } from '@lynxcourse/placement'
 import { matchRoute, selectService } from '@lynxcourse/routing'
 import type { HeaderMap } from '../../types/answers.js'
 import type { Cancel } from '../../utils/cancel.js'
@@ -123,27 +123,27 @@
 
 interface Arrival extends Pick<Call, 'arrivedAt' | 'readAt' | 'caller'> {
   /** How far the turn was in which it was read. */
-  readonly readTurn: TurnSpent
+  readonly readTurn: IterationTime
   /** When the VM began with the requests that it takes up together with this one. */
   workFrom: Millis
 }
 
 function arrivalOf ({ loop }: Gateway, req: IncomingMessage, now: Millis): Arrival {
   const arrivedAt = arrivalTime(loop, req.socket, now)
-  const turn = turnSpent(loop.turns, now)
-  return { arrivedAt, readAt: now, caller: createCallerView(), readTurn: turn, workFrom: now }
+  const turn = getIterationTime(loop.turns, now)
+  return { arrivedAt, readAt: now, caller: createCallerLiveness(), readTurn: turn, workFrom: now }
 }
 
 /** Reads what lies behind a request: its caller may have closed the connection while it lay unread. */
 async function lookBehind ({ loop }: Gateway, arrival: Arrival): Promise<Arrival> {
   const { caller, readAt, arrivedAt, readTurn } = arrival
   // A loop that slept until the request came has read all there was, and accepted all who waited.
-  if (readTurn.hasSlept && arrivedAt === readAt) {
-    noteLook(caller, readAt)
+  if (readTurn.wasIdle && arrivedAt === readAt) {
+    recordPoll(caller, readAt)
     return arrival
   }
   const look = await nextLook(loop.looks)
-  noteLook(caller, look.beganAt)
+  recordPoll(caller, look.beganAt)
   return { ...arrival, workFrom: look.endedAt }
 }
 
@@ -158,13 +158,13 @@
   const facts = gateway.callers.readCall(req.headers)
   const deadline = arrivedAt + Math.min(facts.remainingMs ?? Infinity, route.timeoutMs)
   const refused: RefusedCall = { facts, route, service, arrivedAt, readAt, deadline }
-  if (!mayTakeUp(readTurn, route.rank)) return refuseOverloaded(gateway, req, refused)
+  if (!fitsIterationBudget(readTurn, route.rank)) return refuseOverloaded(gateway, req, refused)
   const end = await coming.end
   if (end.type !== 'whole') return noBody(gateway, end)
-  if (end.at > caller.seenAt) noteMoreRead(caller)
+  if (end.at > caller.polledAt) invalidateLiveness(caller)
   // Asked right before the work, which counts for those that are asked after this one.
   const spentMs = presentTime() - Math.max(workFrom, end.at)
-  if (!mayTakeUp({ ...readTurn, spentMs }, route.rank)) return refuseOverloaded(gateway, req, refused)
+  if (!fitsIterationBudget({ ...readTurn, elapsedMs: spentMs }, route.rank)) return refuseOverloaded(gateway, req, refused)
   const { body } = end
   const call: Call = {
     facts,
--- a/packages/daemon/src/core/gateway/requestLog.ts
+++ b/packages/daemon/src/core/gateway/requestLog.ts
@@ -61,7 +61,7 @@
 
 /** What this VM has under way, its bound, and how full all VMs together saw the service. */
 function loadFields ({ fleet }: Gateway, service: ServiceId): LogFields {
-  const { underWay, limit, meanRatio } = getConcurrency(fleet, service)
+  const { underWay, limit, meanSlowdown: meanRatio } = getConcurrency(fleet, service)
   return { underWay, limit: Math.round(limit * 10) / 10, slowRatio: Math.round(meanRatio * 100) / 100, fill: fleet.sharedUtilization.get(service) }
 }
 
--- a/packages/daemon/src/core/gateway/serving.ts
+++ b/packages/daemon/src/core/gateway/serving.ts
@@ -1,6 +1,6 @@
 /** Serves one request: does what its run asks for, until there is a final answer. */
 import type { Millis } from '@lynxcourse/base'
-import { beginSend, endSend, isServerUnresponsive, mayFailOver, decideNextStep, noteLook, updateWaitingCount, startRequest } from '@lynxcourse/placement'
+import { beginSend, endSend, isServerUnresponsive, mayFailOver, decideNextStep, recordPoll, updateWaitingCount, startRequest } from '@lynxcourse/placement'
 import type { DecisionConditions, Placement, PlacementRequest, Refusal, RequestState, RequestStep } from '@lynxcourse/placement'
 import { presentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
@@ -36,7 +36,7 @@
         last = await sendPlaced(gateway, call, run, step.placement)
         break
       case 'look':
-        noteLook(call.caller, (await nextLook(gateway.loop.looks)).beganAt)
+        recordPoll(call.caller, (await nextLook(gateway.loop.looks)).beganAt)
         break
       case 'wait':
         await waitForRoom(gateway, run, step.pauseMs)
--- a/packages/daemon/src/utils/loopWatch.ts
+++ b/packages/daemon/src/utils/loopWatch.ts
@@ -1,8 +1,8 @@
 /** Follows the turns of the process's event loop, for the bound on how long callers' requests lie unread. */
 import type { Socket } from 'node:net'
 import { performance } from 'node:perf_hooks'
-import { arrivedSince, beginTurn, createLoopTurns, endTurn, firstArrivedSince, leastSleepMs, sampleMs, sampleTurns } from '@lynxcourse/placement'
-import type { Accepted, LoopTurns } from '@lynxcourse/placement'
+import { getEarliestArrival, beginIteration, createLoopIterations, endIteration, getEarliestFirstArrival, minIdleMs, sampleIntervalMs, sampleLoop } from '@lynxcourse/placement'
+import type { AcceptedConnection, LoopIterations } from '@lynxcourse/placement'
 import type { Millis } from '@lynxcourse/base'
 import { presentTime } from './clock.js'
 import { createLooks } from './socketLooks.js'
@@ -17,9 +17,9 @@
 
 /** Watches until it is disposed. */
 export interface LoopWatch extends AsyncDisposable {
-  readonly turns: LoopTurns
+  readonly turns: LoopIterations
   /** When each of the callers' connections was accepted. */
-  readonly accepted: WeakMap<Socket, Accepted>
+  readonly accepted: WeakMap<Socket, AcceptedConnection>
   /** The last request of each of the callers' connections that have carried one. */
   readonly lastReads: WeakMap<Socket, LastRead>
   /** For how long the close of a caller's connection can have lain unread; none while it is not read. */
@@ -35,31 +35,31 @@
  * @param onSample called with how late each sample is, whether the loop worked or waited for the processor
  */
 export function openLoopWatch (onStill: (forMs: Millis) => void = () => undefined, onSample: (lateMs: Millis) => void = () => undefined): LoopWatch {
-  const turns = createLoopTurns(sleptMs(), presentTime())
+  const turns = createLoopIterations(sleptMs(), presentTime())
   let sampledAt = presentTime()
   const timer = setInterval(() => {
     const now = presentTime()
-    const lateMs = now - sampledAt - sampleMs
+    const lateMs = now - sampledAt - sampleIntervalMs
     onSample(Math.max(0, lateMs))
     if (lateMs > stillMs) onStill(lateMs)
     sampledAt = now
-    sampleTurns(turns, sleptMs(), now)
-  }, sampleMs)
+    sampleLoop(turns, sleptMs(), now)
+  }, sampleIntervalMs)
   return { turns, accepted: new WeakMap(), lastReads: new WeakMap(), closesUnread: new WeakMap(), looks: createLooks(), [Symbol.asyncDispose]: async () => clearInterval(timer) }
 }
 
 /** Notes the turn that a callback of a socket belongs to. Immediates run once all sockets of a turn were read. */
 export function noteTurn ({ turns }: LoopWatch): void {
-  if (turns.isOpen) return
-  beginTurn(turns, sleptMs(), presentTime())
-  setImmediate(() => endTurn(turns, sleptMs(), presentTime()))
+  if (turns.isIterationRecorded) return
+  beginIteration(turns, sleptMs(), presentTime())
+  setImmediate(() => endIteration(turns, sleptMs(), presentTime()))
 }
 
 /** Notes a connection that was accepted now. */
 export function noteAccepted (watch: LoopWatch, socket: Socket, now: Millis): void {
   noteTurn(watch)
   watch.looks.accepts += 1
-  watch.accepted.set(socket, { at: now, since: arrivedSince(watch.turns, false, now) })
+  watch.accepted.set(socket, { at: now, since: getEarliestArrival(watch.turns, false, now) })
 }
 
 /**
@@ -71,7 +71,7 @@
   noteTurn(watch)
   const isFirst = !watch.lastReads.has(socket)
   const accepted = isFirst ? watch.accepted.get(socket) : undefined
-  const arrivedAt = accepted === undefined ? arrivedSince(watch.turns, isFirst, now) : firstArrivedSince(watch.turns, accepted, now)
+  const arrivedAt = accepted === undefined ? getEarliestArrival(watch.turns, isFirst, now) : getEarliestFirstArrival(watch.turns, accepted, now)
   watch.lastReads.set(socket, { arrivedAt, sleptMs: sleptMs() })
   return arrivedAt
 }
@@ -93,8 +93,8 @@
 function closedSince (watch: LoopWatch, socket: Socket, now: Millis): Millis {
   noteTurn(watch)
   const last = watch.lastReads.get(socket)
-  const isBehindRequest = last !== undefined && sleptMs() - last.sleptMs < leastSleepMs
-  return isBehindRequest ? last.arrivedAt : arrivedSince(watch.turns, false, now)
+  const isBehindRequest = last !== undefined && sleptMs() - last.sleptMs < minIdleMs
+  return isBehindRequest ? last.arrivedAt : getEarliestArrival(watch.turns, false, now)
 }
 
 /** Time that the loop has waited for sockets and timers. */
--- a/packages/placement/__tests__/callerView.test.ts
+++ b/packages/placement/__tests__/callerLiveness.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { createCallerView, createLoadNotes, hasOpenedLate, mustLook, decideNextStep, noteLook, startRequest } from '@lynxcourse/placement'
+import { createCallerLiveness, createLoadObservations, isLateConnection, needsPoll, decideNextStep, recordPoll, startRequest } from '@lynxcourse/placement'
 import type { EntryState, DecisionConditions } from '@lynxcourse/placement'
 import { createTestFleet, request, server } from './support/fleet.js'
 
@@ -16,16 +16,16 @@
 const terms: DecisionConditions = { retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 1000 }, isStopping: false }
 
 function createEntry (): EntryState {
-  return { fleet: createTestFleet(server('s0'), server('s1')), load: createLoadNotes(arrivedAt), retries: new Map(), waitingForCapacity: new Map() }
+  return { fleet: createTestFleet(server('s0'), server('s1')), load: createLoadObservations(arrivedAt), retries: new Map(), waitingForCapacity: new Map() }
 }
 
 /** Guards against work that is started for callers whose close follows their request and has not been read. */
 test('a request that was just read is sent after one poll', () => {
   const { tried: _, ...asked } = request({ arrivedAt, deadline })
   const entry = createEntry()
-  const run = startRequest(entry, asked, createCallerView(), terms, arrivedAt)
+  const run = startRequest(entry, asked, createCallerLiveness(), terms, arrivedAt)
   assert.equal(decideNextStep(entry, run, terms, arrivedAt).type, 'look')
-  noteLook(run.caller, arrivedAt)
+  recordPoll(run.caller, arrivedAt)
   assert.equal(decideNextStep(entry, run, terms, arrivedAt + 5).type, 'send')
 })
 
@@ -35,7 +35,7 @@
     const { tried: _, ...asked } = request({ arrivedAt, deadline })
     const entry = createEntry()
     let now = arrivedAt + unreadMs
-    const run = startRequest(entry, asked, createCallerView(), terms, now)
+    const run = startRequest(entry, asked, createCallerLiveness(), terms, now)
     let polledAt = -Infinity
     for (const tookMs of pollTimes) {
       const step = decideNextStep(entry, run, terms, now)
@@ -45,19 +45,19 @@
       }
       polledAt = now
       now += tookMs
-      noteLook(run.caller, polledAt)
+      recordPoll(run.caller, polledAt)
     }
   }), { seed })
 })
 
 test('a poll that takes a usual iteration is recent enough: a VM that is behind still sends requests', () => {
-  const view = createCallerView()
+  const view = createCallerLiveness()
   const now = arrivedAt + 2000
-  noteLook(view, now)
-  assert.equal(mustLook(view, now + 200), false)
+  recordPoll(view, now)
+  assert.equal(needsPoll(view, now + 200), false)
 })
 
 test('a connection that opens at once is written to at once, a late one after a poll', () => {
-  assert.equal(hasOpenedLate(arrivedAt, arrivedAt + 20), false)
-  assert.equal(hasOpenedLate(arrivedAt, arrivedAt + 340), true)
+  assert.equal(isLateConnection(arrivedAt, arrivedAt + 20), false)
+  assert.equal(isLateConnection(arrivedAt, arrivedAt + 340), true)
 })
--- a/packages/placement/__tests__/concurrency.test.ts
+++ b/packages/placement/__tests__/concurrencyLimit.test.ts
@@ -1,8 +1,8 @@
 /** The concurrency limit of one VM while answers slow down. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { createConcurrency, learnConcurrency, mayStart } from '@lynxcourse/placement'
-import type { Concurrency } from '@lynxcourse/placement'
+import { createConcurrencyLimit, adaptConcurrencyLimit, mayAdmit } from '@lynxcourse/placement'
+import type { ConcurrencyLimit } from '@lynxcourse/placement'
 
 const share = 10
 
@@ -10,7 +10,7 @@
  * A small queueing model: one VM's share of the slots serves requests of 100 ms in order of arrival, of which
  * `perSecond` arrive. Returns the latency of the last completed request and the number of admitted requests.
  */
-function simulate (concurrency: Concurrency, perSecond: number, slots: number, forMs: number): { tookMs: number, admitted: number } {
+function simulate (concurrency: ConcurrencyLimit, perSecond: number, slots: number, forMs: number): { tookMs: number, admitted: number } {
   const workMs = 100
   const freeAt = Array.from({ length: slots }, () => 0)
   const ends: Array<{ at: number, tookMs: number }> = []
@@ -21,9 +21,9 @@
       const completed = ends.shift() as { at: number, tookMs: number }
       concurrency.underWay -= 1
       tookMs = completed.tookMs
-      learnConcurrency(concurrency, completed.tookMs / workMs, share, completed.at)
+      adaptConcurrencyLimit(concurrency, completed.tookMs / workMs, share, completed.at)
     }
-    if (!mayStart(concurrency, 0, false)) continue
+    if (!mayAdmit(concurrency, 0, false)) continue
     admitted += 1
     concurrency.underWay += 1
     const slot = freeAt.indexOf(Math.min(...freeAt))
@@ -36,7 +36,7 @@
 }
 
 test('below capacity every request is admitted', () => {
-  const concurrency = createConcurrency(share)
+  const concurrency = createConcurrencyLimit(share)
   assert.equal(simulate(concurrency, 80, share, 10_000).admitted, 800)
 })
 
@@ -45,7 +45,7 @@
  * servers.
  */
 test('at twice the capacity latency stays within a few times the work time, and the slots stay busy', () => {
-  const concurrency = createConcurrency(share)
+  const concurrency = createConcurrencyLimit(share)
   const { tookMs, admitted } = simulate(concurrency, 100, share / 2, 10_000)
   assert.ok(tookMs <= 300, `took ${tookMs} ms`)
   assert.ok(admitted >= 480, `${admitted} of about 500 that the slots could serve`)
@@ -53,25 +53,25 @@
 
 /** Guards against rejections while a fifth of the slots is idle, which last as long as objects are cold. */
 test('however slow the answers are, all slots of a VM\'s share can be used, even by the least urgent requests', () => {
-  const concurrency = createConcurrency(share)
-  for (let answer = 0; answer < 2000; answer++) learnConcurrency(concurrency, 3.3, share, answer * 10)
+  const concurrency = createConcurrencyLimit(share)
+  for (let answer = 0; answer < 2000; answer++) adaptConcurrencyLimit(concurrency, 3.3, share, answer * 10)
   concurrency.underWay = share
-  assert.equal(mayStart(concurrency, 2, false), true)
+  assert.equal(mayAdmit(concurrency, 2, false), true)
 })
 
 test('requests that are late in any case leave slots to requests that can be in time', () => {
-  const concurrency = { ...createConcurrency(share), limit: 10, underWay: 8 }
-  assert.deepEqual([mayStart(concurrency, 0, false), mayStart(concurrency, 0, true)], [true, false])
+  const concurrency = { ...createConcurrencyLimit(share), limit: 10, underWay: 8 }
+  assert.deepEqual([mayAdmit(concurrency, 0, false), mayAdmit(concurrency, 0, true)], [true, false])
 })
 
 test('single slow answers do not lower the limit', () => {
-  const concurrency = createConcurrency(share)
+  const concurrency = createConcurrencyLimit(share)
   const before = concurrency.limit
-  for (let answer = 0; answer < 200; answer++) learnConcurrency(concurrency, answer % 10 === 0 ? 5 : 1, share, answer * 20)
+  for (let answer = 0; answer < 200; answer++) adaptConcurrencyLimit(concurrency, answer % 10 === 0 ? 5 : 1, share, answer * 20)
   assert.ok(concurrency.limit >= before)
 })
 
 test('under load the most urgent requests are admitted while others are rejected', () => {
-  const concurrency = { ...createConcurrency(share), limit: 10, underWay: 9 }
-  assert.deepEqual([0, 1, 2, 7].map(rank => mayStart(concurrency, rank, false)), [true, true, false, false])
+  const concurrency = { ...createConcurrencyLimit(share), limit: 10, underWay: 9 }
+  assert.deepEqual([0, 1, 2, 7].map(rank => mayAdmit(concurrency, rank, false)), [true, true, false, false])
 })
--- a/packages/placement/__tests__/entryGathering.test.ts
+++ b/packages/placement/__tests__/entryDiscovery.test.ts
@@ -1,7 +1,7 @@
 /** When a control VM returns entry VMs to callers after its start. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { createEntryGathering, isGathering, noteReadyEntry } from '@lynxcourse/placement'
+import { createEntryDiscovery, isDiscovering, recordReadyEntry } from '@lynxcourse/placement'
 
 /** Times at which the entry VMs of a region with 28 of them became ready, in milliseconds after the first. */
 const readyAt = [0, 37, 123, 169, 206, 273, 394, 430, 435, 549, 668, 900, 919, 991, 1126, 1309, 1389, 1461, 1483, 1700, 1745, 1764, 1794, 1799, 1914, 1935, 2090]
@@ -12,22 +12,22 @@
  * a median of 100 to 127, and one was out of processor time.
  */
 test('while entry VMs become ready after a start, callers do not receive the first ones alone', () => {
-  const discovery = createEntryGathering()
+  const discovery = createEntryDiscovery()
   let returnedFirst = 0
   let next = 0
   for (let now = 0; now <= 3000 && returnedFirst === 0; now += 10) {
-    for (; (readyAt[next] ?? Infinity) <= now; next++) noteReadyEntry(discovery, readyAt[next] as number)
-    if (!isGathering(discovery, now)) returnedFirst = next
+    for (; (readyAt[next] ?? Infinity) <= now; next++) recordReadyEntry(discovery, readyAt[next] as number)
+    if (!isDiscovering(discovery, now)) returnedFirst = next
   }
   assert.ok(returnedFirst >= readyAt.length / 2, `the first answer held ${returnedFirst}`)
 })
 
 test('callers get an answer once no VM became ready for a while, or after a maximum delay', () => {
-  const discovery = createEntryGathering()
-  noteReadyEntry(discovery, 0)
-  assert.equal(isGathering(discovery, 399), true)
-  assert.equal(isGathering(discovery, 400), false)
-  for (let now = 0; now <= 10_000; now += 100) noteReadyEntry(discovery, now)
-  assert.equal(isGathering(discovery, 1600), false)
-  assert.equal(isGathering(discovery, 10_001), false, 'a later restart of a VM does not delay answers')
+  const discovery = createEntryDiscovery()
+  recordReadyEntry(discovery, 0)
+  assert.equal(isDiscovering(discovery, 399), true)
+  assert.equal(isDiscovering(discovery, 400), false)
+  for (let now = 0; now <= 10_000; now += 100) recordReadyEntry(discovery, now)
+  assert.equal(isDiscovering(discovery, 1600), false)
+  assert.equal(isDiscovering(discovery, 10_001), false, 'a later restart of a VM does not delay answers')
 })
--- a/packages/placement/__tests__/entryChoice.test.ts
+++ b/packages/placement/__tests__/entrySelection.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test'
 import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId } from '@lynxcourse/base'
-import { chooseEntries } from '@lynxcourse/placement'
-import type { HeardEntry } from '@lynxcourse/placement'
+import { selectEntries } from '@lynxcourse/placement'
+import type { KnownEntry } from '@lynxcourse/placement'
 import { kochi, mumbai } from './support/fleet.js'
 
 const seed = 41
@@ -13,14 +13,14 @@
 const chennai = brandId<RegionId>('chennai')
 const random = createRandom(seed)
 
-function entry (name: string, region: RegionId, isReady = true, heardAt = 1000): HeardEntry {
-  return { presence: { name, address: `${name}:80`, failureDomain: brandId<FailureDomainId>(`${region}-a`), region, isReady }, heardAt }
+function entry (name: string, region: RegionId, isReady = true, lastSeenAt = 1000): KnownEntry {
+  return { presence: { name, address: `${name}:80`, failureDomain: brandId<FailureDomainId>(`${region}-a`), region, isReady }, lastSeenAt }
 }
 
 test('lookups return ready VMs of the caller\'s region that were seen recently, or else those of all regions', () => {
   const entries = [entry('k1', kochi), entry('k2', kochi, false), entry('k3', kochi, true, -5000), entry('m1', mumbai)]
-  assert.deepEqual(chooseEntries(entries, kochi, staleMs, now, random), ['k1:80'])
-  assert.deepEqual(chooseEntries(entries, chennai, staleMs, now, random).sort(), ['k1:80', 'm1:80'])
+  assert.deepEqual(selectEntries(entries, kochi, staleMs, now, random), ['k1:80'])
+  assert.deepEqual(selectEntries(entries, chennai, staleMs, now, random).sort(), ['k1:80', 'm1:80'])
 })
 
 /*
@@ -34,7 +34,7 @@
     const counts = new Map<string, number>()
     const lookups = 2000
     for (let lookup = 0; lookup < lookups; lookup++) {
-      const addresses = chooseEntries(entries, region, staleMs, now, random)
+      const addresses = selectEntries(entries, region, staleMs, now, random)
       assert.equal(new Set(addresses).size, 64)
       for (const address of addresses) counts.set(address, (counts.get(address) ?? 0) + 1)
     }
--- a/packages/placement/__tests__/fleetBounds.test.ts
+++ b/packages/placement/__tests__/fleetBounds.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { hasColdToken, isWarmingVm, noteRequest, computeSlotShare, spendRepeat, consumeColdToken } from '@lynxcourse/placement'
-import type { RetryShare } from '@lynxcourse/placement'
+import { hasColdToken, isWarmingVm, recordBudgetedRequest, computeSlotShare, trySpendRetry, consumeColdToken } from '@lynxcourse/placement'
+import type { RetryUsage } from '@lynxcourse/placement'
 import { desk, createTestFleet, server } from './support/fleet.js'
 
 const seed = 23
@@ -35,13 +35,13 @@
   fc.assert(fc.property(fc.array(fc.integer({ min: 0, max: 60 }), { minLength: 1, maxLength: 12 }), rates => {
     const events: Array<{ at: number, repeat: boolean }> = []
     for (const rate of rates) {
-      const share: RetryShare = new Map()
+      const share: RetryUsage = new Map()
       for (let at = 0; at < 25_000; at += 250) {
         for (let sent = 0; sent < rate / 4; sent++) {
-          noteRequest(share, cfg, desk, at)
+          recordBudgetedRequest(share, cfg, desk, at)
           events.push({ at, repeat: false })
         }
-        if (spendRepeat(share, cfg, desk, rates.length, at)) events.push({ at, repeat: true })
+        if (trySpendRetry(share, cfg, desk, rates.length, at)) events.push({ at, repeat: true })
       }
     }
     for (let start = 0; start < 15_000; start += 1000) {
--- a/packages/placement/__tests__/fleetServer.test.ts
+++ b/packages/placement/__tests__/fleetServer.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import { brandId } from '@lynxcourse/base'
 import type { ServerId } from '@lynxcourse/base'
-import { isStalled, learnCutWork, recordAnswer, recordFailure, recordSuccess, recordSharedResponsiveness, recordRequestStart, recordRequestEnd, getUnansweredMs } from '@lynxcourse/placement'
+import { isStalled, recordTimedOutWork, recordAnswer, recordFailure, recordSuccess, recordSharedResponsiveness, recordRequestStart, recordRequestEnd, getUnansweredMs } from '@lynxcourse/placement'
 import type { FleetServer } from '@lynxcourse/placement'
 import { mumbai, server, createTestFleet, request, getTargetOrReason } from './support/fleet.js'
 
@@ -51,10 +51,10 @@
 
 test('work that timed out raises the longest expected time, by which servers count as stalled', () => {
   const times = { coldMs: 1000, warmMs: 300, longestMs: 1000 }
-  for (let n = 0; n < 10; n++) learnCutWork(times, 1200)
+  for (let n = 0; n < 10; n++) recordTimedOutWork(times, 1200)
   assert.ok(times.longestMs > 1190 && times.longestMs <= 1200, String(times.longestMs))
   assert.equal(times.coldMs, 1000, 'the expected time is learned only from answers')
-  learnCutWork(times, 400)
+  recordTimedOutWork(times, 400)
   assert.ok(times.longestMs > 1190, 'a shorter timeout does not change the longest expected time')
 })
 
--- a/packages/placement/__tests__/turnBudget.test.ts
+++ b/packages/placement/__tests__/iterationBudget.test.ts
@@ -1,8 +1,8 @@
 /** What a VM that is out of processor time admits: a simulation of its event loop under overload. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { beginTurn, createLoopTurns, endTurn, mayTakeUp, turnSpent } from '@lynxcourse/placement'
-import type { LoopTurns } from '@lynxcourse/placement'
+import { beginIteration, createLoopIterations, endIteration, fitsIterationBudget, getIterationTime } from '@lynxcourse/placement'
+import type { LoopIterations } from '@lynxcourse/placement'
 
 /** Duration of the loop's operations at a VM with a quarter of a core, and the load on it. */
 const admitMs = 8
@@ -23,17 +23,17 @@
 class Loop {
   now = 0
   idleMs = 0
-  readonly iterations: LoopTurns = createLoopTurns(0, 0)
+  readonly iterations: LoopIterations = createLoopIterations(0, 0)
   readonly lateMs: number[] = []
   refused = 0
   served = 0
   private underWay: PendingRequest[] = []
 
-  constructor (private readonly mayAdmit: (iterations: LoopTurns, now: number) => boolean) {}
+  constructor (private readonly mayAdmit: (iterations: LoopIterations, now: number) => boolean) {}
 
   /** Runs one poll phase and the work that follows it. */
   runIteration (arrivals: readonly number[]): void {
-    beginTurn(this.iterations, this.idleMs, this.now)
+    beginIteration(this.iterations, this.idleMs, this.now)
     const polledAt = this.now
     const isDone = ({ at, arrivedAt }: PendingRequest): boolean => Math.min(at, arrivedAt + timeoutMs) <= polledAt
     for (const completed of this.underWay.filter(isDone)) {
@@ -43,7 +43,7 @@
     }
     this.underWay = this.underWay.filter(pending => !isDone(pending))
     for (const arrivedAt of arrivals) this.take(arrivedAt)
-    endTurn(this.iterations, this.idleMs, this.now)
+    endIteration(this.iterations, this.idleMs, this.now)
   }
 
   /** Idles until the next arrival, answer or timeout. */
@@ -67,7 +67,7 @@
   }
 }
 
-function simulate (perSecond: number, mayAdmit: (iterations: LoopTurns, now: number) => boolean): Loop {
+function simulate (perSecond: number, mayAdmit: (iterations: LoopIterations, now: number) => boolean): Loop {
   const loop = new Loop(mayAdmit)
   let next = 0
   const gapMs = 1000 / perSecond
@@ -88,22 +88,22 @@
 test('under overload no request ends 500 ms past its timeout, and the processor still serves requests', () => {
   const unbounded = simulate(overloadPerSecond, () => true)
   assert.ok(unbounded.lateMs.some(latencyMs => latencyMs > timeoutMs + graceMs), 'the simulation reproduces the fault without a budget')
-  const bounded = simulate(overloadPerSecond, (iterations, now) => mayTakeUp(turnSpent(iterations, now), 0))
+  const bounded = simulate(overloadPerSecond, (iterations, now) => fitsIterationBudget(getIterationTime(iterations, now), 0))
   assert.deepEqual(bounded.lateMs.filter(latencyMs => latencyMs > timeoutMs + graceMs), [])
   assert.ok(bounded.served > simulatedMs / 1000 * 20, `served ${bounded.served}`)
 })
 
 test('a load within the capacity of the processor is admitted completely', () => {
-  const loop = simulate(35, (iterations, now) => mayTakeUp(turnSpent(iterations, now), 2))
+  const loop = simulate(35, (iterations, now) => fitsIterationBudget(getIterationTime(iterations, now), 2))
   assert.equal(loop.refused, 0)
 })
 
 test('in a long iteration the least urgent requests are rejected first', () => {
-  const iterations = createLoopTurns(0, 0)
-  beginTurn(iterations, 100, 100)
+  const iterations = createLoopIterations(0, 0)
+  beginIteration(iterations, 100, 100)
   const admittedUntil = [0, 1, 2].map(rank => {
     let now = 100
-    while (now < simulatedMs && mayTakeUp(turnSpent(iterations, now), rank)) now += 1
+    while (now < simulatedMs && fitsIterationBudget(getIterationTime(iterations, now), rank)) now += 1
     return now
   })
   assert.ok((admittedUntil[0] as number) > (admittedUntil[1] as number) && (admittedUntil[1] as number) > (admittedUntil[2] as number))
--- a/packages/placement/__tests__/learning.test.ts
+++ b/packages/placement/__tests__/learning.test.ts
@@ -1,7 +1,7 @@
 /** Tests what an entry VM learns from the outcome of a send, and reports to the other VMs. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { createLoadNotes, recordSendOutcome, placeRequest } from '@lynxcourse/placement'
+import { createLoadObservations, recordSendOutcome, placeRequest } from '@lynxcourse/placement'
 import type { EntryState, Placement, SendOutcome } from '@lynxcourse/placement'
 import { createTestFleet, request, server } from './support/fleet.js'
 
@@ -11,7 +11,7 @@
   const fleet = createTestFleet(server('a'))
   const placement = placeRequest(fleet, request(), now)
   assert.ok(placement.type === 'send')
-  return { entry: { fleet, load: createLoadNotes(now), retries: new Map(), waitingForCapacity: new Map() }, placement }
+  return { entry: { fleet, load: createLoadObservations(now), retries: new Map(), waitingForCapacity: new Map() }, placement }
 }
 
 function countReportedAfter (outcome: SendOutcome): number {
--- a/packages/placement/__tests__/loadBoard.test.ts
+++ b/packages/placement/__tests__/loadBoard.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import { brandId } from '@lynxcourse/base'
 import type { RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { createLoadBoard, createLoadIntake, createLoadNotes, newsFor, newsLines, noteAhead, noteDemand, noteDigest, noteFailedServer, noteLoadReport, takeDigest, takeLoadReport, takeNews, takePlanLines, updateBoard } from '@lynxcourse/placement'
+import { createLoadBoard, createLoadAggregate, createLoadObservations, omitKnownWeights, describeLoadChanges, recordQueueDepth, recordDemand, applyDigest, recordFailedServer, addLoadReport, flushDigest, flushLoadReport, storeLoadUpdate, flushPlanLines, updateBoard } from '@lynxcourse/placement'
 import type { LoadBoard, KnownServers, ServiceSlots } from '@lynxcourse/placement'
 
 const desk = brandId<ServiceId>('desk')
@@ -18,11 +18,11 @@
  * next report.
  */
 function reportDemand (board: LoadBoard, vms: number, busy: number, seconds: number, from = 0): number {
-  const aggregate = createLoadIntake()
+  const aggregate = createLoadAggregate()
   let now = from
   for (; now < from + seconds * 1000; now += 400) {
-    for (let vm = 0; vm < vms; vm++) noteLoadReport(aggregate, `vm-${vm}`, chennai, { servers: [[server, 6]], busy: [[desk, busy]], failed: [] }, now)
-    noteDigest(board, 'control-1', takeDigest(aggregate, now), now)
+    for (let vm = 0; vm < vms; vm++) addLoadReport(aggregate, `vm-${vm}`, chennai, { servers: [[server, 6]], busy: [[desk, busy]], failed: [] }, now)
+    applyDigest(board, 'control-1', flushDigest(aggregate, now), now)
     updateBoard(board, slots, knownServers, now)
   }
   return now
@@ -39,7 +39,7 @@
   const now = reportDemand(board, 1, 2, 2)
   assert.equal(board.news.full[0]?.[0], server)
   assert.ok((board.news.full[0]?.[1] ?? 0) >= 5.9)
-  for (let step = 0; step < 8; step++) noteDigest(board, 'control-1', { servers: [[server, 0]], busy: [], failed: [] }, now)
+  for (let step = 0; step < 8; step++) applyDigest(board, 'control-1', { servers: [[server, 0]], busy: [], failed: [] }, now)
   updateBoard(board, slots, knownServers, now)
   assert.deepEqual(board.news.full, [])
 })
@@ -64,8 +64,8 @@
   const board = createLoadBoard()
   const now = reportDemand(board, 5, 4, 45)
   const next = createLoadBoard()
-  takeNews(next, board.news)
-  noteDigest(next, 'control-1', { servers: [], busy: [[desk, chennai, 20]], failed: [] }, now)
+  storeLoadUpdate(next, board.news)
+  applyDigest(next, 'control-1', { servers: [], busy: [[desk, chennai, 20]], failed: [] }, now)
   updateBoard(next, slots, knownServers, now)
   assert.ok(Math.abs(getLocalShare(next) - getLocalShare(board)) < 0.01)
 })
@@ -77,31 +77,31 @@
   const lost: ServiceSlots = new Map([[desk, new Map([[kochi, 300], [chennai, 3]])]])
   const before = getLocalShare(board)
   for (let step = 1; step <= 5; step++) {
-    noteDigest(board, 'control-1', { servers: [], busy: [[desk, chennai, 20]], failed: [] }, now + step * 400)
+    applyDigest(board, 'control-1', { servers: [], busy: [[desk, chennai, 20]], failed: [] }, now + step * 400)
     updateBoard(board, lost, knownServers, now + step * 400)
   }
   assert.ok(before - getLocalShare(board) > 0.2, `${before} to ${getLocalShare(board)}`)
 })
 
 test('an entry VM reports each answer\'s load once, and the slots that the requests of the interval need', () => {
-  const observations = createLoadNotes(0)
-  noteAhead(observations, server, 4)
-  noteAhead(observations, server, 5)
-  noteDemand(observations, desk, 600)
-  noteDemand(observations, desk, 900)
-  assert.equal(takeLoadReport(observations, 100), undefined)
-  assert.deepEqual(takeLoadReport(observations, 1000), { servers: [[server, 5]], busy: [[desk, 1.5]], failed: [] })
-  assert.deepEqual(takeLoadReport(observations, 2000), { servers: [], busy: [], failed: [] })
+  const observations = createLoadObservations(0)
+  recordQueueDepth(observations, server, 4)
+  recordQueueDepth(observations, server, 5)
+  recordDemand(observations, desk, 600)
+  recordDemand(observations, desk, 900)
+  assert.equal(flushLoadReport(observations, 100), undefined)
+  assert.deepEqual(flushLoadReport(observations, 1000), { servers: [[server, 5]], busy: [[desk, 1.5]], failed: [] })
+  assert.deepEqual(flushLoadReport(observations, 2000), { servers: [], busy: [], failed: [] })
 })
 
 test('a plan that changed is logged with its demand and slots, an unchanged plan is not logged again', () => {
   const board = createLoadBoard()
   const now = reportDemand(board, 5, 4, 45)
-  const first = takePlanLines(board).find(({ region }) => region === chennai)
+  const first = flushPlanLines(board).find(({ region }) => region === chennai)
   assert.ok(first !== undefined && Math.abs(first.demand - 20) < 1 && first.slots === 30)
-  assert.deepEqual(takePlanLines(board), [])
+  assert.deepEqual(flushPlanLines(board), [])
   reportDemand(board, 5, 12, 4, now)
-  assert.ok(takePlanLines(board).some(({ region, near }) => region === chennai && near < first.near))
+  assert.ok(flushPlanLines(board).some(({ region, near }) => region === chennai && near < first.near))
 })
 
 test('weights of unevenly loaded servers are published, once to each VM, and the next leader continues from them', () => {
@@ -109,29 +109,29 @@
   const even = [1, 2, 3].map(place => brandId<ServerId>(`even-${place}`))
   const uneven: KnownServers = new Map([server, ...even].map(id => [id, { service: desk, region: kochi, slots: 3, isSettled: true }]))
   for (let now = 0; now < 8000; now += 400) {
-    noteDigest(board, 'control-1', { servers: [[server, 9], ...even.map(id => [id, 1.5] as const)], busy: [], failed: [] }, now)
+    applyDigest(board, 'control-1', { servers: [[server, 9], ...even.map(id => [id, 1.5] as const)], busy: [], failed: [] }, now)
     updateBoard(board, slots, uneven, now)
   }
   const published = new Map(board.news.weights?.servers)
   assert.ok((published.get(server) ?? 1) < 0.8 && (published.get(even[0] as ServerId) ?? 1) > 1.1, JSON.stringify([...published]))
-  assert.equal(newsFor(board.news, board.news.weights?.version ?? 0).weights, undefined)
-  assert.deepEqual(newsFor(board.news, 0).weights, board.news.weights)
+  assert.equal(omitKnownWeights(board.news, board.news.weights?.version ?? 0).weights, undefined)
+  assert.deepEqual(omitKnownWeights(board.news, 0).weights, board.news.weights)
   const next = createLoadBoard()
-  takeNews(next, board.news)
+  storeLoadUpdate(next, board.news)
   assert.deepEqual(new Map(next.weights), published)
 })
 
 /** Guards against hundreds of requests that are lost at servers which failed together. */
 test('a server that fails several VMs and answers none is published as silent, until it answers or for some seconds', () => {
   const board = createLoadBoard()
-  const aggregate = createLoadIntake()
+  const aggregate = createLoadAggregate()
   const exchange = (now: number): readonly ServerId[] => {
-    noteDigest(board, 'control-1', takeDigest(aggregate, now), now)
+    applyDigest(board, 'control-1', flushDigest(aggregate, now), now)
     updateBoard(board, slots, knownServers, now)
     return board.news.silent
   }
   const report = (vm: string, answered: boolean, now: number): void =>
-    noteLoadReport(aggregate, vm, chennai, { servers: answered ? [[server, 1]] : [], busy: [], failed: answered ? [] : [server] }, now)
+    addLoadReport(aggregate, vm, chennai, { servers: answered ? [[server, 1]] : [], busy: [], failed: answered ? [] : [server] }, now)
   report('vm-1', true, 0)
   assert.deepEqual(exchange(0), [])
   report('vm-1', false, 400)
@@ -147,23 +147,23 @@
 })
 
 test('an entry VM reports a failed server once, and not if the server answered later', () => {
-  const observations = createLoadNotes(0)
-  noteFailedServer(observations, server)
-  assert.deepEqual(takeLoadReport(observations, 500)?.failed, [server])
-  noteFailedServer(observations, server)
-  noteAhead(observations, server, 1)
-  assert.deepEqual(takeLoadReport(observations, 1000), { servers: [[server, 1]], busy: [], failed: [] })
+  const observations = createLoadObservations(0)
+  recordFailedServer(observations, server)
+  assert.deepEqual(flushLoadReport(observations, 500)?.failed, [server])
+  recordFailedServer(observations, server)
+  recordQueueDepth(observations, server, 1)
+  assert.deepEqual(flushLoadReport(observations, 1000), { servers: [[server, 1]], busy: [], failed: [] })
 })
 
 test('silent servers, their retrial and each version of the weights are logged once', () => {
   const previous = { full: [], plans: [], silent: [], weights: { version: 4, servers: [] } }
   const changed = { ...previous, silent: [server], weights: { version: 5, servers: [[server, 0.5] as const] } }
-  assert.deepEqual(newsLines(previous, changed), [
+  assert.deepEqual(describeLoadChanges(previous, changed), [
     { message: 'Servers stopped answering all VMs.', fields: { servers: 'i-1' } },
     { message: 'Server weights published.', fields: { version: 5, servers: 1, least: 0.5, most: 0.5 } }
   ])
-  assert.deepEqual(newsLines(changed, changed), [])
-  assert.deepEqual(newsLines(changed, previous).map(({ message }) => message), ['Silent servers are tried again.'])
+  assert.deepEqual(describeLoadChanges(changed, changed), [])
+  assert.deepEqual(describeLoadChanges(changed, previous).map(({ message }) => message), ['Silent servers are tried again.'])
 })
 
 const cycleSeconds = 36
@@ -183,7 +183,7 @@
   for (let now = 0; now < seconds * 1000; now += 400) {
     const deviation = Math.sin(now / 1000 / cycleSeconds * 2 * Math.PI) * amplitude
     const demand = new Map([[kochi, meanSlots * (1 - deviation)], [chennai, meanSlots * (1 + deviation)]])
-    noteDigest(board, 'control-1', { servers: [], busy: [...demand].map(([region, busy]) => [desk, region, busy]), failed: [] }, now)
+    applyDigest(board, 'control-1', { servers: [], busy: [...demand].map(([region, busy]) => [desk, region, busy]), failed: [] }, now)
     updateBoard(board, slotsByService, knownServers, now)
     const plan = new Map((board.news.plans[0]?.shares ?? []).map(([region, shares]) => [region, new Map(shares)]))
     const localShares = new Map([kochi, chennai].map(region => [region, plan.get(region)?.get(region) ?? 0]))
@@ -218,7 +218,7 @@
   const board = createLoadBoard()
   const now = reportDemand(board, 5, 12, 20)
   const next = createLoadBoard()
-  takeNews(next, board.news)
+  storeLoadUpdate(next, board.news)
   for (let passed = 0; passed < 2400; passed += 400) updateBoard(next, slots, knownServers, now + passed)
   assert.ok(Math.abs(getLocalShare(next) - getLocalShare(board)) < 0.01, `${getLocalShare(board)} to ${getLocalShare(next)}`)
 })
--- a/packages/placement/__tests__/placement.test.ts
+++ b/packages/placement/__tests__/placement.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import { brandId } from '@lynxcourse/base'
 import type { ServerId } from '@lynxcourse/base'
-import { updateWarmProbability, recordServerFull, noteHandled, recordLoadReport, recordSharedQueueDepth, placeRequest } from '@lynxcourse/placement'
+import { updateWarmProbability, recordServerFull, recordObjectUse, recordLoadReport, recordSharedQueueDepth, placeRequest } from '@lynxcourse/placement'
 import type { FleetServer } from '@lynxcourse/placement'
 import { desk, kochi, mumbai, route, server, createTestFleet, request, getTargetOrReason } from './support/fleet.js'
 
@@ -13,7 +13,7 @@
   assert.notEqual(getTargetOrReason(fleet, request({ object: '' })), 'remote')
   const primary = getTargetOrReason(fleet, request())
   const other = primary === 'first' ? second : first
-  noteHandled(fleet.warmth, other.facts.id, 'read|7', 900)
+  recordObjectUse(fleet.warmth, other.facts.id, 'read|7', 900)
   assert.equal(getTargetOrReason(fleet, request()), other.facts.id)
 })
 
@@ -105,7 +105,7 @@
   const newPrimary = getTargetOrReason(fleet, request())
   for (let n = 0; n < 100; n++) updateWarmProbability(fleet, request(), 'primary', true)
   const warmServer = [...fleet.byId.values()].find(({ facts }) => facts.id !== newPrimary) as FleetServer
-  noteHandled(fleet.warmth, warmServer.facts.id, 'read|7', 900)
+  recordObjectUse(fleet.warmth, warmServer.facts.id, 'read|7', 900)
   recordLoadReport(warmServer, 2, 950)
   assert.equal(getTargetOrReason(fleet, request()), warmServer.facts.id)
   recordLoadReport(warmServer, 12, 950)
@@ -116,7 +116,7 @@
 test('a request waits at its warm primary server if cold work might exceed its deadline', () => {
   const fleet = createTestFleet(...['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(id => server(id)))
   const primary = getTargetOrReason(fleet, request())
-  noteHandled(fleet.warmth, brandId<ServerId>(primary), 'read|7', 900)
+  recordObjectUse(fleet.warmth, brandId<ServerId>(primary), 'read|7', 900)
   recordLoadReport(fleet.byId.get(brandId<ServerId>(primary)) as FleetServer, 7, 950)
   assert.notEqual(getTargetOrReason(fleet, request({ deadline: 2200 })), primary, 'a cold server is selected while the deadline leaves time for cold work')
   assert.equal(getTargetOrReason(fleet, request({ deadline: 1239 })), primary)
--- a/packages/placement/__tests__/regionPlan.test.ts
+++ b/packages/placement/__tests__/regionPlan.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check'
 import { brandId } from '@lynxcourse/base'
 import type { RegionId } from '@lynxcourse/base'
-import { estimatePeakDemand, maxUtilizationForWait, createInitialPlan, maxShareChangeAfterLossPerSecond, regionOf, maxShareChangePerSecond, advancePlan, computeTargetPlan } from '@lynxcourse/placement'
+import { estimatePeakDemand, maxUtilizationForWait, createInitialPlan, maxShareChangeAfterLossPerSecond, selectRegion, maxShareChangePerSecond, advancePlan, computeTargetPlan } from '@lynxcourse/placement'
 import type { RegionLoad, RegionPlan, RegionShares } from '@lynxcourse/placement'
 
 const seed = 31
@@ -91,21 +91,21 @@
   const before: RegionShares = new Map([[kochi, 0.3], [chennai, 0.5], [mumbai, 0.2]])
   const after: RegionShares = new Map([[kochi, 0.3], [chennai, 0.55], [mumbai, 0.15]])
   const all = new Set([kochi, chennai, mumbai])
-  const inChennai = objects.filter(object => regionOf(before, chennai, object, all) === chennai).length
+  const inChennai = objects.filter(object => selectRegion(before, chennai, object, all) === chennai).length
   assert.ok(Math.abs(inChennai / objects.length - 0.5) < 0.03)
-  const moved = objects.filter(object => regionOf(before, chennai, object, all) !== regionOf(after, chennai, object, all)).length
+  const moved = objects.filter(object => selectRegion(before, chennai, object, all) !== selectRegion(after, chennai, object, all)).length
   assert.ok(moved / objects.length < 0.12)
 })
 
 test('a region without an open server gets no objects', () => {
   const shares: RegionShares = new Map([[kochi, 0.9], [mumbai, 0.1]])
-  assert.equal(regionOf(shares, kochi, 'read|1', new Set([mumbai])), mumbai)
-  assert.equal(regionOf(shares, kochi, 'read|1', new Set()), undefined)
+  assert.equal(selectRegion(shares, kochi, 'read|1', new Set([mumbai])), mumbai)
+  assert.equal(selectRegion(shares, kochi, 'read|1', new Set()), undefined)
 })
 
 test('if the plan gives no share to any open region, objects are spread over all of them', () => {
   const shares: RegionShares = new Map([[chennai, 1]])
   const open = new Set([kochi, mumbai])
-  const inKochi = Array.from({ length: 1000 }, (_, number) => regionOf(shares, chennai, `read|${number}`, open)).filter(region => region === kochi).length
+  const inKochi = Array.from({ length: 1000 }, (_, number) => selectRegion(shares, chennai, `read|${number}`, open)).filter(region => region === kochi).length
   assert.ok(inKochi > 400 && inKochi < 600, `${inKochi}`)
 })
--- a/packages/placement/__tests__/requestSteps.test.ts
+++ b/packages/placement/__tests__/requestSteps.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
-import { beginSend, getConcurrency, createCallerView, createLoadNotes, endSend, isServerUnresponsive, decideNextStep, noteLook, startRequest } from '@lynxcourse/placement'
-import type { CallerView, EntryState, DecisionConditions, RequestState, RequestStep, SendOutcome } from '@lynxcourse/placement'
+import { beginSend, getConcurrency, createCallerLiveness, createLoadObservations, endSend, isServerUnresponsive, decideNextStep, recordPoll, startRequest } from '@lynxcourse/placement'
+import type { CallerLiveness, EntryState, DecisionConditions, RequestState, RequestStep, SendOutcome } from '@lynxcourse/placement'
 import { desk, createTestFleet, request, route, server } from './support/fleet.js'
 
 const seed = 53
@@ -14,14 +14,14 @@
 const serverCount = 8
 
 /** Creates the view of a caller whose connection was just polled. */
-function createPolledCaller (): CallerView {
-  const view = createCallerView()
-  noteLook(view, startedAt)
+function createPolledCaller (): CallerLiveness {
+  const view = createCallerLiveness()
+  recordPoll(view, startedAt)
   return view
 }
 
 function createEntry (): EntryState {
-  return { fleet: createTestFleet(...Array.from({ length: serverCount }, (_, index) => server(`s${index}`))), load: createLoadNotes(startedAt), retries: new Map(), waitingForCapacity: new Map() }
+  return { fleet: createTestFleet(...Array.from({ length: serverCount }, (_, index) => server(`s${index}`))), load: createLoadObservations(startedAt), retries: new Map(), waitingForCapacity: new Map() }
 }
 
 const outcomeArbitrary: fc.Arbitrary<SendOutcome> = fc.oneof(
@@ -46,7 +46,7 @@
   for (;;) {
     const step = decideNextStep(entry, run, conditions, now)
     if (step.type === 'look') {
-      noteLook(run.caller, now)
+      recordPoll(run.caller, now)
       continue
     }
     if (step.type === 'wait') {
--- a/packages/placement/__tests__/serverWeights.test.ts
+++ b/packages/placement/__tests__/serverWeights.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { createFleetServer, minWeight, placesOf, adjustWeights } from '@lynxcourse/placement'
+import { createFleetServer, minWeight, computeHashRanks, adjustWeights } from '@lynxcourse/placement'
 import type { FleetServer } from '@lynxcourse/placement'
 
 const desk = brandId<ServiceId>('desk')
@@ -23,7 +23,7 @@
   const homes: ServerId[] = []
   const utilizations = new Map(servers.map(({ facts }) => [facts.id, 0]))
   for (let object = 0; object < objects; object++) {
-    for (const [id, place] of placesOf(servers, `read|${object}`, kochi)) {
+    for (const [id, place] of computeHashRanks(servers, `read|${object}`, kochi)) {
       if (place !== 'primary') continue
       homes.push(id)
       utilizations.set(id, (utilizations.get(id) ?? 0) + slotsPerObject / slots)
--- a/packages/placement/src/core/admission/callerView.ts
+++ b/packages/placement/src/core/admission/callerLiveness.ts
@@ -9,9 +9,9 @@
 import type { Millis } from '@lynxcourse/base'
 
 /** What a VM knows of a caller's connection. */
-export interface CallerView {
+export interface CallerLiveness {
   /** A close of the connection that arrived before this time has been read. */
-  seenAt: Millis
+  polledAt: Millis
 }
 
 /** Older knowledge is refreshed before a send. Together with the delay to a server, this keeps it within 500 ms. */
@@ -20,29 +20,29 @@
 const lateOpenMs: Millis = 100
 
 /** Returns the state for a caller whose request was read, but whose connection has not been polled for a close since. */
-export function createCallerView (): CallerView {
-  return { seenAt: -Infinity }
+export function createCallerLiveness (): CallerLiveness {
+  return { polledAt: -Infinity }
 }
 
 /** Returns whether the caller's connection has to be polled before its request is sent to a server. */
-export function mustLook ({ seenAt }: CallerView, now: Millis): boolean {
-  return now - seenAt > maxAgeMs
+export function needsPoll ({ polledAt }: CallerLiveness, now: Millis): boolean {
+  return now - polledAt > maxAgeMs
 }
 
 /** Records that sockets were polled, with the time at which the poll phase started. */
-export function noteLook (view: CallerView, startedAt: Millis): void {
-  view.seenAt = startedAt
+export function recordPoll (liveness: CallerLiveness, startedAt: Millis): void {
+  liveness.polledAt = startedAt
 }
 
 /** Records that more of the caller's request was read since the last poll: a close may follow the bytes just read. */
-export function noteMoreRead (view: CallerView): void {
-  view.seenAt = -Infinity
+export function invalidateLiveness (liveness: CallerLiveness): void {
+  liveness.polledAt = -Infinity
 }
 
 /**
  * Returns whether a server connection requested at `requestedAt` opened so late that callers have to be polled before
  * anything is written to it.
  */
-export function hasOpenedLate (requestedAt: Millis, now: Millis): boolean {
+export function isLateConnection (requestedAt: Millis, now: Millis): boolean {
   return now - requestedAt > lateOpenMs
 }
--- a/packages/placement/src/core/admission/roomWait.ts
+++ b/packages/placement/src/core/admission/capacityWait.ts
@@ -25,7 +25,7 @@
 const maxWaitPerRemainingTime = 0.2
 
 /** Returns the time until which a request may wait for capacity. */
-export function waitEnd (objectiveMs: Millis, deadline: Millis, now: Millis): Millis {
+export function computeWaitEnd (objectiveMs: Millis, deadline: Millis, now: Millis): Millis {
   return now + Math.max(objectiveMs * maxWaitPerObjective, (deadline - now) * maxWaitPerRemainingTime)
 }
 
@@ -40,11 +40,11 @@
 }
 
 /** Returns whether a request that may wait until `endsAt` can expect to get a slot by then. */
-export function expectsRoom ({ limit, meanMs, waiting }: ServicePace, endsAt: Millis, now: Millis): boolean {
+export function expectsCapacity ({ limit, meanMs, waiting }: ServicePace, endsAt: Millis, now: Millis): boolean {
   return now < endsAt && waiting * meanMs < limit * (endsAt - now)
 }
 
 /** Returns the delay until the next check for capacity. */
-export function lookPause (random: Random): Millis {
+export function computeRecheckDelay (random: Random): Millis {
   return recheckIntervalMs * (1 + random())
 }
--- a/packages/placement/src/core/admission/concurrency.ts
+++ b/packages/placement/src/core/admission/concurrencyLimit.ts
@@ -10,11 +10,11 @@
 import type { Millis } from '@lynxcourse/base'
 
 /** The concurrency limit of one service at one VM. */
-export interface Concurrency {
+export interface ConcurrencyLimit {
   limit: number
   underWay: number
   /** Smoothed ratio of observed to expected time. */
-  meanRatio: number
+  meanSlowdown: number
   decreasedAt: Millis
 }
 
@@ -49,17 +49,17 @@
 /** Factor on that fraction for requests that are late in any case: slots are left to requests that can be in time. */
 const lateFraction = 0.75
 
-export function createConcurrency (share: number): Concurrency {
-  return { limit: Math.max(1, share * initialLimitPerShare), underWay: 0, meanRatio: 1, decreasedAt: -Infinity }
+export function createConcurrencyLimit (share: number): ConcurrencyLimit {
+  return { limit: Math.max(1, share * initialLimitPerShare), underWay: 0, meanSlowdown: 1, decreasedAt: -Infinity }
 }
 
 /** Returns whether answers take about the expected time, so that a slow answer indicates a problem of its own server. */
-export function isCalm (concurrency: Concurrency): boolean {
-  return concurrency.meanRatio < maxNormalSlowdown
+export function hasNormalLatency (concurrency: ConcurrencyLimit): boolean {
+  return concurrency.meanSlowdown < maxNormalSlowdown
 }
 
 /** Returns whether a request of a rank may be sent now. `isLate` says that it misses its latency objective in any case. */
-export function mayStart (concurrency: Concurrency, rank: number, isLate: boolean): boolean {
+export function mayAdmit (concurrency: ConcurrencyLimit, rank: number, isLate: boolean): boolean {
   const fraction = (rankFractions[Math.min(rank, rankFractions.length - 1)] ?? 1) * (isLate ? lateFraction : 1)
   return concurrency.underWay < Math.max(1, concurrency.limit * fraction)
 }
@@ -70,10 +70,10 @@
  * @param slowdown ratio of observed to expected time; Infinity if there was no answer in time
  * @param share this VM's share of the slots that are open now
  */
-export function learnConcurrency (concurrency: Concurrency, slowdown: number, share: number, now: Millis): void {
+export function adaptConcurrencyLimit (concurrency: ConcurrencyLimit, slowdown: number, share: number, now: Millis): void {
   const minLimit = Math.max(1, share * minLimitPerShare)
-  concurrency.meanRatio += (Math.min(slowdown, maxSlowdown) - concurrency.meanRatio) * slowdownSmoothing
-  if (concurrency.meanRatio > queueingSlowdown) {
+  concurrency.meanSlowdown += (Math.min(slowdown, maxSlowdown) - concurrency.meanSlowdown) * slowdownSmoothing
+  if (concurrency.meanSlowdown > queueingSlowdown) {
     if (now - concurrency.decreasedAt < minDecreaseIntervalMs) return
     concurrency.decreasedAt = now
     concurrency.limit = Math.max(minLimit, concurrency.limit * decreaseFactor)
@@ -81,6 +81,6 @@
   }
   // An unused limit gives no evidence that the servers could handle more.
   const isUsed = concurrency.underWay * 2 >= concurrency.limit
-  if (isUsed && concurrency.meanRatio < maxNormalSlowdown) concurrency.limit = Math.min(share * maxLimitPerShare, concurrency.limit + 1 / concurrency.limit)
+  if (isUsed && concurrency.meanSlowdown < maxNormalSlowdown) concurrency.limit = Math.min(share * maxLimitPerShare, concurrency.limit + 1 / concurrency.limit)
   concurrency.limit = Math.max(minLimit, concurrency.limit)
 }
--- a/packages/placement/src/core/admission/turnBudget.ts
+++ b/packages/placement/src/core/admission/iterationBudget.ts
@@ -8,7 +8,7 @@
  * iteration has taken so far.
  */
 import type { Millis } from '@lynxcourse/base'
-import type { LoopTurns } from './unreadBound.js'
+import type { LoopIterations } from './readDelay.js'
 
 /** An iteration that follows an idle period may be long once, to work off a burst. */
 const maxIterationAfterIdleMs: Millis = 200
@@ -21,23 +21,23 @@
 const rankFractions = [1, 0.9, 0.8]
 
 /** Time spent in the iteration in which a request was read. */
-export interface TurnSpent {
-  readonly spentMs: Millis
+export interface IterationTime {
+  readonly elapsedMs: Millis
   /** Whether the loop was idle before that iteration. */
-  readonly hasSlept: boolean
+  readonly wasIdle: boolean
 }
 
 /**
  * Returns the time spent in the current iteration. Call it when a request is read, since the request may wait
  * afterwards.
  */
-export function turnSpent (iterations: LoopTurns, now: Millis): TurnSpent {
-  return { spentMs: now - iterations.notedAt, hasSlept: iterations.hasSlept }
+export function getIterationTime (iterations: LoopIterations, now: Millis): IterationTime {
+  return { elapsedMs: now - iterations.recordedAt, wasIdle: iterations.wasIdle }
 }
 
 /** Returns whether a request that was read after this time is admitted; otherwise it is rejected at once. */
-export function mayTakeUp ({ spentMs, hasSlept }: TurnSpent, rank: number): boolean {
-  const budgetMs = hasSlept ? maxIterationAfterIdleMs : maxBusyIterationMs
+export function fitsIterationBudget ({ elapsedMs, wasIdle }: IterationTime, rank: number): boolean {
+  const budgetMs = wasIdle ? maxIterationAfterIdleMs : maxBusyIterationMs
   const fraction = rankFractions[Math.min(rank, rankFractions.length - 1)] ?? 1
-  return spentMs < budgetMs * fraction
+  return elapsedMs < budgetMs * fraction
 }
--- a/packages/placement/src/core/admission/unreadBound.ts
+++ b/packages/placement/src/core/admission/readDelay.ts
@@ -13,103 +13,103 @@
  * The iterations of one event loop. An iteration is what follows one poll of the sockets. Iterations that read from
  * callers or servers are recorded.
  */
-export interface LoopTurns {
+export interface LoopIterations {
   /** Whether the current iteration has been recorded. */
-  isOpen: boolean
+  isIterationRecorded: boolean
   /** Time of the last checkpoint: the end of the last recorded iteration, or the last sample. */
-  markedAt: Millis
+  checkpointAt: Millis
   /** Total idle time of the loop at the last checkpoint. */
-  sleptMs: Millis
+  idleMs: Millis
   /** Time at which the loop's next timer is due. A longer wait for sockets is a wait for the processor. */
   nextTimerAt: Millis
   /** Earliest arrival of input that was unread at the last checkpoint. */
   pendingSince: Millis
   /** Time at which the current iteration was recorded: about the time at which reading began. */
-  notedAt: Millis
+  recordedAt: Millis
   /** Whether the loop was idle before the current iteration. */
-  hasSlept: boolean
+  wasIdle: boolean
   /** Earliest time at which the poll phase of the current iteration can have returned. */
   polledAt: Millis
   /** Earliest arrival of input that is read in the current iteration. */
-  unreadSince: Millis
+  earliestArrivalAt: Millis
   /**
    * Earliest arrival of the first bytes of a connection. The connection was accepted in the iteration before, after it
    * had waited for that.
    */
-  acceptedSince: Millis
+  earliestFirstArrivalAt: Millis
 }
 
 /** A shorter idle time means that the poll phase found input at once, which may have waited. */
-export const leastSleepMs: Millis = 1
+export const minIdleMs: Millis = 1
 
 /**
  * Time between two checkpoints of a quiet loop, and the shortest time that counts as a read delay: between two
  * checkpoints, work can't be distinguished from waiting. It is a fifth of the 500 ms within which a final answer may
  * follow its route's timeout.
  */
-export const sampleMs: Millis = 100
+export const sampleIntervalMs: Millis = 100
 
-export function createLoopTurns (sleptMs: Millis, now: Millis): LoopTurns {
-  return { isOpen: false, markedAt: now, sleptMs, nextTimerAt: Infinity, pendingSince: now, notedAt: now, hasSlept: true, polledAt: now, unreadSince: now, acceptedSince: now }
+export function createLoopIterations (idleMs: Millis, now: Millis): LoopIterations {
+  return { isIterationRecorded: false, checkpointAt: now, idleMs, nextTimerAt: Infinity, pendingSince: now, recordedAt: now, wasIdle: true, polledAt: now, earliestArrivalAt: now, earliestFirstArrivalAt: now }
 }
 
 /**
  * Records the start of an iteration that reads from callers or servers.
  *
- * @param sleptMs total idle time of the loop since it started
+ * @param idleMs total idle time of the loop since it started
  */
-export function beginTurn (iterations: LoopTurns, sleptMs: Millis, now: Millis): void {
-  if (iterations.isOpen) return
-  iterations.isOpen = true
-  iterations.notedAt = now
-  const idleSinceCheckpointMs = sleptMs - iterations.sleptMs
+export function beginIteration (iterations: LoopIterations, idleMs: Millis, now: Millis): void {
+  if (iterations.isIterationRecorded) return
+  iterations.isIterationRecorded = true
+  iterations.recordedAt = now
+  const idleSinceCheckpointMs = idleMs - iterations.idleMs
   iterations.polledAt = estimateWakeTime(iterations, idleSinceCheckpointMs)
-  const hasSlept = idleSinceCheckpointMs >= leastSleepMs
-  iterations.hasSlept = hasSlept
-  const hadNoPendingInput = hasSlept && !mayHavePendingInput(iterations)
-  iterations.acceptedSince = hadNoPendingInput ? iterations.polledAt : iterations.unreadSince
-  iterations.unreadSince = hadNoPendingInput ? iterations.polledAt : iterations.pendingSince
+  const wasIdle = idleSinceCheckpointMs >= minIdleMs
+  iterations.wasIdle = wasIdle
+  const hadNoPendingInput = wasIdle && !mayHavePendingInput(iterations)
+  iterations.earliestFirstArrivalAt = hadNoPendingInput ? iterations.polledAt : iterations.earliestArrivalAt
+  iterations.earliestArrivalAt = hadNoPendingInput ? iterations.polledAt : iterations.pendingSince
 }
 
 /**
  * Returns whether input may have arrived unread during a long iteration: after that much work, the process may have
  * waited for the processor instead of input.
  */
-function mayHavePendingInput ({ markedAt, pendingSince }: LoopTurns): boolean {
-  return markedAt - pendingSince >= sampleMs
+function mayHavePendingInput ({ checkpointAt, pendingSince }: LoopIterations): boolean {
+  return checkpointAt - pendingSince >= sampleIntervalMs
 }
 
 /** Records the end of the iteration. */
-export function endTurn (iterations: LoopTurns, sleptMs: Millis, now: Millis): void {
-  iterations.isOpen = false
+export function endIteration (iterations: LoopIterations, idleMs: Millis, now: Millis): void {
+  iterations.isIterationRecorded = false
   iterations.pendingSince = iterations.polledAt
-  setCheckpoint(iterations, sleptMs, now)
+  setCheckpoint(iterations, idleMs, now)
 }
 
 /**
  * Sets a checkpoint for a loop without a recorded iteration for a while, so that its work does not add up over a long
  * time.
  */
-export function sampleTurns (iterations: LoopTurns, sleptMs: Millis, now: Millis): void {
-  if (!iterations.isOpen && now - iterations.markedAt >= sampleMs) {
-    const idleSinceCheckpointMs = sleptMs - iterations.sleptMs
-    if (idleSinceCheckpointMs >= leastSleepMs) {
+export function sampleLoop (iterations: LoopIterations, idleMs: Millis, now: Millis): void {
+  if (!iterations.isIterationRecorded && now - iterations.checkpointAt >= sampleIntervalMs) {
+    const idleSinceCheckpointMs = idleMs - iterations.idleMs
+    if (idleSinceCheckpointMs >= minIdleMs) {
       iterations.pendingSince = estimateWakeTime(iterations, idleSinceCheckpointMs)
-      iterations.unreadSince = iterations.pendingSince
+      iterations.earliestArrivalAt = iterations.pendingSince
     }
-    setCheckpoint(iterations, sleptMs, now)
+    setCheckpoint(iterations, idleMs, now)
   }
-  iterations.nextTimerAt = now + sampleMs
+  iterations.nextTimerAt = now + sampleIntervalMs
 }
 
 /** Returns the earliest time at which the loop had something to do: a process that waits for the processor looks idle. */
-function estimateWakeTime ({ markedAt, nextTimerAt }: LoopTurns, idleSinceCheckpointMs: Millis): Millis {
-  return Math.min(markedAt + idleSinceCheckpointMs, Math.max(markedAt, nextTimerAt))
+function estimateWakeTime ({ checkpointAt, nextTimerAt }: LoopIterations, idleSinceCheckpointMs: Millis): Millis {
+  return Math.min(checkpointAt + idleSinceCheckpointMs, Math.max(checkpointAt, nextTimerAt))
 }
 
-function setCheckpoint (iterations: LoopTurns, sleptMs: Millis, now: Millis): void {
-  iterations.markedAt = now
-  iterations.sleptMs = sleptMs
+function setCheckpoint (iterations: LoopIterations, idleMs: Millis, now: Millis): void {
+  iterations.checkpointAt = now
+  iterations.idleMs = idleMs
 }
 
 /**
@@ -118,13 +118,13 @@
  *
  * @param isFirst whether it is the first request of its connection
  */
-export function arrivedSince (iterations: LoopTurns, isFirst: boolean, now: Millis): Millis {
-  const earliest = isFirst ? iterations.acceptedSince : iterations.unreadSince
-  return now - earliest < sampleMs ? now : earliest
+export function getEarliestArrival (iterations: LoopIterations, isFirst: boolean, now: Millis): Millis {
+  const earliest = isFirst ? iterations.earliestFirstArrivalAt : iterations.earliestArrivalAt
+  return now - earliest < sampleIntervalMs ? now : earliest
 }
 
 /** The time at which a connection was accepted, and the earliest time at which it can have arrived. */
-export interface Accepted {
+export interface AcceptedConnection {
   readonly at: Millis
   readonly since: Millis
 }
@@ -141,8 +141,8 @@
  * A loop that was behind when it accepted the connection reads the request one iteration later, and may wait for the
  * processor in between.
  */
-export function firstArrivedSince (iterations: LoopTurns, { at, since }: Accepted, now: Millis): Millis {
-  const earliest = arrivedSince(iterations, true, now)
+export function getEarliestFirstArrival (iterations: LoopIterations, { at, since }: AcceptedConnection, now: Millis): Millis {
+  const earliest = getEarliestArrival(iterations, true, now)
   const mayHaveArrivedTogether = since < at && now - at < maxFirstRequestDelayMs
   return mayHaveArrivedTogether ? Math.min(earliest, since) : earliest
 }
--- a/packages/placement/src/core/board/loadIntake.ts
+++ b/packages/placement/src/core/board/loadAggregate.ts
@@ -6,7 +6,7 @@
 /** The demand that an entry VM last reported. */
 interface VmDemand { readonly region: RegionId, readonly at: Millis, readonly busy: LoadReport['busy'] }
 
-export interface LoadIntake {
+export interface LoadAggregate {
   /** Queue depth by server, from the reports since the last digest; the latest report counts. */
   readonly fresh: Map<ServerId, number>
   /** Number of entry VMs that each server left without an answer, from the same reports. */
@@ -14,12 +14,12 @@
   readonly byVm: Map<string, VmDemand>
 }
 
-export function createLoadIntake (): LoadIntake {
+export function createLoadAggregate (): LoadAggregate {
   return { fresh: new Map(), failed: new Map(), byVm: new Map() }
 }
 
 /** Adds an entry VM's report. */
-export function noteLoadReport (aggregate: LoadIntake, vm: string, region: RegionId, report: LoadReport, now: Millis): void {
+export function addLoadReport (aggregate: LoadAggregate, vm: string, region: RegionId, report: LoadReport, now: Millis): void {
   for (const [server, ahead] of report.servers) aggregate.fresh.set(server, ahead)
   for (const server of report.failed) aggregate.failed.set(server, (aggregate.failed.get(server) ?? 0) + 1)
   aggregate.byVm.set(vm, { region, at: now, busy: report.busy })
@@ -29,7 +29,7 @@
  * Returns this control VM's digest for the leader and clears what was reported since the last one: each report is
  * forwarded once.
  */
-export function takeDigest (aggregate: LoadIntake, now: Millis): LoadDigest {
+export function flushDigest (aggregate: LoadAggregate, now: Millis): LoadDigest {
   const servers = [...aggregate.fresh]
   const failed = [...aggregate.failed]
   aggregate.fresh.clear()
--- a/packages/placement/src/core/board/loadBoard.ts
+++ b/packages/placement/src/core/board/loadBoard.ts
@@ -10,7 +10,7 @@
 import { adjustWeights } from '../object/serverWeights.js'
 import type { ServerUtilization } from '../object/serverWeights.js'
 import type { RegionPlan } from '../region/regionPlan.js'
-import { planRegions, smoothDemand } from './boardPlans.js'
+import { planRegions, smoothDemand } from './demandPlanning.js'
 import { createSilentServers, recordFailures, listSilentServers } from './silentServers.js'
 import type { SilentServers } from './silentServers.js'
 import type { SlotDemand, LoadDigest, LoadUpdate, PlanUpdate, KnownServers, ServiceSlots, WeightUpdate } from '../../types/loads.js'
@@ -47,7 +47,7 @@
   readonly slots: Map<string, number>
   fastMoveUntil: Millis
   /** Time at which the published update was last written to disk. */
-  keptAt: Millis
+  savedAt: Millis
   /** Fraction of objects that stays in its own region, by service and region, as last logged. */
   readonly loggedShares: Map<string, number>
   news: LoadUpdate
@@ -92,14 +92,14 @@
     resumedAt: -Infinity,
     slots: new Map(),
     fastMoveUntil: -Infinity,
-    keptAt: -Infinity,
+    savedAt: -Infinity,
     loggedShares: new Map(),
     news: { full: [], plans: [], silent: [] }
   }
 }
 
 /** Applies a control VM's digest at the leader. */
-export function noteDigest (board: LoadBoard, control: string, digest: LoadDigest, now: Millis): void {
+export function applyDigest (board: LoadBoard, control: string, digest: LoadDigest, now: Millis): void {
   board.byControl.set(control, { busy: digest.busy, at: now })
   recordFailures(board.silent, digest, now)
   for (const [server, ahead] of digest.servers) {
@@ -171,7 +171,7 @@
  * Returns the update for a VM that has a version of the weights: the weights are left out if that version is the
  * current one.
  */
-export function newsFor (update: LoadUpdate, knownVersion: number): LoadUpdate {
+export function omitKnownWeights (update: LoadUpdate, knownVersion: number): LoadUpdate {
   if (update.weights?.version !== knownVersion) return update
   return { full: update.full, plans: update.plans, silent: update.silent }
 }
@@ -203,7 +203,7 @@
 }
 
 /** Applies the leader's update at another control VM, which continues from these plans if it becomes the leader. */
-export function takeNews (board: LoadBoard, update: LoadUpdate): void {
+export function storeLoadUpdate (board: LoadBoard, update: LoadUpdate): void {
   const weights = update.weights ?? board.news.weights
   board.news = weights === undefined ? update : { ...update, weights }
   board.weights.clear()
--- a/packages/placement/src/core/board/loadLog.ts
+++ b/packages/placement/src/core/board/loadLog.ts
@@ -18,7 +18,7 @@
 }
 
 /** Returns the regions whose plan changed enough for a new log line, and records their shares as logged. */
-export function takePlanLines (board: LoadBoard): PlanLogLine[] {
+export function flushPlanLines (board: LoadBoard): PlanLogLine[] {
   const lines: PlanLogLine[] = []
   for (const [service, plan] of board.plans) {
     for (const [region, shares] of plan) {
@@ -39,7 +39,7 @@
 }
 
 /** Returns the log lines for the differences between two updates. */
-export function newsLines (before: LoadUpdate, after: LoadUpdate): LogLine[] {
+export function describeLoadChanges (before: LoadUpdate, after: LoadUpdate): LogLine[] {
   const lines: LogLine[] = []
   const silent = after.silent.filter(id => !before.silent.includes(id))
   const retried = before.silent.filter(id => !after.silent.includes(id))
--- a/packages/placement/src/core/board/loadReport.ts
+++ b/packages/placement/src/core/board/loadObservations.ts
@@ -2,14 +2,14 @@
 import type { Millis, ServerId, ServiceId } from '@lynxcourse/base'
 import type { LoadReport } from '../../types/loads.js'
 
-export interface LoadNotes {
+export interface LoadObservations {
   readonly ahead: Map<ServerId, number>
   /** Slot time that the requests which arrived since then need if their objects are warm. */
   readonly demandMs: Map<ServiceId, Millis>
   readonly failed: Set<ServerId>
   /** Smoothed number of slots that this VM's callers need. */
   readonly demand: Map<ServiceId, number>
-  since: Millis
+  startedAt: Millis
 }
 
 /** A shorter interval depends on chance; its observations are left to the next report. */
@@ -18,18 +18,18 @@
 /** Smoothing of this VM's demand per report; there is about one report per second. */
 const demandSmoothing = 0.3
 
-export function createLoadNotes (now: Millis): LoadNotes {
-  return { ahead: new Map(), demandMs: new Map(), failed: new Set(), demand: new Map(), since: now }
+export function createLoadObservations (now: Millis): LoadObservations {
+  return { ahead: new Map(), demandMs: new Map(), failed: new Set(), demand: new Map(), startedAt: now }
 }
 
 /** Records the queue depth that a server reported in an answer. */
-export function noteAhead (observations: LoadNotes, server: ServerId, ahead: number): void {
+export function recordQueueDepth (observations: LoadObservations, server: ServerId, ahead: number): void {
   observations.ahead.set(server, ahead)
   observations.failed.delete(server)
 }
 
 /** Records that a server left a request without an answer. */
-export function noteFailedServer (observations: LoadNotes, server: ServerId): void {
+export function recordFailedServer (observations: LoadObservations, server: ServerId): void {
   observations.ahead.delete(server)
   observations.failed.add(server)
 }
@@ -41,13 +41,13 @@
  * are cold. The region plan would then move objects back to the servers that are overloaded, and away from servers that
  * are cold only because objects had moved. The symptom is a plan that oscillates while callers send evenly.
  */
-export function noteDemand (observations: LoadNotes, service: ServiceId, warmMs: Millis): void {
+export function recordDemand (observations: LoadObservations, service: ServiceId, warmMs: Millis): void {
   observations.demandMs.set(service, (observations.demandMs.get(service) ?? 0) + warmMs)
 }
 
 /** Returns the report and starts the next interval; undefined if too little time has passed. */
-export function takeLoadReport (observations: LoadNotes, now: Millis): LoadReport | undefined {
-  const spanMs = now - observations.since
+export function flushLoadReport (observations: LoadObservations, now: Millis): LoadReport | undefined {
+  const spanMs = now - observations.startedAt
   if (spanMs < minSpanMs) return undefined
   const report: LoadReport = {
     servers: [...observations.ahead],
@@ -61,6 +61,6 @@
   observations.failed.clear()
   observations.ahead.clear()
   observations.demandMs.clear()
-  observations.since = now
+  observations.startedAt = now
   return report
 }
--- a/packages/placement/src/core/entries/entryGathering.ts
+++ b/packages/placement/src/core/entries/entryDiscovery.ts
@@ -9,7 +9,7 @@
 import type { Millis } from '@lynxcourse/base'
 
 /** The discovery of entry VMs after a control VM's start. */
-export interface EntryGathering {
+export interface EntryDiscovery {
   /** Time at which the first ready VM was seen; undefined before. */
   firstSeenAt: Millis | undefined
   /** Time at which a VM was last seen to be ready that was not known to be ready. */
@@ -21,17 +21,17 @@
 /** Time after the first ready VM from which callers get an answer in any case. */
 const maxDelayMs: Millis = 1500
 
-export function createEntryGathering (): EntryGathering {
+export function createEntryDiscovery (): EntryDiscovery {
   return { firstSeenAt: undefined, lastNewAt: -Infinity }
 }
 
 /** Records that an entry VM is ready that was not known to be ready. */
-export function noteReadyEntry (discovery: EntryGathering, now: Millis): void {
+export function recordReadyEntry (discovery: EntryDiscovery, now: Millis): void {
   discovery.firstSeenAt = Math.min(discovery.firstSeenAt ?? now, now)
   discovery.lastNewAt = Math.max(discovery.lastNewAt, now)
 }
 
 /** Returns whether more entry VMs are expected soon, so that callers should not receive the known ones alone. */
-export function isGathering ({ firstSeenAt, lastNewAt }: EntryGathering, now: Millis): boolean {
+export function isDiscovering ({ firstSeenAt, lastNewAt }: EntryDiscovery, now: Millis): boolean {
   return firstSeenAt !== undefined && now - firstSeenAt < maxDelayMs && now - lastNewAt < quietPeriodMs
 }
--- a/packages/placement/src/core/entries/entryChoice.ts
+++ b/packages/placement/src/core/entries/entrySelection.ts
@@ -11,9 +11,9 @@
   readonly isReady: boolean
 }
 
-export interface HeardEntry {
+export interface KnownEntry {
   readonly presence: EntryPresence
-  readonly heardAt: Millis
+  readonly lastSeenAt: Millis
 }
 
 /** Largest number of addresses in one answer. */
@@ -23,8 +23,8 @@
  * Returns addresses for a caller: the ready VMs of its region or, if there are none, those of all regions, since a
  * remote entry VM is better than no answer.
  */
-export function chooseEntries (entries: readonly HeardEntry[], region: RegionId | undefined, staleMs: Millis, now: Millis, random: Random): string[] {
-  const ready = entries.filter(entry => entry.presence.isReady && now - entry.heardAt < staleMs)
+export function selectEntries (entries: readonly KnownEntry[], region: RegionId | undefined, staleMs: Millis, now: Millis, random: Random): string[] {
+  const ready = entries.filter(entry => entry.presence.isReady && now - entry.lastSeenAt < staleMs)
   const local = ready.filter(entry => entry.presence.region === region)
   const chosen = local.length > 0 ? local : ready
   return sampleItems(chosen, maxAddresses, random).map(entry => entry.presence.address)
--- a/packages/placement/src/core/object/hashPlaces.ts
+++ b/packages/placement/src/core/object/hashRanks.ts
@@ -11,10 +11,10 @@
  * `movedPrimary` the same if this VM recently saw the object at another server of that region, `secondary` the second
  * server of that region, `remote` the first one of another region.
  */
-export type HashPlace = 'primary' | 'movedPrimary' | 'secondary' | 'remote'
+export type HashRank = 'primary' | 'movedPrimary' | 'secondary' | 'remote'
 
 /** Returns the ranks of servers for an object: the first two of the planned region, and the first of each other region. */
-export function placesOf (servers: readonly FleetServer[], object: string, planned: RegionId | undefined): Map<ServerId, HashPlace> {
+export function computeHashRanks (servers: readonly FleetServer[], object: string, planned: RegionId | undefined): Map<ServerId, HashRank> {
   const objectHash = hashText(object)
   const byRegion = new Map<RegionId, TopTwo>()
   for (const server of servers) {
@@ -25,7 +25,7 @@
     }
     insertScore(topTwo, server, computeScore(combineHashes(objectHash, server.hash), server.weight))
   }
-  const ranks = new Map<ServerId, HashPlace>()
+  const ranks = new Map<ServerId, HashRank>()
   for (const [region, { first, second }] of byRegion) {
     if (first !== undefined) ranks.set(first.facts.id, region === planned ? 'primary' : 'remote')
     if (second !== undefined && region === planned) ranks.set(second.facts.id, 'secondary')
--- a/packages/placement/src/core/object/warmth.ts
+++ b/packages/placement/src/core/object/warmObjects.ts
@@ -2,7 +2,7 @@
 import type { Millis, ServerId } from '@lynxcourse/base'
 
 /** The recent requests of one VM, by server and by object. */
-export interface Warmth {
+export interface WarmObjects {
   /** The objects of each server in order of use, the latest last. */
   readonly byServer: Map<ServerId, Map<string, Millis>>
   /** The servers in `byServer` that handled an object, so that a request checks few of the many servers. */
@@ -14,47 +14,47 @@
 /** Time after its last use for which an object is assumed to be warm at a server. */
 const warmForMs = 20_000
 
-export function createWarmth (): Warmth {
+export function createWarmObjects (): WarmObjects {
   return { byServer: new Map(), byObject: new Map() }
 }
 
 /** Records that a server handled an object. */
-export function noteHandled (warmth: Warmth, server: ServerId, object: string, now: Millis): void {
-  const objects = warmth.byServer.get(server) ?? new Map<string, Millis>()
+export function recordObjectUse (warmObjects: WarmObjects, server: ServerId, object: string, now: Millis): void {
+  const objects = warmObjects.byServer.get(server) ?? new Map<string, Millis>()
   objects.delete(object)
   objects.set(object, now)
   const [oldest] = objects.keys()
   if (objects.size > maxObjectsPerServer && oldest !== undefined) {
     objects.delete(oldest)
-    removeCandidate(warmth, server, oldest)
+    removeCandidate(warmObjects, server, oldest)
   }
-  warmth.byServer.set(server, objects)
-  const candidates = warmth.byObject.get(object)
-  if (candidates === undefined) warmth.byObject.set(object, new Set([server]))
+  warmObjects.byServer.set(server, objects)
+  const candidates = warmObjects.byObject.get(object)
+  if (candidates === undefined) warmObjects.byObject.set(object, new Set([server]))
   else candidates.add(server)
 }
 
 /** Returns the servers that may be warm for an object; call `isWarm` for each of them. */
-export function holdersOf (warmth: Warmth, object: string): ReadonlySet<ServerId> {
-  return warmth.byObject.get(object) ?? noServers
+export function getWarmCandidates (warmObjects: WarmObjects, object: string): ReadonlySet<ServerId> {
+  return warmObjects.byObject.get(object) ?? noServers
 }
 
 const noServers: ReadonlySet<ServerId> = new Set()
 
-function removeCandidate (warmth: Warmth, server: ServerId, object: string): void {
-  const candidates = warmth.byObject.get(object)
+function removeCandidate (warmObjects: WarmObjects, server: ServerId, object: string): void {
+  const candidates = warmObjects.byObject.get(object)
   candidates?.delete(server)
-  if (candidates?.size === 0) warmth.byObject.delete(object)
+  if (candidates?.size === 0) warmObjects.byObject.delete(object)
 }
 
 /** Returns whether this VM recently saw a server handle an object. */
-export function isWarm (warmth: Warmth, server: ServerId, object: string, now: Millis): boolean {
-  const usedAt = warmth.byServer.get(server)?.get(object)
+export function isWarm (warmObjects: WarmObjects, server: ServerId, object: string, now: Millis): boolean {
+  const usedAt = warmObjects.byServer.get(server)?.get(object)
   return usedAt !== undefined && now - usedAt < warmForMs
 }
 
 /** Forgets a server that ended or came back cold. */
-export function forgetServer (warmth: Warmth, server: ServerId): void {
-  for (const object of warmth.byServer.get(server)?.keys() ?? []) removeCandidate(warmth, server, object)
-  warmth.byServer.delete(server)
+export function forgetServer (warmObjects: WarmObjects, server: ServerId): void {
+  for (const object of warmObjects.byServer.get(server)?.keys() ?? []) removeCandidate(warmObjects, server, object)
+  warmObjects.byServer.delete(server)
 }
--- a/packages/placement/src/core/object/workModel.ts
+++ b/packages/placement/src/core/object/workModel.ts
@@ -38,7 +38,7 @@
 const longestRiseSmoothing = 0.3
 const longestFallSmoothing = 0.01
 
-export function workOf (model: WorkModel, key: string, objectiveMs: Millis): WorkTimes {
+export function getWorkTimes (model: WorkModel, key: string, objectiveMs: Millis): WorkTimes {
   const known = model.get(key)
   if (known !== undefined) return known
   const times = { coldMs: objectiveMs * initialColdRatio, warmMs: objectiveMs * initialWarmRatio, longestMs: objectiveMs * initialLongestRatio }
@@ -47,7 +47,7 @@
 }
 
 /** Updates the times after an answer to a request that got a slot at once. */
-export function learnWork (times: WorkTimes, wasWarm: boolean, tookMs: Millis): void {
+export function recordWorkTime (times: WorkTimes, wasWarm: boolean, tookMs: Millis): void {
   const expected = wasWarm ? times.warmMs : times.coldMs
   if (tookMs > expected * maxOutlierRatio) return
   if (!wasWarm) updateLongest(times, tookMs)
@@ -59,7 +59,7 @@
  * Updates the upper estimate after work that timed out: it takes at least that long. If only answers counted, work that
  * barely fits into its route's timeout would look shorter than it is, and its servers would look failed.
  */
-export function learnCutWork (times: WorkTimes, tookMs: Millis): void {
+export function recordTimedOutWork (times: WorkTimes, tookMs: Millis): void {
   if (tookMs > times.longestMs) updateLongest(times, tookMs)
 }
 
--- a/packages/placement/src/core/region/regionPlan.ts
+++ b/packages/placement/src/core/region/regionPlan.ts
@@ -190,7 +190,7 @@
  *
  * @param open regions with a server that may get the object; if the plan gives them no share, they count equally
  */
-export function regionOf (shares: RegionShares, local: RegionId, object: string, open: ReadonlySet<RegionId>): RegionId | undefined {
+export function selectRegion (shares: RegionShares, local: RegionId, object: string, open: ReadonlySet<RegionId>): RegionId | undefined {
   const regions = [...open].sort((a, b) => getRegionOrder(a, local) - getRegionOrder(b, local) || (a < b ? -1 : 1))
   const planned = sumValues(regions.map(region => shares.get(region) ?? 0))
   const getFraction = (region: RegionId): number => planned === 0 ? 1 / regions.length : (shares.get(region) ?? 0) / planned
--- a/packages/placement/src/core/request/entryState.ts
+++ b/packages/placement/src/core/request/entryState.ts
@@ -1,7 +1,7 @@
 /** The state on which one entry VM bases its decisions: the fleet, the load data, the retry budget and the waiting requests. */
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import type { LoadNotes } from '../board/loadReport.js'
-import type { RetryBudgetCfg, RetryShare } from '../retries/retryShare.js'
+import type { LoadObservations } from '../board/loadObservations.js'
+import type { RetryBudgetCfg, RetryUsage } from '../retries/retryBudget.js'
 import { recordSharedQueueDepth, recordSharedResponsiveness } from '../server/fleetServer.js'
 import type { LoadUpdate, WeightUpdate } from '../../types/loads.js'
 import type { Fleet } from './fleet.js'
@@ -10,8 +10,8 @@
 export interface EntryState {
   readonly fleet: Fleet
   /** Load observations for the next report. */
-  readonly load: LoadNotes
-  readonly retries: RetryShare
+  readonly load: LoadObservations
+  readonly retries: RetryUsage
   /** Number of requests that wait for server capacity, by service. */
   readonly waitingForCapacity: Map<ServiceId, number>
 }
--- a/packages/placement/src/core/request/fleet.ts
+++ b/packages/placement/src/core/request/fleet.ts
@@ -1,15 +1,15 @@
 /** The state of a fleet as one entry VM knows it: its servers, and estimates of work times and network delays. */
 import type { Millis, Random, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import type { Route } from '@lynxcourse/state'
-import { createConcurrency } from '../admission/concurrency.js'
-import type { Concurrency } from '../admission/concurrency.js'
+import { createConcurrencyLimit } from '../admission/concurrencyLimit.js'
+import type { ConcurrencyLimit } from '../admission/concurrencyLimit.js'
 import type { FleetServer } from '../server/fleetServer.js'
 import type { Mechanism } from '../../types/mechanisms.js'
-import type { HashPlace } from '../object/hashPlaces.js'
+import type { HashRank } from '../object/hashRanks.js'
 import type { RegionShares } from '../region/regionPlan.js'
-import { createWarmth } from '../object/warmth.js'
-import type { Warmth } from '../object/warmth.js'
-import { workOf } from '../object/workModel.js'
+import { createWarmObjects } from '../object/warmObjects.js'
+import type { WarmObjects } from '../object/warmObjects.js'
+import { getWorkTimes } from '../object/workModel.js'
 import type { WorkModel } from '../object/workModel.js'
 
 /** Settings that don't change while the VM runs. */
@@ -27,7 +27,7 @@
   readonly setup: FleetSetup
   readonly byId: Map<ServerId, FleetServer>
   byService: Map<ServiceId, FleetServer[]>
-  readonly warmth: Warmth
+  readonly warmth: WarmObjects
   readonly workModel: WorkModel
   /** Smoothed time that a request occupies a slot, by service. */
   readonly meanSlotTimes: Map<ServiceId, Millis>
@@ -48,7 +48,7 @@
   /** Smoothed ratio of observed to expected times, by service; a server is slow only relative to its peers. */
   readonly meanSlowdowns: Map<ServiceId, number>
   /** Requests in flight and their limit, by service. */
-  readonly concurrency: Map<ServiceId, Concurrency>
+  readonly concurrency: Map<ServiceId, ConcurrencyLimit>
 }
 
 /** Creates a fleet without servers or learned estimates. */
@@ -57,7 +57,7 @@
     setup,
     byId: new Map(),
     byService: new Map(),
-    warmth: createWarmth(),
+    warmth: createWarmObjects(),
     workModel: new Map(),
     meanSlotTimes: new Map(),
     roundTripTimes: new Map(),
@@ -91,7 +91,7 @@
 /** Assumed round-trip time to a region that has not been reached yet. */
 const defaultRoundTripMs = 80
 /** Probability that an object is warm at a server of each hash rank, before any answers. */
-const initialWarmProbabilities: Record<HashPlace, number> = { primary: 0.7, movedPrimary: 0.3, secondary: 0.1, remote: 0.1 }
+const initialWarmProbabilities: Record<HashRank, number> = { primary: 0.7, movedPrimary: 0.3, secondary: 0.1, remote: 0.1 }
 /**
  * Lower bound of the probability for primary servers. While every object is cold, learned probabilities would not favor primary
  * servers; requests would then go to other servers too, each object would be cold at several servers, and the cold phase after
@@ -105,10 +105,10 @@
 const meanSlowdownSmoothing = 0.02
 
 /** Returns the concurrency state of a service at this VM and creates it on first use. */
-export function getConcurrency (fleet: Fleet, service: ServiceId): Concurrency {
+export function getConcurrency (fleet: Fleet, service: ServiceId): ConcurrencyLimit {
   const known = fleet.concurrency.get(service)
   if (known !== undefined) return known
-  const created = createConcurrency(computeSlotShare(fleet, service))
+  const created = createConcurrencyLimit(computeSlotShare(fleet, service))
   fleet.concurrency.set(service, created)
   return created
 }
@@ -138,19 +138,19 @@
 
 /** Returns the slot time of a request at a server that is warm for its object; without an object, the mean slot time of the service. */
 export function estimateSlotTime (fleet: Fleet, request: RoutedService, object: string): Millis {
-  const times = workOf(fleet.workModel, workKey(request), request.route.aimMs)
+  const times = getWorkTimes(fleet.workModel, workKey(request), request.route.aimMs)
   if (request.route.isSticky && object !== '') return times.warmMs
   return fleet.meanSlotTimes.get(request.service) ?? times.coldMs
 }
 
 /** Returns the probability that an object is warm at a server of the given hash rank where this VM has not seen it. */
-export function estimateWarmProbability (fleet: Fleet, request: RoutedService, hashRank: HashPlace): number {
+export function estimateWarmProbability (fleet: Fleet, request: RoutedService, hashRank: HashRank): number {
   const probability = fleet.warmProbabilities.get(`${workKey(request)} ${hashRank}`) ?? initialWarmProbabilities[hashRank]
   return hashRank === 'primary' ? Math.max(minPrimaryProbability, probability) : probability
 }
 
 /** Updates that probability with an answer from a server where this VM had not seen the object. */
-export function updateWarmProbability (fleet: Fleet, request: RoutedService, hashRank: HashPlace, wasWarm: boolean): void {
+export function updateWarmProbability (fleet: Fleet, request: RoutedService, hashRank: HashRank, wasWarm: boolean): void {
   const key = `${workKey(request)} ${hashRank}`
   const probability = estimateWarmProbability(fleet, request, hashRank)
   fleet.warmProbabilities.set(key, probability + ((wasWarm ? 1 : 0) - probability) * warmProbabilitySmoothing)
--- a/packages/placement/src/core/request/learning.ts
+++ b/packages/placement/src/core/request/learning.ts
@@ -2,10 +2,10 @@
 import type { Millis } from '@lynxcourse/base'
 import { isServerError } from '../../types/sendOutcome.js'
 import type { LostReason, SendOutcome } from '../../types/sendOutcome.js'
-import { learnConcurrency } from '../admission/concurrency.js'
-import { noteAhead, noteFailedServer } from '../board/loadReport.js'
-import { noteHandled } from '../object/warmth.js'
-import { learnCutWork, learnWork, workOf } from '../object/workModel.js'
+import { adaptConcurrencyLimit } from '../admission/concurrencyLimit.js'
+import { recordQueueDepth, recordFailedServer } from '../board/loadObservations.js'
+import { recordObjectUse } from '../object/warmObjects.js'
+import { recordTimedOutWork, recordWorkTime, getWorkTimes } from '../object/workModel.js'
 import { recordAnswer, recordFailure, recordServerFull, recordSuccess, recordLoadReport, getUnansweredMs } from '../server/fleetServer.js'
 import type { FleetServer } from '../server/fleetServer.js'
 import type { EntryState } from './entryState.js'
@@ -22,7 +22,7 @@
   recordAnswer(server, now)
   if (queueDepth === undefined) return
   recordLoadReport(server, queueDepth, now)
-  noteAhead(load, server.facts.id, queueDepth)
+  recordQueueDepth(load, server.facts.id, queueDepth)
 }
 
 /** Smoothing factor of the mean slot time. */
@@ -46,7 +46,7 @@
         break
       }
       recordFailure(server, true, now)
-      noteFailedServer(entry.load, server.facts.id)
+      recordFailedServer(entry.load, server.facts.id)
       break
     case 'lost':
       recordUnanswered(entry, request, placement, outcome.reason, tookMs, now)
@@ -73,11 +73,11 @@
   const overdueMs = placement.maxExpectedMs * overdueFactor
   const isOverdue = isTimeout && tookMs > overdueMs
   if (isTimeout && !isOverdue && getUnansweredMs(server, now) <= overdueMs) {
-    learnCutWork(workOf(entry.fleet.workModel, workKey(request), request.route.aimMs), estimateServerTime(entry, placement, tookMs))
+    recordTimedOutWork(getWorkTimes(entry.fleet.workModel, workKey(request), request.route.aimMs), estimateServerTime(entry, placement, tookMs))
     return
   }
   recordFailure(server, isOverdue, now)
-  if (reason !== 'spoiled') noteFailedServer(entry.load, server.facts.id)
+  if (reason !== 'spoiled') recordFailedServer(entry.load, server.facts.id)
 }
 
 /** Updates the limit of the service's requests in flight with the outcome of a send. */
@@ -87,7 +87,7 @@
   const isSuccess = outcome.type === 'answered' && !isServerError(outcome.status)
   if (!isTimeout && !isSuccess) return
   const ratio = isTimeout ? Infinity : estimateServerTime(entry, placement, tookMs) / getExpectedWorkTime(entry, request, placement)
-  learnConcurrency(getConcurrency(fleet, request.service), ratio, computeSlotShare(fleet, request.service), now)
+  adaptConcurrencyLimit(getConcurrency(fleet, request.service), ratio, computeSlotShare(fleet, request.service), now)
 }
 
 /** Estimates the time that a request spent at its server, waiting or running. */
@@ -97,7 +97,7 @@
 
 /** Returns the expected time of the work alone, for a warm or a cold object. */
 function getExpectedWorkTime (entry: EntryState, request: PlacementRequest, placement: Placement): Millis {
-  const times = workOf(entry.fleet.workModel, workKey(request), request.route.aimMs)
+  const times = getWorkTimes(entry.fleet.workModel, workKey(request), request.route.aimMs)
   return placement.wasWarm ? times.warmMs : times.coldMs
 }
 
@@ -107,7 +107,7 @@
 function learnFromAnswer (entry: EntryState, request: PlacementRequest, placement: Placement, tookMs: Millis, now: Millis): void {
   const { fleet } = entry
   const { server, wasWarm, waitMs } = placement
-  const times = workOf(fleet.workModel, workKey(request), request.route.aimMs)
+  const times = getWorkTimes(fleet.workModel, workKey(request), request.route.aimMs)
   const serverMs = estimateServerTime(entry, placement, tookMs)
   const expectedMs = getExpectedWorkTime(entry, request, placement) + waitMs
   const ratio = serverMs / expectedMs
@@ -116,8 +116,8 @@
   updateMeanSlowdown(fleet, request.service, ratio < minSlowRatio ? 1 : ratio)
   if (placement.place !== undefined && !wasWarm) updateWarmProbability(fleet, request, placement.place, wasFast)
   // `wasWarm` doesn't show whether the object was warm: another VM may have warmed it. The time of the answer does.
-  if (!placement.isCold && waitMs === 0) learnWork(times, wasFast, serverMs)
+  if (!placement.isCold && waitMs === 0) recordWorkTime(times, wasFast, serverMs)
   const mean = fleet.meanSlotTimes.get(request.service) ?? times.coldMs
   fleet.meanSlotTimes.set(request.service, mean + (Math.min(serverMs, times.coldMs) - mean) * meanSlotTimeSmoothing)
-  if (request.object !== '') noteHandled(fleet.warmth, server.facts.id, request.object, now)
+  if (request.object !== '') recordObjectUse(fleet.warmth, server.facts.id, request.object, now)
 }
--- a/packages/placement/src/core/request/placeRequest.ts
+++ b/packages/placement/src/core/request/placeRequest.ts
@@ -3,16 +3,16 @@
  * work, which is shorter if the object is warm. Refuses at once a request that can't be served in time.
  */
 import type { Millis, ServiceId } from '@lynxcourse/base'
-import { mayStart } from '../admission/concurrency.js'
-import type { Concurrency } from '../admission/concurrency.js'
+import { mayAdmit } from '../admission/concurrencyLimit.js'
+import type { ConcurrencyLimit } from '../admission/concurrencyLimit.js'
 import { isCold } from '../server/coldRateLimit.js'
 import { getConcurrency, workKey } from './fleet.js'
 import type { Fleet } from './fleet.js'
-import type { HashPlace } from '../object/hashPlaces.js'
+import type { HashRank } from '../object/hashRanks.js'
 import type { FleetServer } from '../server/fleetServer.js'
 import { selectBestServer, canServe } from './scoring.js'
 import type { PlacementRequest } from './scoring.js'
-import { workOf } from '../object/workModel.js'
+import { getWorkTimes } from '../object/workModel.js'
 
 /** The server that a request is sent to, and the expected times there. */
 export interface Placement {
@@ -21,7 +21,7 @@
   /** Whether this VM recently saw the server handle the object. */
   readonly wasWarm: boolean
   /** Hash rank of the server for the object; undefined if it has none. */
-  readonly place: HashPlace | undefined
+  readonly place: HashRank | undefined
   /** Whether the server is in its warm-up. */
   readonly isCold: boolean
   readonly waitMs: Millis
@@ -51,7 +51,7 @@
 /** Selects a server for a request, or refuses it with a time for the retry. */
 export function placeRequest (fleet: Fleet, request: PlacementRequest, now: Millis): Placement | Refusal {
   const concurrency = getConcurrency(fleet, request.service)
-  if (!mayStart(concurrency, request.route.rank, missesLatencyObjective(fleet, request, now))) return createRefusal(fleet, 'busy', estimateTimeToCapacity(fleet, request.service, concurrency))
+  if (!mayAdmit(concurrency, request.route.rank, missesLatencyObjective(fleet, request, now))) return createRefusal(fleet, 'busy', estimateTimeToCapacity(fleet, request.service, concurrency))
   const best = selectBestServer(fleet, request, now)
   if (best === undefined) return refuseWithoutServer(fleet, request, concurrency)
   const { server, waitMs, roundTripMs, workMs, maxWorkMs, wasWarm, place } = best
@@ -64,11 +64,11 @@
 
 /** Returns whether a request misses its latency objective even at a server that is warm for its object and has a free slot. */
 function missesLatencyObjective (fleet: Fleet, { route, service, arrivedAt }: PlacementRequest, now: Millis): boolean {
-  return now - arrivedAt + workOf(fleet.workModel, workKey({ route, service }), route.aimMs).warmMs > route.aimMs
+  return now - arrivedAt + getWorkTimes(fleet.workModel, workKey({ route, service }), route.aimMs).warmMs > route.aimMs
 }
 
 /** Refuses a request that no server can take: all servers that may serve it are full at the moment, or there is none. */
-function refuseWithoutServer (fleet: Fleet, request: PlacementRequest, concurrency: Concurrency): Refusal {
+function refuseWithoutServer (fleet: Fleet, request: PlacementRequest, concurrency: ConcurrencyLimit): Refusal {
   const { service } = request
   const isBusy = (fleet.byService.get(service) ?? []).some(server => canServe(request, server))
   if (isBusy) return createRefusal(fleet, 'busy', estimateTimeToCapacity(fleet, service, concurrency))
@@ -76,8 +76,8 @@
 }
 
 /** Estimates the time until the requests in flight complete, from the present response times. */
-function estimateTimeToCapacity (fleet: Fleet, service: ServiceId, concurrency: Concurrency): Millis {
-  return (fleet.meanSlotTimes.get(service) ?? minRetryAfterMs) * Math.max(1, concurrency.meanRatio)
+function estimateTimeToCapacity (fleet: Fleet, service: ServiceId, concurrency: ConcurrencyLimit): Millis {
+  return (fleet.meanSlotTimes.get(service) ?? minRetryAfterMs) * Math.max(1, concurrency.meanSlowdown)
 }
 
 /**
--- a/packages/placement/src/core/request/requestSteps.ts
+++ b/packages/placement/src/core/request/requestSteps.ts
@@ -7,12 +7,12 @@
 import type { Millis, ServerId } from '@lynxcourse/base'
 import { isServerError } from '../../types/sendOutcome.js'
 import type { SendOutcome } from '../../types/sendOutcome.js'
-import { mustLook } from '../admission/callerView.js'
-import type { CallerView } from '../admission/callerView.js'
-import { isCalm } from '../admission/concurrency.js'
-import { expectsRoom, lookPause, waitEnd } from '../admission/roomWait.js'
-import { noteDemand } from '../board/loadReport.js'
-import { noteRequest, spendRepeat } from '../retries/retryShare.js'
+import { needsPoll } from '../admission/callerLiveness.js'
+import type { CallerLiveness } from '../admission/callerLiveness.js'
+import { hasNormalLatency } from '../admission/concurrencyLimit.js'
+import { expectsCapacity, computeRecheckDelay, computeWaitEnd } from '../admission/capacityWait.js'
+import { recordDemand } from '../board/loadObservations.js'
+import { recordBudgetedRequest, trySpendRetry } from '../retries/retryBudget.js'
 import { isCold, consumeColdToken } from '../server/coldRateLimit.js'
 import { recordRequestStart, recordRequestEnd, computeResponseTimeout } from '../server/fleetServer.js'
 import type { RunningRequest } from '../server/fleetServer.js'
@@ -35,7 +35,7 @@
   readonly request: PlacementRequest
   /** Servers to which the request was sent; `request.tried` is the same set. */
   readonly tried: Set<ServerId>
-  readonly caller: CallerView
+  readonly caller: CallerLiveness
   /** Time until which the request may wait for capacity. */
   readonly maxWaitUntil: Millis
   /** Number of servers that ran the request or may have run it. */
@@ -75,28 +75,28 @@
 }
 
 /** Creates the state of a request that has arrived, and counts it in the retry budget and the demand. */
-export function startRequest (entry: EntryState, request: Omit<PlacementRequest, 'tried'>, caller: CallerView, conditions: DecisionConditions, now: Millis): RequestState {
+export function startRequest (entry: EntryState, request: Omit<PlacementRequest, 'tried'>, caller: CallerLiveness, conditions: DecisionConditions, now: Millis): RequestState {
   const { fleet, load, retries } = entry
   const { service, route, object, deadline } = request
-  noteRequest(retries, conditions.retryBudget, service, now)
-  noteDemand(load, service, estimateSlotTime(fleet, request, object))
+  recordBudgetedRequest(retries, conditions.retryBudget, service, now)
+  recordDemand(load, service, estimateSlotTime(fleet, request, object))
   const tried = new Set<ServerId>()
-  return { request: { ...request, tried }, tried, caller, maxWaitUntil: waitEnd(route.aimMs, deadline, now), possibleRuns: 0, full: 0, sends: 0, last: undefined }
+  return { request: { ...request, tried }, tried, caller, maxWaitUntil: computeWaitEnd(route.aimMs, deadline, now), possibleRuns: 0, full: 0, sends: 0, last: undefined }
 }
 
 /** Decides the next step for a request that is not in flight at a server. */
 export function decideNextStep (entry: EntryState, state: RequestState, conditions: DecisionConditions, now: Millis): RequestStep {
   if (state.last !== undefined && isFinalOutcome(state, state.last)) return stepAfterOutcome(state, state.last)
   if (now >= state.request.deadline) return state.possibleRuns === 0 ? createRefuseStep('noTime') : { type: 'fail', reason: 'deadline' }
-  if (mustLook(state.caller, now)) return { type: 'look' }
+  if (needsPoll(state.caller, now)) return { type: 'look' }
   const placement = placeRequest(entry.fleet, state.request, now)
   if (placement.type === 'refuse') {
-    if (mayWaitForCapacity(entry, state, placement, conditions, now)) return { type: 'wait', pauseMs: lookPause(entry.fleet.setup.random) }
+    if (mayWaitForCapacity(entry, state, placement, conditions, now)) return { type: 'wait', pauseMs: computeRecheckDelay(entry.fleet.setup.random) }
     return state.possibleRuns > 0 ? stepWithoutRetry(state) : { type: 'refuse', refused: placement }
   }
   const { retries, fleet } = entry
   const isFirstSend = state.sends === 0
-  if (!isFirstSend && !spendRepeat(retries, conditions.retryBudget, state.request.service, fleet.vms.length, now)) return stepWithoutRetry(state)
+  if (!isFirstSend && !trySpendRetry(retries, conditions.retryBudget, state.request.service, fleet.vms.length, now)) return stepWithoutRetry(state)
   return { type: 'send', placement }
 }
 
@@ -116,7 +116,7 @@
   const running = recordRequestStart(server, expectedMs, maxExpectedMs, now)
   const concurrency = getConcurrency(fleet, service)
   // If all servers are slow, abandoning unfinished work only adds load at the next server.
-  const canFailOver = route.isIdempotent && state.possibleRuns + 1 < route.maxAttempts && isCalm(concurrency)
+  const canFailOver = route.isIdempotent && state.possibleRuns + 1 < route.maxAttempts && hasNormalLatency(concurrency)
   concurrency.underWay += 1
   const overdueAt = now + computeResponseTimeout(expectedMs, maxExpectedMs) + failoverSlackMs
   return { placement, running, startedAt: now, failoverAt: canFailOver ? overdueAt : undefined, overdueAt }
@@ -188,5 +188,5 @@
   const { route, service } = request
   const { limit } = getConcurrency(fleet, service)
   const pace = { limit, meanMs: fleet.meanSlotTimes.get(service) ?? route.aimMs, waiting: waitingForCapacity.get(service) ?? 0 }
-  return expectsRoom(pace, maxWaitUntil, now)
+  return expectsCapacity(pace, maxWaitUntil, now)
 }
--- a/packages/placement/src/core/request/scoring.ts
+++ b/packages/placement/src/core/request/scoring.ts
@@ -6,11 +6,11 @@
 import type { Fleet } from './fleet.js'
 import { estimateQueueDepth, hasCapacity, isStalled, isHealthy, estimateSharedQueueDepth, getSlowdown } from '../server/fleetServer.js'
 import type { FleetServer } from '../server/fleetServer.js'
-import { placesOf } from '../object/hashPlaces.js'
-import type { HashPlace } from '../object/hashPlaces.js'
-import { regionOf } from '../region/regionPlan.js'
-import { holdersOf, isWarm } from '../object/warmth.js'
-import { workOf } from '../object/workModel.js'
+import { computeHashRanks } from '../object/hashRanks.js'
+import type { HashRank } from '../object/hashRanks.js'
+import { selectRegion } from '../region/regionPlan.js'
+import { getWarmCandidates, isWarm } from '../object/warmObjects.js'
+import { getWorkTimes } from '../object/workModel.js'
 import type { WorkTimes } from '../object/workModel.js'
 
 /** A request for which a server is to be selected. */
@@ -64,7 +64,7 @@
   /** Whether this VM recently saw the server handle the object. */
   readonly wasWarm: boolean
   /** Hash rank of the server for the object; undefined if it has none. */
-  readonly place: HashPlace | undefined
+  readonly place: HashRank | undefined
 }
 
 /** Returns the server with the lowest cost for a request; undefined if no server can take it now. */
@@ -74,10 +74,10 @@
   const region = choosePlannedRegion(fleet, request, eligible)
   const isSticky = request.route.isSticky && request.object !== ''
   // Servers that are full at the moment keep their hash ranks: if all servers are busy, moving objects only makes them cold elsewhere.
-  const places = isSticky ? placesOf(eligible, `${request.service} ${request.object}`, region) : undefined
+  const places = isSticky ? computeHashRanks(eligible, `${request.service} ${request.object}`, region) : undefined
   const utilization = estimateServiceUtilization(fleet, request.service, now)
   const candidates = places === undefined ? open : findCandidates(fleet, request, open, places, utilization, now)
-  const times = workOf(fleet.workModel, workKey(request), request.route.aimMs)
+  const times = getWorkTimes(fleet.workModel, workKey(request), request.route.aimMs)
   const { disabledMechanisms } = fleet.setup
   const hasWarmNonPrimary = places !== undefined && !disabledMechanisms.has('movedPrimaries') && candidates.some(server => isWarmNonPrimary(fleet, request, server, places, region, now))
   const input: ScoreInput = { times, places, region, workWeight: disabledMechanisms.has('workWeight') ? 1 : 1 + computeExtraWorkWeight(utilization), hasWarmNonPrimary }
@@ -87,7 +87,7 @@
 }
 
 /** Returns whether the server is in the planned region, not the object's primary server there, and recently handled the object. */
-function isWarmNonPrimary (fleet: Fleet, request: PlacementRequest, { facts }: FleetServer, hashRanks: ReadonlyMap<ServerId, HashPlace>, region: RegionId | undefined, now: Millis): boolean {
+function isWarmNonPrimary (fleet: Fleet, request: PlacementRequest, { facts }: FleetServer, hashRanks: ReadonlyMap<ServerId, HashRank>, region: RegionId | undefined, now: Millis): boolean {
   return facts.region === region && hashRanks.get(facts.id) !== 'primary' && isWarm(fleet.warmth, facts.id, request.object, now)
 }
 
@@ -100,9 +100,9 @@
  * all slots are busy, only the object's primary server is a candidate: work at other servers is cold, takes four times the slot
  * time and evicts other objects from their caches, so that cold work keeps the fleet full although warm work would fit.
  */
-function findCandidates (fleet: Fleet, request: PlacementRequest, open: readonly FleetServer[], hashRanks: ReadonlyMap<ServerId, HashPlace>, utilization: number, now: Millis): FleetServer[] {
+function findCandidates (fleet: Fleet, request: PlacementRequest, open: readonly FleetServer[], hashRanks: ReadonlyMap<ServerId, HashRank>, utilization: number, now: Millis): FleetServer[] {
   if (utilization > primaryOnlyUtilization) return open.filter(server => hashRanks.get(server.facts.id) === 'primary')
-  const holders = holdersOf(fleet.warmth, request.object)
+  const holders = getWarmCandidates(fleet.warmth, request.object)
   return open.filter(({ facts: { id } }) => hashRanks.has(id) || (holders.has(id) && isWarm(fleet.warmth, id, request.object, now)))
 }
 
@@ -111,7 +111,7 @@
   const localRegion = fleet.setup.region
   const shares = fleet.shares.get(request.service) ?? new Map([[localRegion, 1]])
   const object = request.object === '' ? String(fleet.setup.random()) : request.object
-  return regionOf(shares, localRegion, object, new Set(eligible.map(server => server.facts.region)))
+  return selectRegion(shares, localRegion, object, new Set(eligible.map(server => server.facts.region)))
 }
 
 function findCheapest (fleet: Fleet, request: PlacementRequest, candidates: readonly FleetServer[], input: ScoreInput, now: Millis): ScoredServer | undefined {
@@ -172,7 +172,7 @@
 interface ScoreInput {
   readonly times: WorkTimes
   /** Hash ranks of the servers for the object; undefined if the route is not sticky or the object is unknown. */
-  readonly places: ReadonlyMap<ServerId, HashPlace> | undefined
+  readonly places: ReadonlyMap<ServerId, HashRank> | undefined
   /** The planned region. */
   readonly region: RegionId | undefined
   /** Factor of the work time in the cost. */
@@ -210,7 +210,7 @@
 }
 
 /** Changes `primary` to `movedPrimary` if the object is warm at another server of the region: its new primary server may be cold. */
-function adjustHashRank (hashRank: HashPlace | undefined, wasWarm: boolean, { hasWarmNonPrimary }: ScoreInput): HashPlace | undefined {
+function adjustHashRank (hashRank: HashRank | undefined, wasWarm: boolean, { hasWarmNonPrimary }: ScoreInput): HashRank | undefined {
   return hashRank === 'primary' && hasWarmNonPrimary && !wasWarm ? 'movedPrimary' : hashRank
 }
 
--- a/packages/placement/src/core/retries/retryShare.ts
+++ b/packages/placement/src/core/retries/retryBudget.ts
@@ -19,24 +19,24 @@
 interface Bin { at: number, requests: number, retries: number }
 
 /** Requests and retries by service, in bins of a tenth of the window. */
-export type RetryShare = Map<ServiceId, Bin[]>
+export type RetryUsage = Map<ServiceId, Bin[]>
 
 const binsPerWindow = 10
 /** Fraction of the budget that is used, since requests reach VMs unevenly. */
 const usedFraction = 0.8
 
-function getBins (share: RetryShare, cfg: RetryBudgetCfg, service: ServiceId, now: Millis): Bin[] {
+function getBins (usage: RetryUsage, cfg: RetryBudgetCfg, service: ServiceId, now: Millis): Bin[] {
   const size = cfg.windowMs / binsPerWindow
   const at = Math.floor(now / size)
-  const bins = (share.get(service) ?? []).filter(bin => bin.at > at - binsPerWindow - 1)
+  const bins = (usage.get(service) ?? []).filter(bin => bin.at > at - binsPerWindow - 1)
   if (bins.at(-1)?.at !== at) bins.push({ at, requests: 0, retries: 0 })
-  share.set(service, bins)
+  usage.set(service, bins)
   return bins
 }
 
 /** Counts a request from a caller. */
-export function noteRequest (share: RetryShare, cfg: RetryBudgetCfg, service: ServiceId, now: Millis): void {
-  const bin = getBins(share, cfg, service, now).at(-1)
+export function recordBudgetedRequest (usage: RetryUsage, cfg: RetryBudgetCfg, service: ServiceId, now: Millis): void {
+  const bin = getBins(usage, cfg, service, now).at(-1)
   if (bin !== undefined) bin.requests += 1
 }
 
@@ -46,8 +46,8 @@
  * @param vms number of VMs that share the slack
  * @returns whether a retry was left
  */
-export function spendRepeat (share: RetryShare, cfg: RetryBudgetCfg, service: ServiceId, vms: number, now: Millis): boolean {
-  const bins = getBins(share, cfg, service, now)
+export function trySpendRetry (usage: RetryUsage, cfg: RetryBudgetCfg, service: ServiceId, vms: number, now: Millis): boolean {
+  const bins = getBins(usage, cfg, service, now)
   const requests = bins.reduce((sum, bin) => sum + bin.requests, 0)
   const retries = bins.reduce((sum, bin) => sum + bin.retries, 0)
   const allowed = (requests * cfg.ratio + cfg.slack / Math.max(1, vms)) * usedFraction
--- a/packages/replay/src/core/coldCauses.ts
+++ b/packages/replay/src/core/coldCauses.ts
@@ -1,5 +1,5 @@
 /** Why a request found its object cold at its server. */
-import type { HashPlace, Placement } from '@lynxcourse/placement'
+import type { HashRank, Placement } from '@lynxcourse/placement'
 import type { Backend, Job } from './backendModel.js'
 import type { World } from './world.js'
 
@@ -7,7 +7,7 @@
  * `first`: no server has handled the object yet. `beside`: another request for it is at the same server, cold too. `forgotten`: no
  * server has it warm any more. The others: some server has it warm, and the request went to this one, by what hashing says of it.
  */
-export type ColdCause = 'first' | 'beside' | 'forgotten' | `moved to ${HashPlace | 'unnamed'}`
+export type ColdCause = 'first' | 'beside' | 'forgotten' | `moved to ${HashRank | 'unnamed'}`
 
 /** The cause for a request that has just come to a server. */
 export function coldCauseOf (world: World, backend: Backend, job: Job, placed: Placement): ColdCause {
--- a/packages/replay/src/core/loadExchange.ts
+++ b/packages/replay/src/core/loadExchange.ts
@@ -2,7 +2,7 @@
 import { brandId } from '@lynxcourse/base'
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { scheduleAfter } from '@lynxcourse/base/timeline'
-import { createLoadIntake, noteDigest, noteLoadReport, takeDigest, applyLoadUpdate, takeLoadReport, updateBoard } from '@lynxcourse/placement'
+import { createLoadAggregate, applyDigest, addLoadReport, flushDigest, applyLoadUpdate, flushLoadReport, updateBoard } from '@lynxcourse/placement'
 import type { KnownServer, ServiceSlots } from '@lynxcourse/placement'
 import type { VmModel, World } from './world.js'
 
@@ -22,17 +22,17 @@
 function report (world: World, vm: VmModel): void {
   const { now } = world.timeline
   if (vm.isUp && !world.isControlCut) {
-    const notes = takeLoadReport(vm.entry.load, now)
-    if (notes !== undefined) noteLoadReport(intakeOf(world, vm.region), vm.name, vm.region, notes, now)
+    const notes = flushLoadReport(vm.entry.load, now)
+    if (notes !== undefined) addLoadReport(intakeOf(world, vm.region), vm.name, vm.region, notes, now)
     applyLoadUpdate(vm.entry, world.told, vm.region, now)
   }
   scheduleAfter(world.timeline, reportMs, () => report(world, vm))
 }
 
-function intakeOf (world: World, region: RegionId): ReturnType<typeof createLoadIntake> {
+function intakeOf (world: World, region: RegionId): ReturnType<typeof createLoadAggregate> {
   const held = world.intakes.get(region)
   if (held !== undefined) return held
-  const made = createLoadIntake()
+  const made = createLoadAggregate()
   world.intakes.set(region, made)
   return made
 }
@@ -42,7 +42,7 @@
   // Control VMs have what the leader told them at the exchange before.
   world.told = world.board.news
   if (!world.isControlCut) {
-    for (const [region, intake] of world.intakes) noteDigest(world.board, region, takeDigest(intake, now), now)
+    for (const [region, intake] of world.intakes) applyDigest(world.board, region, flushDigest(intake, now), now)
     updateBoard(world.board, openSlots(world), serverPlaces(world), now)
   }
   scheduleAfter(world.timeline, exchangeMs, () => exchange(world))
--- a/packages/replay/src/core/vmModel.ts
+++ b/packages/replay/src/core/vmModel.ts
@@ -1,7 +1,7 @@
 /** An entry VM serves requests as the real one does, by the same decisions. */
 import type { Millis } from '@lynxcourse/base'
 import { scheduleAfter } from '@lynxcourse/base/timeline'
-import { beginSend, createCallerView, endSend, mayFailOver, decideNextStep, noteLook, recordReply, updateWaitingCount, startRequest, applyLoadUpdate } from '@lynxcourse/placement'
+import { beginSend, createCallerLiveness, endSend, mayFailOver, decideNextStep, recordPoll, recordReply, updateWaitingCount, startRequest, applyLoadUpdate } from '@lynxcourse/placement'
 import type { EntryState, DecisionConditions, Placement, RequestState, SendOutcome, InFlightSend } from '@lynxcourse/placement'
 import { arriveAt, leaveBackend } from './backendModel.js'
 import type { Backend, BackendEnd, Job } from './backendModel.js'
@@ -47,7 +47,7 @@
   const { object, deadline } = arrival
   useProcessor(world, vm, () => {
     if (vm.life !== life) return arrival.answer({ type: 'failed' })
-    const run = startRequest(entry, { route, service, object: `${route.name}|${object}`, arrivedAt, deadline }, createCallerView(), terms, timeline.now)
+    const run = startRequest(entry, { route, service, object: `${route.name}|${object}`, arrivedAt, deadline }, createCallerLiveness(), terms, timeline.now)
     goOn(world, { vm, life, entry, arrival, run })
   })
 }
@@ -66,7 +66,7 @@
   switch (step.type) {
     case 'send': return send(world, serving, step.placement)
     case 'look':
-      noteLook(run.caller, world.timeline.now)
+      recordPoll(run.caller, world.timeline.now)
       return goOn(world, serving)
     case 'wait':
       updateWaitingCount(entry, run, 1)
--- a/packages/replay/src/core/world.ts
+++ b/packages/replay/src/core/world.ts
@@ -3,8 +3,8 @@
 import type { FailureDomainId, Millis, Random, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { createTimeline } from '@lynxcourse/base/timeline'
 import type { Timeline } from '@lynxcourse/base/timeline'
-import { createFleet, createFleetServer, createLoadBoard, createLoadNotes, groupServersByService } from '@lynxcourse/placement'
-import type { EntryState, FleetServer, LoadBoard, LoadIntake, LoadUpdate, Mechanism } from '@lynxcourse/placement'
+import { createFleet, createFleetServer, createLoadBoard, createLoadObservations, groupServersByService } from '@lynxcourse/placement'
+import type { EntryState, FleetServer, LoadBoard, LoadAggregate, LoadUpdate, Mechanism } from '@lynxcourse/placement'
 import type { Route } from '@lynxcourse/state'
 import type { Pattern } from '../types/pattern.js'
 import { createBackend } from './backendModel.js'
@@ -38,7 +38,7 @@
   readonly vmNames: readonly string[]
   readonly board: LoadBoard
   /** Reports of entry VMs by region, as a control VM there takes them. */
-  readonly intakes: Map<RegionId, LoadIntake>
+  readonly intakes: Map<RegionId, LoadAggregate>
   /** What control VMs tell entry VMs. */
   told: LoadUpdate
   isControlCut: boolean
@@ -127,7 +127,7 @@
   for (const backend of world.backends.values()) fleet.byId.set(backend.id, fleetServerOf(backend))
   groupServersByService(fleet)
   for (const other of Object.keys(world.pattern.regions)) fleet.roundTripTimes.set(brandId<RegionId>(other), 2 * delayBetween(world, region, other))
-  return { fleet, load: createLoadNotes(world.timeline.now), retries: new Map(), waitingForCapacity: new Map() }
+  return { fleet, load: createLoadObservations(world.timeline.now), retries: new Map(), waitingForCapacity: new Map() }
 }
 
 function fleetServerOf (backend: Backend): FleetServer {
