--- a/packages/daemon/__tests__/unread.test.ts
+++ b/packages/daemon/__tests__/unread.test.ts
@@ -48,7 +48,7 @@
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
   await publish(rig, [server], [routeTo('read')])
   const turns = rig.daemons.at(-1)?.gateway?.loop.turns as LoopIterations
-  Object.assign(turns, { isOpen: true, notedAt: -Infinity })
+  Object.assign(turns, { isIterationRecorded: true, recordedAt: -Infinity })
   const refused = await ask(rig, '/read/1')
   assert.equal(refused.status, 503)
   assert.equal(refused.headers.connection, 'close')
