--- a/packages/daemon/__tests__/fleet.test.ts
+++ b/packages/daemon/__tests__/fleet.test.ts
@@ -188,13 +188,13 @@
   await using rig = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
   await publish(rig, [server], [routeTo('read')])
-  const watching = (rig.daemons.at(-1) as FleetDaemon).watching
-  await until(() => watching?.parent !== undefined)
+  const watching = (rig.daemons.at(-1) as FleetDaemon).stateWatch
+  await until(() => watching?.currentControl !== undefined)
   await new Promise(resolve => setTimeout(resolve, 2200))
-  const { parent } = watching ?? {}
+  const { currentControl: parent } = watching ?? {}
   await new Promise(resolve => setTimeout(resolve, 2500))
-  assert.equal(watching?.parent, parent)
-  const isAvoided = [...watching?.avoided.values() ?? []].some(until => until > presentTime())
+  assert.equal(watching?.currentControl, parent)
+  const isAvoided = [...watching?.avoidedUntil.values() ?? []].some(until => until > presentTime())
   assert.equal(isAvoided, false)
 })
 
--- a/packages/daemon/__tests__/presence.test.ts
+++ b/packages/daemon/__tests__/presence.test.ts
@@ -1,7 +1,7 @@
 /** Which servers the leader takes for lost while control VMs are cut off from each other. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { createPresence, isInTouch, missedServers, noteEntry, noteReported, noteWatching, presentTime, reportedEntries, takeAnnouncement, takePresenceReport } from '@lynxcourse/daemon'
+import { createPresence, hasRecentExchange, findMissedServers, recordEntry, recordReported, recordWatchingEntry, presentTime, listUnreportedEntries, takeAnnouncement, applyPresenceReport } from '@lynxcourse/daemon'
 import type { PresenceReport } from '@lynxcourse/daemon'
 import { createLoadBoard, storeLoadUpdate } from '@lynxcourse/placement'
 import type { EntryPresence, LoadDigest, LoadUpdate } from '@lynxcourse/placement'
@@ -23,11 +23,11 @@
 /** Guards against this failure: half of all servers leave the directory at one moment, and come back seconds later. */
 test('a server that answers requests is not taken for lost, though its announcements do not arrive', () => {
   const presence = createPresence()
-  assert.deepEqual(missedServers(presence, [server], missMs, 0), [])
-  takePresenceReport(presence, report({ servers: [[server, 2]] }), 4000)
-  assert.deepEqual(missedServers(presence, [server], missMs, 8000), [])
-  takePresenceReport(presence, report({ failed: [[server, 2]] }), 8400)
-  assert.deepEqual(missedServers(presence, [server], missMs, 8600), [server], 'one that answers nobody is')
+  assert.deepEqual(findMissedServers(presence, [server], missMs, 0), [])
+  applyPresenceReport(presence, report({ servers: [[server, 2]] }), 4000)
+  assert.deepEqual(findMissedServers(presence, [server], missMs, 8000), [])
+  applyPresenceReport(presence, report({ failed: [[server, 2]] }), 8400)
+  assert.deepEqual(findMissedServers(presence, [server], missMs, 8600), [server], 'one that answers nobody is')
 })
 
 /** Guards against this failure: servers that tell no load with their answers are taken for lost while a control VM is cut off. */
@@ -47,10 +47,10 @@
 
 test('what a VM hears reaches the leader until some exchanges in a row were missed', () => {
   const presence = createPresence()
-  assert.equal(isInTouch(presence, 400, 0), false, 'not before the first')
-  presence.exchangedAt = 1000
-  assert.equal(isInTouch(presence, 400, 2900), true)
-  assert.equal(isInTouch(presence, 400, 3000), false)
+  assert.equal(hasRecentExchange(presence, 400, 0), false, 'not before the first')
+  presence.lastExchangeAt = 1000
+  assert.equal(hasRecentExchange(presence, 400, 2900), true)
+  assert.equal(hasRecentExchange(presence, 400, 3000), false)
 })
 
 /*
@@ -59,24 +59,24 @@
  */
 test('a control VM tells the leader of the entry VMs that it heard itself, once, and again until the leader has it', () => {
   const presence = createPresence()
-  for (let place = 0; place < 185; place++) noteEntry(presence, entryVm(`far-${place}`), 900)
-  noteWatching(presence, entryVm('near'), 1000)
-  const first = reportedEntries(presence, 1200)
+  for (let place = 0; place < 185; place++) recordEntry(presence, entryVm(`far-${place}`), 900)
+  recordWatchingEntry(presence, entryVm('near'), 1000)
+  const first = listUnreportedEntries(presence, 1200)
   assert.deepEqual(first.map(({ presence: { name }, ageMs }) => [name, ageMs]), [['near', 200]])
-  assert.deepEqual(reportedEntries(presence, 1600).length, 1, 'the report was lost')
-  noteReported(presence, first)
-  assert.deepEqual(reportedEntries(presence, 2000), [])
-  noteWatching(presence, entryVm('near'), 2100)
-  assert.equal(reportedEntries(presence, 2400).length, 1)
+  assert.deepEqual(listUnreportedEntries(presence, 1600).length, 1, 'the report was lost')
+  recordReported(presence, first)
+  assert.deepEqual(listUnreportedEntries(presence, 2000), [])
+  recordWatchingEntry(presence, entryVm('near'), 2100)
+  assert.equal(listUnreportedEntries(presence, 2400).length, 1)
 })
 
 test('an entry VM that is heard while a report of it is under way is told again', () => {
   const presence = createPresence()
-  noteWatching(presence, entryVm('near'), 1000)
-  const sent = reportedEntries(presence, 1200)
-  noteWatching(presence, { ...entryVm('near'), isReady: false }, 1210)
-  noteReported(presence, sent)
-  assert.deepEqual(reportedEntries(presence, 1600).map(entry => entry.presence.isReady), [false])
+  recordWatchingEntry(presence, entryVm('near'), 1000)
+  const sent = listUnreportedEntries(presence, 1200)
+  recordWatchingEntry(presence, { ...entryVm('near'), isReady: false }, 1210)
+  recordReported(presence, sent)
+  assert.deepEqual(listUnreportedEntries(presence, 1600).map(entry => entry.presence.isReady), [false])
 })
 
 test('a control VM that was told the weights keeps them when they are not told again', () => {
--- a/packages/daemon/__tests__/senderLeft.test.ts
+++ b/packages/daemon/__tests__/senderLeft.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test'
 import type { FailureDomainId } from '@lynxcourse/base'
 import { brandId } from '@lynxcourse/base'
-import { callPeer, leaderOf } from '@lynxcourse/daemon'
+import { callPeer, getLeaderAddress } from '@lynxcourse/daemon'
 import type { FleetControl } from '@lynxcourse/daemon'
 import { findItem } from '@lynxcourse/state'
 import type { RouteCommand } from '@lynxcourse/state'
@@ -21,7 +21,7 @@
   const rig = await startRig(0)
   await submit(rig, replaceOrder('first', 0, 1, [routeTo('read')]))
   const controls = [0, 1, 2].map(place => controlOf(rig, place))
-  const leader = controls.find(control => leaderOf(control) === control.node.cfg.rpc) as FleetControl
+  const leader = controls.find(control => getLeaderAddress(control) === control.node.cfg.rpc) as FleetControl
   return { rig, leader, [Symbol.asyncDispose]: async () => await rig[Symbol.asyncDispose]() }
 }
 
--- a/packages/daemon/src/core/fleet/announcing.ts
+++ b/packages/daemon/src/core/fleet/announcing.ts
@@ -1,64 +1,65 @@
 /**
- * Gathers the announcements that a control VM takes, so that the leader gets them together.
+ * Batches the announcements that a control VM receives, so that the leader commits many of them in one change.
  *
- * What can go wrong: hundreds of servers announce themselves at one moment, after a start or once there is a leader again. Each
- * announcement as a call of its own takes several milliseconds of the leader's processor; it falls silent for its followers, loses
- * the lead, and the next one meets the same calls. It shows as leaders that last for a second each and calls that end without a
- * quorum. While one change is under way, what comes meanwhile waits for the next one: the busier the leader, the more it gets at once.
+ * After a start or an election, hundreds of servers announce themselves at the same time. If each announcement is a
+ * separate call, it costs the leader several milliseconds of processor time. The leader can't send heartbeats in time
+ * and loses its followers, and its successor receives the same calls. The symptom is leaders that last about one second
+ * each and calls that fail without a quorum. Announcements that arrive while a change is in flight form the next batch,
+ * so a busier leader gets larger batches.
  */
 import type { BackendAnnouncement, ChangeAnswer, Config } from '@lynxcourse/state'
 import { hasBackendChanged } from '@lynxcourse/state'
 
-/** Most announcements in one change; about 50 KB. */
-const mostTogether = 200
+/** Maximum number of announcements in one change; about 50 KB. */
+const maxBatchSize = 200
 
-interface Waiting {
+interface PendingAnnouncement {
   readonly facts: BackendAnnouncement
   readonly resolve: () => void
   readonly reject: (err: unknown) => void
 }
 
-/** Announcements that wait for the change that is under way. */
-export interface Announcing {
-  waiting: Waiting[]
+/** Announcements that wait while a change is in flight. */
+export interface AnnouncementQueue {
+  pending: PendingAnnouncement[]
   isSubmitting: boolean
 }
 
-export function createAnnouncing (): Announcing {
-  return { waiting: [], isSubmitting: false }
+export function createAnnouncementQueue (): AnnouncementQueue {
+  return { pending: [], isSubmitting: false }
 }
 
-/** Has the leader commit announcements. */
+/** Submits announcements to the leader and waits until they are committed. */
 export type SubmitAnnouncements = (servers: readonly BackendAnnouncement[]) => Promise<ChangeAnswer>
 
 /**
- * Adds an announcement with news to the next change.
+ * Adds an announcement that changes the state to the next batch.
  *
- * @returns once it is committed
- * @throws LynxError when the outcome of that change is not known
+ * @returns when the batch is committed
+ * @throws LynxError if the outcome of the batch is unknown
  */
-export async function announceTogether (announcing: Announcing, config: () => Config, facts: BackendAnnouncement, submit: SubmitAnnouncements): Promise<void> {
+export async function enqueueAnnouncement (queue: AnnouncementQueue, config: () => Config, facts: BackendAnnouncement, submit: SubmitAnnouncements): Promise<void> {
   await new Promise<void>((resolve, reject) => {
-    announcing.waiting.push({ facts, resolve, reject })
-    // It never rejects: whoever waits for a change gets its error.
-    if (!announcing.isSubmitting) submitWaiting(announcing, config, submit).catch(reject)
+    queue.pending.push({ facts, resolve, reject })
+    // Errors of a batch reject the promises of its announcements, so `submitPending` itself doesn't reject.
+    if (!queue.isSubmitting) submitPending(queue, config, submit).catch(reject)
   })
 }
 
-async function submitWaiting (announcing: Announcing, config: () => Config, submit: SubmitAnnouncements): Promise<void> {
-  announcing.isSubmitting = true
-  while (announcing.waiting.length > 0) await submitNext(announcing, config(), submit)
-  announcing.isSubmitting = false
+async function submitPending (queue: AnnouncementQueue, config: () => Config, submit: SubmitAnnouncements): Promise<void> {
+  queue.isSubmitting = true
+  while (queue.pending.length > 0) await submitBatch(queue, config(), submit)
+  queue.isSubmitting = false
 }
 
-async function submitNext (announcing: Announcing, config: Config, submit: SubmitAnnouncements): Promise<void> {
-  const taken = announcing.waiting.splice(0, mostTogether)
+async function submitBatch (queue: AnnouncementQueue, config: Config, submit: SubmitAnnouncements): Promise<void> {
+  const batch = queue.pending.splice(0, maxBatchSize)
   try {
-    // Another control VM may have taken the same server's word meanwhile.
-    const news = taken.filter(({ facts }) => hasBackendChanged(config, facts))
-    if (news.length > 0) await submit(news.map(({ facts }) => facts))
-    for (const { resolve } of taken) resolve()
+    // Another control VM may have committed the same announcement in the meantime.
+    const changed = batch.filter(({ facts }) => hasBackendChanged(config, facts))
+    if (changed.length > 0) await submit(changed.map(({ facts }) => facts))
+    for (const { resolve } of batch) resolve()
   } catch (err) {
-    for (const { reject } of taken) reject(err)
+    for (const { reject } of batch) reject(err)
   }
 }
--- a/packages/daemon/src/core/fleet/fleetControl.ts
+++ b/packages/daemon/src/core/fleet/fleetControl.ts
@@ -1,4 +1,4 @@
-/** A control VM of a fleet: its copy of the log, and changes and reads that any control VM takes. */
+/** A control VM of a fleet: its replica of the log, and the changes and reads that every control VM accepts. */
 import { join } from 'node:path'
 import { LynxError, brandId, hashText, createHolderId, isLynxError, getHolderVm } from '@lynxcourse/base'
 import type { HolderId, Incarnation, Millis, ServerId, VmId } from '@lynxcourse/base'
@@ -12,57 +12,59 @@
 import { initCluster, isBlank } from '../control/membership.js'
 import { confirmRead, submitHere } from '../control/proposing.js'
 import { callPeer } from '../rpc/rpcClient.js'
-import { announceTogether, createAnnouncing } from './announcing.js'
-import type { Announcing } from './announcing.js'
-import { controlAddresses } from './fleetNode.js'
+import { enqueueAnnouncement, createAnnouncementQueue } from './announcing.js'
+import type { AnnouncementQueue } from './announcing.js'
+import { listControlAddresses } from './fleetNode.js'
 import type { FleetNode } from './fleetNode.js'
 import { createLoadBoard, createLoadAggregate } from '@lynxcourse/placement'
 import type { LoadBoard, LoadAggregate } from '@lynxcourse/placement'
-import { createPresence, isInTouch } from './presence.js'
+import { createPresence, hasRecentExchange } from './presence.js'
 import type { Presence } from './presence.js'
 
-/** A control VM's part. */
+/** State of a control VM. */
 export interface FleetControl {
   readonly node: FleetNode
   readonly host: ControlHost
-  /** Versions of the state that this VM has known of late. */
-  readonly versions: KnownVersions
+  /** Versions of the state that this VM knew recently. */
+  readonly knownVersions: KnownVersions
   readonly presence: Presence
-  readonly intake: LoadAggregate
+  readonly loadAggregate: LoadAggregate
   readonly board: LoadBoard
-  readonly announcing: Announcing
+  readonly announcementQueue: AnnouncementQueue
 }
 
-/** The routes as a read gives them. */
+/** Result of a linearizable read of the routes. */
 export interface RoutesRead {
   readonly routesVersion: number
   readonly set: RouteSet | undefined
 }
 
-/** Incarnation of the disks that found the group, so that each seed can name the others' copies. */
-const founding = brandId<Incarnation>('first')
+/**
+ * Incarnation of the seeds' disks when they found the group, so that each seed can derive the holder ids of the others.
+ */
+const founderIncarnation = brandId<Incarnation>('first')
 
-/** A change waits this long for the leader and its quorum, then its outcome is unknown to the sender. */
+/** Timeout of a call to the leader. The outcome of a change that takes longer is unknown to its sender. */
 const submitTimeoutMs: Millis = 900
 
-/** Opens the copy; on the fleet's first start the seeds found the group. */
+/** Opens the replica; on the first start of the fleet, the seeds found the group. */
 export async function openFleetControl (node: FleetNode): Promise<FleetControl> {
   const { cfg } = node
   const isFounder = cfg.isFirstStart && cfg.seeds.includes(cfg.rpc)
-  const host = await openControl(envOf(node, isFounder))
+  const host = await openControl(createControlEnv(node, isFounder))
   if (isFounder && isBlank(host)) {
-    const voters: HolderId[] = cfg.seeds.map(seed => createHolderId(brandId<VmId>(seed), founding))
+    const voters: HolderId[] = cfg.seeds.map(seed => createHolderId(brandId<VmId>(seed), founderIncarnation))
     const cluster = `fleet-${hashText([...cfg.seeds].sort().join()).toString(16)}`
     await initCluster(host, cluster, [...voters].sort())
   }
-  const versions = createKnownVersions()
-  const note = (): void => recordKnownVersion(versions, host.machine.config.version, presentTime())
-  note()
-  host.onProgress.push(note)
-  return { node, host, versions, presence: createPresence(), intake: createLoadAggregate(), board: createLoadBoard(), announcing: createAnnouncing() }
+  const knownVersions = createKnownVersions()
+  const recordVersion = (): void => recordKnownVersion(knownVersions, host.machine.config.version, presentTime())
+  recordVersion()
+  host.onProgress.push(recordVersion)
+  return { node, host, knownVersions, presence: createPresence(), loadAggregate: createLoadAggregate(), board: createLoadBoard(), announcementQueue: createAnnouncementQueue() }
 }
 
-function envOf (node: FleetNode, isFounder: boolean): ControlEnv {
+function createControlEnv (node: FleetNode, isFounder: boolean): ControlEnv {
   const { cfg, logs, metrics, random, client } = node
   return {
     vm: brandId<VmId>(cfg.rpc),
@@ -72,75 +74,81 @@
     metrics,
     random,
     client,
-    firstIncarnation: isFounder ? founding : undefined,
-    // A control VM's name is its address, so that a new one needs no list to be found by.
+    firstIncarnation: isFounder ? founderIncarnation : undefined,
+    // The name of a control VM is its RPC address, so other VMs can reach a new control VM without a configured list.
     addressOf: vm => vm,
-    peers: () => controlAddresses(node)
+    peers: () => listControlAddresses(node)
   }
 }
 
-/** RPC address of the leader, if this VM knows one. */
-export function leaderOf (control: FleetControl): string | undefined {
+/** Returns the RPC address of the leader; undefined if this VM knows none. */
+export function getLeaderAddress (control: FleetControl): string | undefined {
   const leader = control.host.replica?.leader
   return leader === undefined ? undefined : getHolderVm(leader)
 }
 
 /**
- * Has the leader apply a command, and waits until it is committed.
+ * Submits a command to the leader and waits until it is committed.
  *
- * @param arrivedAt since when an order can have lain unread at this VM; undefined for a command that this VM gives itself
- * @throws LynxError when the outcome is not known
+ * @param isRelayed whether another control VM forwarded the command; it is not forwarded again
+ * @param arrivedAt earliest time at which the command may have arrived in the kernel of this VM; undefined for the VM's
+ * own commands
+ * @throws LynxError if the outcome is unknown
  */
-export async function submitRouteCommand (control: FleetControl, given: RouteCommand, isRelayed = false, arrivedAt?: Millis): Promise<ChangeAnswer> {
+export async function submitRouteCommand (control: FleetControl, submitted: RouteCommand, isRelayed = false, arrivedAt?: Millis): Promise<ChangeAnswer> {
   const { host, node } = control
-  const command = isRelayed ? given : withBase(control, given, arrivedAt)
+  const command = isRelayed ? submitted : withBaseVersion(control, submitted, arrivedAt)
   if (leads(host)) {
     const answer = await submitHere(host, command)
-    if (answer.type !== 'change') throw new LynxError('badRpc', 'no answer to a change', { step: 'submit' })
-    logChange(control, command, answer.change)
+    if (answer.type !== 'change') throw new LynxError('badRpc', 'the state machine returned no result for the change', { step: 'submit' })
+    logCommand(control, command, answer.change)
     return answer.change
   }
-  const leader = leaderOf(control)
+  const leader = getLeaderAddress(control)
   if (leader === undefined || leader === node.cfg.rpc || isRelayed) throw new LynxError('notLeader', 'no leader is known', { step: 'submit' })
   return await callPeer<ChangeAnswer>(node.client, leader, 'fleet.submit', { command }, submitTimeoutMs)
 }
 
-/** Marks an order that names no version of its own with the state that this VM knew when the order can have come. */
-function withBase ({ host, versions }: FleetControl, command: RouteCommand, arrivedAt: Millis | undefined): RouteCommand {
+/**
+ * Adds a base version to an evacuation without one: the version of the state that this VM knew when the order may have
+ * arrived.
+ */
+function withBaseVersion ({ host, knownVersions }: FleetControl, command: RouteCommand, arrivedAt: Millis | undefined): RouteCommand {
   if (command.type !== 'evacuate' || command.baseVersion !== undefined) return command
-  return { ...command, baseVersion: arrivedAt === undefined ? host.machine.config.version : getKnownVersionAt(versions, arrivedAt) }
+  return { ...command, baseVersion: arrivedAt === undefined ? host.machine.config.version : getKnownVersionAt(knownVersions, arrivedAt) }
 }
 
-function logChange (control: FleetControl, command: RouteCommand, answer: ChangeAnswer): void {
+function logCommand (control: FleetControl, command: RouteCommand, answer: ChangeAnswer): void {
   const { logs } = control.node
   const outcome = answer.ok ? 'applied' : answer.detail
   switch (command.type) {
     case 'announce':
-      logAnnounced(control, command.facts)
+      logAnnouncement(control, command.facts)
       break
     case 'announceAll':
-      for (const facts of command.servers) logAnnounced(control, facts)
+      for (const facts of command.servers) logAnnouncement(control, facts)
       break
     case 'dismiss':
     case 'miss':
       log(logs, 'member', 'info', command.type === 'miss' ? 'Servers fell silent.' : 'Servers ended.', { servers: command.ids.join(), version: control.host.machine.config.version })
       break
     case 'evacuate':
-      log(logs, 'drain', 'info', 'Evacuation judged.', { failureDomain: command.failureDomain, active: command.isActive, base: command.baseVersion, outcome, version: control.host.machine.config.version })
+      log(logs, 'drain', 'info', 'Evacuation processed.', { failureDomain: command.failureDomain, active: command.isActive, base: command.baseVersion, outcome, version: control.host.machine.config.version })
       break
     default:
-      log(logs, 'agree', 'info', 'Routes change judged.', { type: command.type, order: command.order, base: command.baseVersion, routesVersion: command.routesVersion, ok: answer.ok, outcome })
+      log(logs, 'agree', 'info', 'Routes change processed.', { type: command.type, order: command.order, base: command.baseVersion, routesVersion: command.routesVersion, ok: answer.ok, outcome })
   }
 }
 
-function logAnnounced ({ node, host }: FleetControl, { id, service, isDraining, seq, coldMs }: BackendAnnouncement): void {
+function logAnnouncement ({ node, host }: FleetControl, { id, service, isDraining, seq, coldMs }: BackendAnnouncement): void {
   log(node.logs, 'announce', 'info', 'Server announced itself.', { server: id, service, draining: isDraining, seq, coldMs, version: host.machine.config.version })
 }
 
 /**
- * Reads the routes as of now, confirmed by a quorum.
+ * Reads the current routes; a quorum confirms that they are the latest.
  *
- * @throws LynxError when this VM can't be sure that they are the newest
+ * @param isRelayed whether another control VM forwarded the read; it is not forwarded again
+ * @throws LynxError if no quorum confirms that they are the latest
  */
 export async function readRoutes (control: FleetControl, isRelayed = false): Promise<RoutesRead> {
   const { host, node } = control
@@ -148,49 +156,53 @@
     await confirmRead(host)
     return { routesVersion: getRoutesVersion(host.machine.config), set: findRouteSet(host.machine.config) }
   }
-  const leader = leaderOf(control)
+  const leader = getLeaderAddress(control)
   if (leader === undefined || leader === node.cfg.rpc || isRelayed) throw new LynxError('notLeader', 'no leader is known', { step: 'read' })
   return await callPeer<RoutesRead>(node.client, leader, 'fleet.read', {}, submitTimeoutMs)
 }
 
 /**
- * Takes a server's announcement. What is news is committed before the server hears of it, so that a
- * server told that its leaving is known gets no new work from any VM in touch.
+ * Handles a server's announcement. An announcement that changes the state is committed before the server receives its
+ * answer: a server whose leaving is confirmed gets no new requests from any VM that is connected to the leader.
  *
- * What can go wrong: this VM is cut off from the leader, and servers go on to announce themselves here. Confirmed, none of them
- * turns to another VM, and the leader takes all of them for lost. It shows as lines of servers that fell silent while they answer
- * requests. So an announcement without news is confirmed only where the leader was reached lately.
+ * If this VM is partitioned from the leader and confirms announcements all the same, none of these servers tries
+ * another VM, and the leader marks all of them as lost. The symptom is log lines about silent servers that still answer
+ * requests. So an unchanged announcement is confirmed only after a recent exchange with the leader.
  *
- * @throws LynxError when the leader could not be reached, or for a failure domain that is not known
+ * @throws LynxError if the leader can't be reached, or if the failure domain is unknown
  */
 export async function takeAnnouncement (control: FleetControl, facts: BackendAnnouncement, now: Millis): Promise<void> {
   if (!control.node.cfg.regions.has(facts.failureDomain)) {
     throw new LynxError('badRequest', `failureDomain: '${facts.failureDomain}' is not known`, { step: 'announce', field: 'failureDomain' })
   }
   const { config } = control.host.machine
-  const hasNews = hasBackendChanged(config, facts)
-  if (!hasNews && !isInTouch(control.presence, control.node.cfg.times.presenceMs, now)) {
-    throw new LynxError('notLeader', 'the leader was not reached lately', { step: 'announce' })
+  const hasChanged = hasBackendChanged(config, facts)
+  if (!hasChanged && !hasRecentExchange(control.presence, control.node.cfg.times.presenceMs, now)) {
+    throw new LynxError('notLeader', 'no recent exchange with the leader', { step: 'announce' })
   }
   if (acceptsAnnouncement(config, facts)) control.presence.heard.add(facts.id)
-  if (!hasNews) return
-  await announceTogether(control.announcing, () => control.host.machine.config, facts, async servers => await submitRouteCommand(control, { type: 'announceAll', servers }))
+  if (!hasChanged) return
+  await enqueueAnnouncement(control.announcementQueue, () => control.host.machine.config, facts, async servers => await submitRouteCommand(control, { type: 'announceAll', servers }))
 }
 
-/** Takes a server's word that it has ended or ends now; `bornAt` tells which start of it. */
+/**
+ * Records that a server has ended or is ending.
+ *
+ * @param bornAt start time of the server's incarnation; undefined for any
+ */
 export async function dismissServer (control: FleetControl, id: ServerId, bornAt?: Millis): Promise<void> {
   if (findItem(control.host.machine.config, 'backend', id)?.state === 'gone') return
   await submitRouteCommand(control, { type: 'dismiss', ids: [id], ...(bornAt === undefined ? {} : { bornAt }) })
 }
 
-/** Whether the copy is known to be the present state, as of some milliseconds ago. */
+/** Returns how long ago the local copy was last known to be the current state. */
 export function stateAge (control: FleetControl, now: Millis): Millis {
   const { replica, appliedFreshAt } = control.host
   if (replica === undefined) return Infinity
   return now - (leads(control.host) ? replica.quorumConfirmedAt : appliedFreshAt)
 }
 
-/** Whether an error says only that another VM should be asked. */
+/** Whether a call that failed with this error may succeed at another VM. */
 export function isElsewhere (err: unknown): boolean {
   return isLynxError(err, 'notLeader') || isLynxError(err, 'noQuorum') || isLynxError(err, 'peerFailed') || isLynxError(err, 'overCapacity')
 }
--- a/packages/daemon/src/core/fleet/fleetDaemon.ts
+++ b/packages/daemon/src/core/fleet/fleetDaemon.ts
@@ -1,4 +1,4 @@
-/** Joins the parts of one VM of a fleet and stops them in order. */
+/** Starts the components of one VM of a fleet and stops them in order. */
 import type { Server } from 'node:http'
 import type { Millis } from '@lynxcourse/base'
 import { applyLoadUpdate } from '@lynxcourse/placement'
@@ -27,11 +27,11 @@
 import { addFleetMethods } from './fleetMethods.js'
 import { createFleetNode, isReadyForCallers } from './fleetNode.js'
 import type { FleetDeps, FleetNode } from './fleetNode.js'
-import { startPresence } from './presenceLoop.js'
-import { startWatching, tellPresence } from './watching.js'
-import type { Watching } from './watching.js'
+import { startPresenceExchange } from './presenceLoop.js'
+import { startStateWatch, publishPresence } from './watching.js'
+import type { StateWatch } from './watching.js'
 
-/** How callers and servers speak to this VM. */
+/** The protocols that this VM uses with callers and with backend servers. */
 export interface Dialects {
   readonly callers: CallerDialect
   readonly servers: ServerDialect
@@ -42,14 +42,16 @@
   readonly node: FleetNode
   readonly control: FleetControl | undefined
   readonly gateway: Gateway | undefined
-  readonly watching: Watching | undefined
+  readonly stateWatch: StateWatch | undefined
   readonly callerServer: Server | undefined
 }
 
-const tickMs: Millis = 30
-const sweepMs: Millis = 500
-const drainPollMs: Millis = 20
-/** New callers may still come for this long after the signal to stop: look-ups that named this VM run out. */
+const tickIntervalMs: Millis = 30
+const sweepIntervalMs: Millis = 500
+const drainPollIntervalMs: Millis = 20
+/**
+ * Time after the stop signal during which new connections are accepted, until lookups that named this VM have expired.
+ */
 const acceptAfterStopMs: Millis = 3500
 const maxRpcBytes = 33_554_432
 const rpcPerSecond = 20_000
@@ -67,20 +69,20 @@
   for (const server of [rpc.server, metricsServer]) ownServer(stack, server)
   await listenRpc(rpc, cfg.rpcListen ?? cfg.rpc)
   await listen(metricsServer, cfg.metrics)
-  const callerServer = gateway === undefined ? undefined : await startCallers(stack, gateway)
-  const watching = gateway === undefined ? undefined : own(stack, startWatching(node, () => presenceOf(node)))
+  const callerServer = gateway === undefined ? undefined : await startCallerServer(stack, gateway)
+  const stateWatch = gateway === undefined ? undefined : own(stack, startStateWatch(node, () => describeSelf(node)))
   log(node.logs, 'daemon', 'info', 'Started.', { vm: cfg.name, region: cfg.region, failureDomain: cfg.failureDomain, roles: cfg.roles.join(), rpc: cfg.rpc, callers: cfg.callers, firstStart: cfg.isFirstStart })
   const owned = moveOwned(stack)
-  return { node, control, gateway, watching, callerServer, [Symbol.asyncDispose]: async () => await owned[Symbol.asyncDispose]() }
+  return { node, control, gateway, stateWatch, callerServer, [Symbol.asyncDispose]: async () => await owned[Symbol.asyncDispose]() }
 }
 
 async function startControl (stack: Owned, node: FleetNode, rpc: RpcServer): Promise<FleetControl> {
   const control = await openFleetControl(node)
   own(stack, control.host)
-  const loop = own(stack, startPresence(control))
+  const exchange = own(stack, startPresenceExchange(control))
   addClusterMethods(rpc, control.host)
-  addFleetMethods(rpc, control, loop)
-  own(stack, repeat(tickMs, () => feed(control.host, { type: 'tick' }), () => undefined))
+  addFleetMethods(rpc, control, exchange)
+  own(stack, repeat(tickIntervalMs, () => feed(control.host, { type: 'tick' }), () => undefined))
   own(stack, keepJoining(control.host))
   return control
 }
@@ -91,7 +93,7 @@
   return gateway
 }
 
-async function startCallers (stack: Owned, gateway: Gateway): Promise<Server> {
+async function startCallerServer (stack: Owned, gateway: Gateway): Promise<Server> {
   const { node } = gateway
   const server = createCallerFront(gateway)
   applyLimits(gateway, server)
@@ -99,25 +101,27 @@
     refreshGateway(gateway, presentTime())
     applyLimits(gateway, server)
   })
-  node.onLoad.push(() => applyLoadUpdate(gateway, node.loadNews, node.cfg.region, presentTime()))
+  node.onLoadUpdate.push(() => applyLoadUpdate(gateway, node.loadNews, node.cfg.region, presentTime()))
   gateway.pool.onConnect = (address, startedAt) => noteConnected(gateway, address, presentTime() - startedAt)
-  own(stack, repeat(sweepMs, () => sweepConnections(gateway.pool, presentTime()), () => undefined))
+  own(stack, repeat(sweepIntervalMs, () => sweepConnections(gateway.pool, presentTime()), () => undefined))
   ownServer(stack, server)
   await listen(server, node.cfg.callers ?? '')
   return server
 }
 
-/** Owns a server from before it listens: a later one that can't would leave it open. */
+/** Registers a server for disposal before it listens. If a later server fails to listen, this server is closed too. */
 function ownServer (stack: Owned, server: Server): void {
   own(stack, { [Symbol.asyncDispose]: async () => await closeServer(server) })
 }
 
-function presenceOf (node: FleetNode): EntryPresence {
+function describeSelf (node: FleetNode): EntryPresence {
   const { cfg } = node
   return { name: cfg.name, address: cfg.callers ?? '', failureDomain: cfg.failureDomain, region: cfg.region, isReady: isReadyForCallers(node) }
 }
 
-/** Whether a VM does its part: an entry VM may get callers, a control VM's copy of the log knows the present state. */
+/**
+ * Whether a VM is ready: an entry VM for callers, a control VM if its copy was recently known to be the current state.
+ */
 function isServing (node: FleetNode, control: FleetControl | undefined): boolean {
   if (node.isLeaving) return false
   if (node.cfg.roles.includes('entry')) return isReadyForCallers(node)
@@ -129,14 +133,14 @@
   return daemon.gateway !== undefined && isReadyForCallers(daemon.node)
 }
 
-/** Lets the VM go without cutting a request: look-ups stop naming it, and requests in flight end. */
+/** Stops the VM gracefully: lookups stop returning its address, and requests in flight are completed. */
 export async function leaveFleet (daemon: FleetDaemon): Promise<void> {
-  const { node, gateway, watching, callerServer } = daemon
+  const { node, gateway, stateWatch, callerServer } = daemon
   const startedAt = presentTime()
   node.isLeaving = true
   log(node.logs, 'daemon', 'info', 'Leaving.', { open: gateway?.open ?? 0 })
-  if (gateway !== undefined && watching !== undefined && callerServer !== undefined) {
-    await Promise.all([tellPresence(watching), drainCallers(gateway, callerServer, startedAt)])
+  if (gateway !== undefined && stateWatch !== undefined && callerServer !== undefined) {
+    await Promise.all([publishPresence(stateWatch), drainCallers(gateway, callerServer, startedAt)])
   }
   log(node.logs, 'daemon', 'info', 'Left.', { open: gateway?.open ?? 0 })
 }
@@ -144,9 +148,9 @@
 async function drainCallers (gateway: Gateway, server: Server, startedAt: Millis): Promise<void> {
   const { stopMs } = gateway.node.cfg.times
   await delay(Math.min(acceptAfterStopMs, stopMs / 2))
-  // A connection is not idle while a request on it lies unread.
+  // A connection with an unread request counts as idle until the event loop has polled its socket.
   await nextLook(gateway.loop.looks)
   server.close()
   server.closeIdleConnections()
-  while (gateway.open > 0 && presentTime() - startedAt < stopMs) await delay(drainPollMs)
+  while (gateway.open > 0 && presentTime() - startedAt < stopMs) await delay(drainPollIntervalMs)
 }
--- a/packages/daemon/src/core/fleet/fleetMethods.ts
+++ b/packages/daemon/src/core/fleet/fleetMethods.ts
@@ -15,54 +15,54 @@
 import type { RpcCall, RpcServer } from '../rpc/rpcServer.js'
 import { dismissServer, readRoutes, stateAge, submitRouteCommand, takeAnnouncement } from './fleetControl.js'
 import type { FleetControl } from './fleetControl.js'
-import type { ControlPlace } from './fleetNode.js'
-import { noteWatching, takePresenceReport } from './presence.js'
+import type { ControlEndpoint } from './fleetNode.js'
+import { recordWatchingEntry, applyPresenceReport } from './presence.js'
 import type { PresenceReply, PresenceReport } from './presence.js'
-import type { PresenceLoop } from './presenceLoop.js'
+import type { PresenceExchange } from './presenceLoop.js'
 
-/** What an entry VM asks: news after a version, held open until there is some. */
+/** A request of an entry VM for changes after a version; the call stays open until there is one. */
 export interface WatchRequest {
   readonly version: number
   readonly waitMs: Millis
   readonly self: EntryPresence
-  /** What it saw of the load; left out where too little time has passed since the last report. */
+  /** Its load observations; omitted if too little time has passed since the last report. */
   readonly load?: LoadReport
-  /** Version of the servers' weights that it holds. */
+  /** Version of the servers' weights that it has. */
   readonly weights: number
 }
 
 export interface WatchReply {
   readonly delta: ConfigDelta | undefined
-  /** How long ago the answering VM's state was known to be the present one. */
+  /** How long ago the answering VM's state was last known to be current; null if never. */
   readonly ageMs: Millis | null
-  readonly controls: readonly ControlPlace[]
+  readonly controls: readonly ControlEndpoint[]
   /** Names of the entry VMs. */
   readonly entries: readonly string[]
   readonly news: LoadUpdate
 }
 
-const text = z.string().min(1).max(200)
-const presenceSchema = z.strictObject({ name: text, address: addressSchema, failureDomain: text, region: text, isReady: z.boolean() })
-const amount = z.number().min(0).max(1e9)
-const serverLoads = z.array(z.tuple([text, amount])).max(100_000)
-const loadSchema = z.strictObject({ servers: serverLoads, busy: z.array(z.tuple([text, amount])).max(10_000), failed: z.array(text).max(100_000) })
+const textSchema = z.string().min(1).max(200)
+const presenceSchema = z.strictObject({ name: textSchema, address: addressSchema, failureDomain: textSchema, region: textSchema, isReady: z.boolean() })
+const loadAmountSchema = z.number().min(0).max(1e9)
+const serverLoadsSchema = z.array(z.tuple([textSchema, loadAmountSchema])).max(100_000)
+const loadSchema = z.strictObject({ servers: serverLoadsSchema, busy: z.array(z.tuple([textSchema, loadAmountSchema])).max(10_000), failed: z.array(textSchema).max(100_000) })
 const watchSchema = z.strictObject({ version: z.number().int().min(0), waitMs: z.number().min(0).max(10_000), self: presenceSchema, load: loadSchema.optional(), weights: z.number().int() })
 const reportSchema = z.strictObject({
-  from: z.strictObject({ rpc: addressSchema, region: text }),
+  from: z.strictObject({ rpc: addressSchema, region: textSchema }),
   entries: z.array(z.strictObject({ presence: presenceSchema, ageMs: z.number().min(0) })).max(10_000),
-  heard: z.array(text).max(100_000),
-  load: z.strictObject({ servers: serverLoads, busy: z.array(z.tuple([text, text, amount])).max(100_000), failed: serverLoads }),
+  heard: z.array(textSchema).max(100_000),
+  load: z.strictObject({ servers: serverLoadsSchema, busy: z.array(z.tuple([textSchema, textSchema, loadAmountSchema])).max(100_000), failed: serverLoadsSchema }),
   weights: z.number().int()
 })
-/** Commands come from control VMs, which checked them where they entered. */
+/** Commands come from control VMs, which validated them on arrival. */
 const submitSchema = z.strictObject({ command: z.looseObject({ type: z.enum(['replaceRoutes', 'updateRoutes', 'evacuate', 'announce', 'announceAll', 'dismiss', 'miss']) }) })
 
 const announceSchema = z.strictObject({
   facts: z.strictObject({
-    id: text,
-    service: text,
+    id: textSchema,
+    service: textSchema,
     address: addressSchema,
-    failureDomain: text,
+    failureDomain: textSchema,
     slots: z.number().int().min(1),
     software: z.string().max(200).default(''),
     bornAt: z.number().int().min(0).default(0),
@@ -71,35 +71,35 @@
     coldMs: z.number().min(0).default(0)
   })
 })
-const dismissSchema = z.strictObject({ server: text, bornAt: z.number().int().min(0).optional() })
-const lookupSchema = z.strictObject({ region: text.optional() })
+const dismissSchema = z.strictObject({ server: textSchema, bornAt: z.number().int().min(0).optional() })
+const lookupSchema = z.strictObject({ region: textSchema.optional() })
 
-/** What a look-up tells a caller. */
+/** Result of a lookup by a caller. */
 export interface FleetLookup {
-  /** Addresses of entry VMs to use. */
+  /** Addresses of entry VMs that the caller should use. */
   readonly addresses: readonly string[]
-  /** How long the answer may be kept. */
+  /** How long the caller may cache the answer. */
   readonly ttlMs: Millis
 }
 
 /**
- * News waits this long for more before it goes out: while servers are replaced, changes come every few
- * milliseconds, and each wakes all VMs of the region and has them rebuild their tables.
+ * Delay before a change is sent, so that further changes can be sent with it. While servers are replaced, changes occur
+ * every few milliseconds, and each one that is sent makes all VMs of the region rebuild their tables.
  */
-const gatherMs: Millis = 200
+const changeDelayMs: Millis = 200
 
-/** A wait that ends this much late ended while the VM stood still. */
-const stillMs: Millis = 50
+/** A timer that is delayed by more than this indicates that the event loop was blocked. */
+const maxTimerDelayMs: Millis = 50
 
-/** Adds the methods. */
-export function addFleetMethods (rpc: RpcServer, control: FleetControl, loop: PresenceLoop): void {
-  addMethod(rpc, 'fleet.watch', ['vm'], watchSchema, async (params, call) => await answerWatch(control, loop, params as unknown as WatchRequest, call))
-  addMethod(rpc, 'fleet.submit', ['vm', 'operator'], submitSchema, async (params, call) => await answerSubmit(control, params.command as unknown as RouteCommand, call))
+/** Adds the fleet's methods to the RPC server of a control VM. */
+export function addFleetMethods (rpc: RpcServer, control: FleetControl, exchange: PresenceExchange): void {
+  addMethod(rpc, 'fleet.watch', ['vm'], watchSchema, async (params, call) => await handleWatch(control, exchange, params as unknown as WatchRequest, call))
+  addMethod(rpc, 'fleet.submit', ['vm', 'operator'], submitSchema, async (params, call) => await handleSubmit(control, params.command as unknown as RouteCommand, call))
   addMethod(rpc, 'fleet.read', ['vm', 'operator'], z.strictObject({}), async (_params, call) => {
-    await lookBefore(control, 'fleet.read', call)
+    await ensureCallerConnected(control, 'fleet.read', call)
     return await readRoutes(control, true)
   })
-  addMethod(rpc, 'fleet.presence', ['vm'], reportSchema, params => answerPresence(control, params as unknown as PresenceReport))
+  addMethod(rpc, 'fleet.presence', ['vm'], reportSchema, params => handlePresence(control, params as unknown as PresenceReport))
   addMethod(rpc, 'fleet.announce', ['server'], announceSchema, async ({ facts }) => {
     await takeAnnouncement(control, facts as unknown as BackendAnnouncement, presentTime())
     return {}
@@ -112,96 +112,102 @@
     lookUp(control, region === undefined ? undefined : brandId<RegionId>(region), presentTime()))
 }
 
-/** Which entry VMs a caller should use: those of its region where some are ready; none while they come in after a start. */
+/**
+ * Selects the entry VMs that a caller should use: ready ones, of its region if there are any. Returns none while the
+ * control VM still discovers entry VMs after its start.
+ */
 export function lookUp (control: FleetControl, region: RegionId | undefined, now: Millis): FleetLookup {
   const { times } = control.node.cfg
-  const { entries, gathering } = control.presence
-  const addresses = isDiscovering(gathering, now) ? [] : selectEntries([...entries.values()], region, times.presenceStaleMs, now, control.node.random)
+  const { entries, discovery } = control.presence
+  const addresses = isDiscovering(discovery, now) ? [] : selectEntries([...entries.values()], region, times.presenceStaleMs, now, control.node.random)
   return { addresses, ttlMs: times.lookupTtlMs }
 }
 
-function answerPresence (control: FleetControl, report: PresenceReport): PresenceReply {
+function handlePresence (control: FleetControl, report: PresenceReport): PresenceReply {
   const now = presentTime()
   applyDigest(control.board, report.from.rpc, report.load, now)
-  return { ...takePresenceReport(control.presence, report, now), news: omitKnownWeights(control.board.news, report.weights) }
+  return { ...applyPresenceReport(control.presence, report, now), news: omitKnownWeights(control.board.news, report.weights) }
 }
 
-/** @throws LynxError `cancelled` if the caller has left */
-async function lookBefore ({ node }: FleetControl, method: string, call: RpcCall): Promise<void> {
+/** @throws LynxError `cancelled` if the caller closed its connection */
+async function ensureCallerConnected ({ node }: FleetControl, method: string, call: RpcCall): Promise<void> {
   try {
-    await call.look()
+    await call.ensureConnected()
   } catch (err) {
-    log(node.logs, 'rpc', 'info', 'Call not taken up.', { method, peer: call.address, error: getErrorMessage(err) })
+    log(node.logs, 'rpc', 'info', 'Call cancelled.', { method, peer: call.address, error: getErrorMessage(err) })
     throw err
   }
 }
 
 /**
- * Takes a command that another VM passes on or an operator gives.
+ * Handles a command that another VM relays or an operator sends.
  *
- * An evacuation that was given up has not been accepted, and its operator may have ordered otherwise since. Changes of routes name
- * the version that they build on, and what servers said stays true: a server that leaves may say so only once.
+ * An evacuation whose sender disconnected is not executed: it was not confirmed, and the operator may have sent a
+ * different order since. Other commands are executed anyway: changes of routes name their base version, and what a
+ * server announced stays true even if the call was abandoned, since a server may announce only once that it leaves.
  */
-async function answerSubmit (control: FleetControl, command: RouteCommand, call: RpcCall): Promise<ChangeAnswer> {
-  if (command.type === 'evacuate') await lookBefore(control, 'fleet.submit', call)
+async function handleSubmit (control: FleetControl, command: RouteCommand, call: RpcCall): Promise<ChangeAnswer> {
+  if (command.type === 'evacuate') await ensureCallerConnected(control, 'fleet.submit', call)
   return await submitRouteCommand(control, command, true)
 }
 
-async function answerWatch (control: FleetControl, loop: PresenceLoop, request: WatchRequest, call: RpcCall): Promise<WatchReply> {
-  const isNews = noteWatching(control.presence, request.self, presentTime())
-  if (isNews) loop.urge()
-  if (request.load !== undefined) addLoadReport(control.intake, request.self.name, request.self.region, request.load, presentTime())
+async function handleWatch (control: FleetControl, exchange: PresenceExchange, request: WatchRequest, call: RpcCall): Promise<WatchReply> {
+  const isChanged = recordWatchingEntry(control.presence, request.self, presentTime())
+  if (isChanged) exchange.exchangeSoon()
+  if (request.load !== undefined) addLoadReport(control.loadAggregate, request.self.name, request.self.region, request.load, presentTime())
   const startedAt = presentTime()
   if (request.version === 0) await waitUntilCurrent(control, request.waitMs, call.gone)
-  if (control.host.machine.config.version <= request.version) await waitForNews(control, request, call.gone)
-  // Timers run before sockets are read: a VM that stood still ends its waits before it hears who has left.
-  if (presentTime() - startedAt > request.waitMs + stillMs) await lookBefore(control, 'fleet.watch', call)
-  if (call.gone.aborted) throw new LynxError('cancelled', 'its sender closed the connection', { step: 'fleet.watch', peer: call.address })
-  if (request.version > 0 && control.host.machine.config.version > request.version) await delay(gatherMs)
+  if (control.host.machine.config.version <= request.version) await waitForNewVersion(control, request, call.gone)
+  // Timers run before sockets are polled: after the event loop was blocked, a wait ends before the closed connections
+  // are read.
+  if (presentTime() - startedAt > request.waitMs + maxTimerDelayMs) await ensureCallerConnected(control, 'fleet.watch', call)
+  if (call.gone.aborted) throw new LynxError('cancelled', 'the caller closed the connection', { step: 'fleet.watch', peer: call.address })
+  if (request.version > 0 && control.host.machine.config.version > request.version) await delay(changeDelayMs)
   const { config } = control.host.machine
-  const age = stateAge(control, presentTime())
+  const stateAgeMs = stateAge(control, presentTime())
   return {
     delta: config.version > request.version ? getDeltaSince(config, request.version) : undefined,
-    ageMs: Number.isFinite(age) ? age : null,
+    ageMs: Number.isFinite(stateAgeMs) ? stateAgeMs : null,
     controls: control.node.controls,
     entries: [...control.presence.entries.keys()],
     news: omitKnownWeights(control.board.news, request.weights)
   }
 }
 
-async function waitForNews (control: FleetControl, request: WatchRequest, gone: Cancel): Promise<void> {
-  const from = Math.max(request.version, control.host.machine.config.version)
-  await waitForProgress(control, request.waitMs, gone, () => control.host.machine.config.version > from)
+async function waitForNewVersion (control: FleetControl, request: WatchRequest, signal: Cancel): Promise<void> {
+  const knownVersion = Math.max(request.version, control.host.machine.config.version)
+  await waitForProgress(control, request.waitMs, signal, () => control.host.machine.config.version > knownVersion)
 }
 
 /**
- * Holds the first watch of an entry VM until this VM's copy is the present state.
+ * Delays the first watch of an entry VM until this VM's copy is the current state.
  *
- * What can go wrong: all VMs start at one moment. Entry VMs ask again and again while the control VMs elect a leader, and their
- * questions take the processor time that the election needs. It shows as many lines of VMs that follow a control VM without a
- * version. Held, each asks once and hears at once.
+ * When all VMs start at the same time and watches return immediately, entry VMs repeat them while the control VMs elect
+ * a leader, and the watches use the processor time that the election needs. The symptom is many log lines about watches
+ * without a version. With the delay, each entry VM sends one watch and is answered as soon as the state is known.
  */
-async function waitUntilCurrent (control: FleetControl, waitMs: Millis, gone: Cancel): Promise<void> {
+async function waitUntilCurrent (control: FleetControl, waitMs: Millis, signal: Cancel): Promise<void> {
   const isCurrent = (): boolean => stateAge(control, presentTime()) < control.node.cfg.times.staleMs
-  // A disk that was emptied gets the state from a leader, which takes seconds: another VM has it sooner.
-  if (control.host.replica !== undefined && !isCurrent()) await waitForProgress(control, waitMs, gone, isCurrent)
+  // A VM with an empty disk first receives the state from the leader, which takes seconds; another VM can answer
+  // sooner.
+  if (control.host.replica !== undefined && !isCurrent()) await waitForProgress(control, waitMs, signal, isCurrent)
 }
 
-/** Waits until the copy went on to a state that is asked for, the time is over or the caller has left. */
-async function waitForProgress (control: FleetControl, waitMs: Millis, gone: Cancel, isReached: () => boolean): Promise<void> {
-  if (gone.aborted) return
+/** Waits until the copy reaches a condition, the time is over, or the caller disconnects. */
+async function waitForProgress (control: FleetControl, waitMs: Millis, signal: Cancel, isReached: () => boolean): Promise<void> {
+  if (signal.aborted) return
   const { onProgress } = control.host
   await new Promise<void>(resolve => {
     const finish = (): void => {
       clearTimeout(timer)
-      gone.off('abort', finish)
-      const place = onProgress.indexOf(check)
-      if (place >= 0) onProgress.splice(place, 1)
+      signal.off('abort', finish)
+      const index = onProgress.indexOf(check)
+      if (index >= 0) onProgress.splice(index, 1)
       resolve()
     }
     const check = (): void => { if (isReached()) queueMicrotask(finish) }
     const timer = setTimeout(finish, waitMs)
     onProgress.push(check)
-    gone.once('abort', finish)
+    signal.once('abort', finish)
   })
 }
--- a/packages/daemon/src/core/fleet/fleetNode.ts
+++ b/packages/daemon/src/core/fleet/fleetNode.ts
@@ -1,4 +1,4 @@
-/** What the parts of one VM of a fleet share. */
+/** State that the components of one VM of a fleet share. */
 import { hashText, createRandom } from '@lynxcourse/base'
 import type { Millis, Random, RegionId } from '@lynxcourse/base'
 import { createConfig } from '@lynxcourse/state'
@@ -15,40 +15,40 @@
 import { createLoadObservations } from '@lynxcourse/placement'
 import type { LoadUpdate, LoadObservations } from '@lynxcourse/placement'
 
-/** A control VM as others find it. */
-export interface ControlPlace {
+/** RPC address and region of a control VM. */
+export interface ControlEndpoint {
   readonly rpc: string
   readonly region: RegionId
 }
 
-/** State of one VM; its parts take it first. */
+/** State of one VM. Functions of its components take it as their first parameter. */
 export interface FleetNode {
-  /** Replaced as a whole when the settings are read again. */
+  /** Replaced as a whole when the settings are reloaded. */
   cfg: FleetSettings
   readonly logs: Logs
   readonly metrics: Metrics
   readonly random: Random
   readonly client: RpcClient
   readonly loop: LoopWatch
-  /** This VM's copy of the routes and the directory; on a control VM, its log's own. */
+  /** An entry VM's copy of the routes and the directory; its watch updates it. */
   config: Config
-  controls: readonly ControlPlace[]
-  /** Names of the entry VMs heard of late, this one among them. */
+  controls: readonly ControlEndpoint[]
+  /** Names of the recently seen entry VMs, including this one. */
   entryNames: readonly string[]
-  /** When the copy was last known to be the present state; -Infinity before the first time. */
+  /** Time at which the copy was last known to be the current state; -Infinity before the first time. */
   freshAt: Millis
   isLeaving: boolean
-  /** What this VM has seen of the load since its last report. */
+  /** Load observations of this VM since its last report. */
   readonly load: LoadObservations
-  /** What all VMs together saw of the load, by the last word of it. */
+  /** Latest load update, aggregated from the observations of all VMs. */
   loadNews: LoadUpdate
-  /** Called when the copy changed. */
+  /** Called when the copy has changed. */
   readonly onChange: Array<() => void>
-  /** Called when there is news of the load. */
-  readonly onLoad: Array<() => void>
+  /** Called when a load update has arrived. */
+  readonly onLoadUpdate: Array<() => void>
 }
 
-/** What tests give in place of the defaults. */
+/** Dependencies that replace the defaults, for example in tests. */
 export interface FleetDeps {
   readonly logs?: Logs
 }
@@ -63,7 +63,7 @@
     random: createRandom(hashText(`${cfg.name} ${now}`)),
     client: createRpcClient({ timeoutMs: cfg.times.rpcTimeoutMs, localAddress: '', tls: () => undefined, metrics }),
     loop: openLoopWatch(
-      forMs => log(logs, 'daemon', 'warn', 'Stood still.', { forMs: Math.round(forMs) }),
+      forMs => log(logs, 'daemon', 'warn', 'Event loop was blocked.', { forMs: Math.round(forMs) }),
       lateMs => metrics.loopLateSeconds.observe(lateMs / 1000)
     ),
     config: createConfig(),
@@ -74,24 +74,24 @@
     load: createLoadObservations(now),
     loadNews: { full: [], plans: [], silent: [] },
     onChange: [],
-    onLoad: []
+    onLoadUpdate: []
   }
 }
 
-/** Whether callers may be sent to this VM: it knows the present state and does not stop. */
+/** Whether callers may be sent to this VM: it has received the current state and is not stopping. */
 export function isReadyForCallers (node: FleetNode): boolean {
   return node.freshAt > -Infinity && !node.isLeaving
 }
 
-/** RPC addresses at which control VMs may be found: those heard of, then the seeds. */
-export function controlAddresses (node: FleetNode): string[] {
-  const known = [...node.controls.map(place => place.rpc), ...node.cfg.seeds]
+/** Lists the RPC addresses of other control VMs: the known ones first, then the seeds. */
+export function listControlAddresses (node: FleetNode): string[] {
+  const known = [...node.controls.map(endpoint => endpoint.rpc), ...node.cfg.seeds]
   return [...new Set(known)].filter(address => address !== node.cfg.rpc)
 }
 
-/** Takes over what may change while the process runs: where control VMs are found, times and budgets. */
-export function reloadFleet (node: FleetNode, next: FleetSettings): void {
-  const { seeds, times, retryBudget, log } = next
+/** Applies the settings that may change while the process runs: seeds, times, the retry budget and the log settings. */
+export function reloadFleet (node: FleetNode, settings: FleetSettings): void {
+  const { seeds, times, retryBudget, log } = settings
   node.cfg = { ...node.cfg, seeds, times, retryBudget, log }
 }
 
--- a/packages/daemon/src/core/fleet/presence.ts
+++ b/packages/daemon/src/core/fleet/presence.ts
@@ -1,156 +1,168 @@
-/** Which entry VMs and backend servers were heard of late: kept in memory, exchanged through the leader. */
+/** Tracks which entry VMs and backend servers were seen recently. Kept in memory and exchanged through the leader. */
 import type { Millis, ServerId } from '@lynxcourse/base'
 import { createEntryDiscovery, recordReadyEntry } from '@lynxcourse/placement'
 import type { EntryDiscovery, EntryPresence, KnownEntry, LoadDigest, LoadUpdate } from '@lynxcourse/placement'
-import type { ControlPlace } from './fleetNode.js'
+import type { ControlEndpoint } from './fleetNode.js'
 
-/** What one control VM holds. */
+/** What one control VM knows of the presence of other VMs and of servers. */
 export interface Presence {
   /** Entry VMs by name. */
   readonly entries: Map<string, KnownEntry>
-  /** What entry VMs told this VM themselves, by name, until the leader has it. */
-  readonly watching: Map<string, EntryPresence>
-  /** Whether enough of them were heard since this VM started. */
-  readonly gathering: EntryDiscovery
+  /** Presence that entry VMs reported to this VM directly and that the leader has not received yet, by name. */
+  readonly unreported: Map<string, EntryPresence>
+  /** Discovery of entry VMs since this VM started. */
+  readonly discovery: EntryDiscovery
   /** Control VMs by RPC address. */
-  readonly controls: Map<string, { readonly place: ControlPlace, readonly heardAt: Millis }>
-  /** Backend servers heard since the last exchange. */
+  readonly controls: Map<string, { readonly place: ControlEndpoint, readonly lastSeenAt: Millis }>
+  /** Backend servers that announced themselves since the last exchange. */
   readonly heard: Set<ServerId>
-  /** At the leader: when each server was last heard by any control VM. */
-  readonly heardAt: Map<ServerId, Millis>
-  /** When this VM last exchanged with the leader, or led itself: until then what it hears counts. */
-  exchangedAt: Millis
-  /** Since when this VM leads; undefined while it does not. */
+  /** At the leader: the time at which a control VM last reported each server. */
+  readonly serverLastSeenAt: Map<ServerId, Millis>
+  /** Time of the last exchange with the leader, or as the leader. */
+  lastExchangeAt: Millis
+  /** Time since which this VM leads; undefined while it doesn't. */
   leadingSince: Millis | undefined
 }
 
-/** An entry VM in an exchange; times travel as ages, since clocks differ. */
+/** An entry VM in an exchange. Messages contain ages instead of times, since clocks differ between VMs. */
 export interface AgedEntry {
   readonly presence: EntryPresence
   readonly ageMs: Millis
 }
 
-/** What a control VM tells the leader. */
+/** Report of a control VM to the leader. */
 export interface PresenceReport {
-  readonly from: ControlPlace
+  readonly from: ControlEndpoint
   readonly entries: readonly AgedEntry[]
   readonly heard: readonly ServerId[]
   readonly load: LoadDigest
-  /** Version of the servers' weights that it holds. */
+  /** Version of the servers' weights that the control VM has. */
   readonly weights: number
 }
 
-/** What the leader tells back. */
-export interface PresenceReply extends PresenceNews {
+/** The leader's reply to a report. */
+export interface PresenceReply extends PresenceSummary {
   readonly news: LoadUpdate
 }
 
-/** The part of it that tells who is there. */
-export interface PresenceNews {
+/** The entry VMs and control VMs that the leader knows. */
+export interface PresenceSummary {
   readonly entries: readonly AgedEntry[]
-  readonly controls: readonly ControlPlace[]
+  readonly controls: readonly ControlEndpoint[]
 }
 
-/** Older news of an entry VM is not passed on. */
-const maxAgeMs = 5000
-/** A control VM not heard for this long is no longer named. */
-const controlStaleMs = 6000
+/** Time after which an entry VM that was not seen again is forgotten. */
+const entryTtlMs = 5000
+/** Time after which a control VM that sent no report is forgotten. */
+const controlTtlMs = 6000
 
 export function createPresence (): Presence {
   return {
     entries: new Map(),
-    watching: new Map(),
-    gathering: createEntryDiscovery(),
+    unreported: new Map(),
+    discovery: createEntryDiscovery(),
     controls: new Map(),
     heard: new Set(),
-    heardAt: new Map(),
-    exchangedAt: -Infinity,
+    serverLastSeenAt: new Map(),
+    lastExchangeAt: -Infinity,
     leadingSince: undefined
   }
 }
 
-/** Notes an entry VM; older news never replaces newer. */
-export function noteEntry (presence: Presence, entry: EntryPresence, heardAt: Millis): boolean {
-  const held = presence.entries.get(entry.name)
-  if (held !== undefined && held.lastSeenAt >= heardAt) return false
-  presence.entries.set(entry.name, { presence: entry, lastSeenAt: heardAt })
-  if (entry.isReady && held?.presence.isReady !== true) recordReadyEntry(presence.gathering, heardAt)
-  return held === undefined || held.presence.isReady !== entry.isReady || held.presence.address !== entry.address
+/**
+ * Records the presence of an entry VM, unless a newer one is known.
+ *
+ * @returns whether the entry VM is new, or its address or readiness changed
+ */
+export function recordEntry (presence: Presence, entry: EntryPresence, lastSeenAt: Millis): boolean {
+  const known = presence.entries.get(entry.name)
+  if (known !== undefined && known.lastSeenAt >= lastSeenAt) return false
+  presence.entries.set(entry.name, { presence: entry, lastSeenAt })
+  if (entry.isReady && known?.presence.isReady !== true) recordReadyEntry(presence.discovery, lastSeenAt)
+  return known === undefined || known.presence.isReady !== entry.isReady || known.presence.address !== entry.address
 }
 
-/** Notes an entry VM that told this VM itself. */
-export function noteWatching (presence: Presence, entry: EntryPresence, now: Millis): boolean {
-  const isNews = noteEntry(presence, entry, now)
-  presence.watching.set(entry.name, entry)
-  return isNews
+/** Records the presence of an entry VM that sent a watch to this VM; returns the same as `recordEntry`. */
+export function recordWatchingEntry (presence: Presence, entry: EntryPresence, now: Millis): boolean {
+  const isChanged = recordEntry(presence, entry, now)
+  presence.unreported.set(entry.name, entry)
+  return isChanged
 }
 
 /**
- * What this VM tells the leader of entry VMs: those that told it themselves since the leader was last told. Told of all that it knows, the
- * leader would hear of each entry VM from each control VM, most of them by its own word.
+ * Lists the entry VMs for the next report to the leader: those that sent a watch to this VM and whose presence the
+ * leader has not received yet. If reports contained all known entry VMs, the leader would receive each of them from
+ * each control VM, and would mostly get back what it sent itself.
  */
-export function reportedEntries (presence: Presence, now: Millis): AgedEntry[] {
-  return agedEntries(presence, now).filter(({ presence: { name } }) => presence.watching.has(name))
+export function listUnreportedEntries (presence: Presence, now: Millis): AgedEntry[] {
+  return listRecentEntries(presence, now).filter(({ presence: { name } }) => presence.unreported.has(name))
 }
 
-/** Notes that the leader has a report; an entry VM that told this VM anything since is told again. */
-export function noteReported ({ watching }: Presence, entries: readonly AgedEntry[]): void {
+/**
+ * Records that the leader received a report. An entry VM that sent a newer presence in the meantime stays in the next
+ * report.
+ */
+export function recordReported ({ unreported }: Presence, entries: readonly AgedEntry[]): void {
   for (const { presence: entry } of entries) {
-    if (watching.get(entry.name) === entry) watching.delete(entry.name)
+    if (unreported.get(entry.name) === entry) unreported.delete(entry.name)
   }
 }
 
-/** Entry VMs with the age of the news. */
-export function agedEntries (presence: Presence, now: Millis): AgedEntry[] {
-  const fresh = [...presence.entries.values()].filter(entry => now - entry.lastSeenAt < maxAgeMs)
-  return fresh.map(entry => ({ presence: entry.presence, ageMs: Math.max(0, now - entry.lastSeenAt) }))
+/** Lists the recently seen entry VMs with the ages of their presence. */
+export function listRecentEntries (presence: Presence, now: Millis): AgedEntry[] {
+  const recent = [...presence.entries.values()].filter(entry => now - entry.lastSeenAt < entryTtlMs)
+  return recent.map(entry => ({ presence: entry.presence, ageMs: Math.max(0, now - entry.lastSeenAt) }))
 }
 
-/** Drops what is too old to matter. */
+/** Forgets entry VMs and control VMs that were not seen recently. */
 export function prunePresence (presence: Presence, now: Millis): void {
   for (const [name, entry] of presence.entries) {
-    if (now - entry.lastSeenAt <= maxAgeMs) continue
+    if (now - entry.lastSeenAt <= entryTtlMs) continue
     presence.entries.delete(name)
-    presence.watching.delete(name)
+    presence.unreported.delete(name)
   }
   for (const [rpc, control] of presence.controls) {
-    if (now - control.heardAt > controlStaleMs) presence.controls.delete(rpc)
+    if (now - control.lastSeenAt > controlTtlMs) presence.controls.delete(rpc)
   }
 }
 
-/** Takes a report at the leader. */
-export function takePresenceReport (presence: Presence, report: PresenceReport, now: Millis): PresenceNews {
-  presence.controls.set(report.from.rpc, { place: report.from, heardAt: now })
-  for (const { presence: entry, ageMs } of report.entries) noteEntry(presence, entry, now - ageMs)
-  for (const id of report.heard) presence.heardAt.set(id, now)
-  // An answer shows that a server lives as well as an announcement does: servers whose announcements went to VMs that were cut off
-  // from the leader all counted as lost at once, 21 of 40, while they served.
-  for (const [id] of report.load.servers) presence.heardAt.set(id, now)
-  return { entries: agedEntries(presence, now), controls: [...presence.controls.values()].map(control => control.place) }
+/** Applies a report at the leader; returns the reply. */
+export function applyPresenceReport (presence: Presence, report: PresenceReport, now: Millis): PresenceSummary {
+  presence.controls.set(report.from.rpc, { place: report.from, lastSeenAt: now })
+  for (const { presence: entry, ageMs } of report.entries) recordEntry(presence, entry, now - ageMs)
+  for (const id of report.heard) presence.serverLastSeenAt.set(id, now)
+  // A response proves that a server is alive, as an announcement does. Otherwise servers that announce themselves to
+  // control VMs without a connection to the leader would all be marked as lost at once while they serve requests.
+  for (const [id] of report.load.servers) presence.serverLastSeenAt.set(id, now)
+  return { entries: listRecentEntries(presence, now), controls: [...presence.controls.values()].map(control => control.place) }
 }
 
 /**
- * Exchanges with the leader that may be missed before what this VM hears counts as lost: two seconds, so that a server that is turned
- * away then is heard elsewhere before the 4.5 s after which it counts as lost.
+ * Number of exchanges with the leader that may fail before this VM rejects announcements. At 400 ms between exchanges
+ * that is 2 s, so that a rejected server can announce itself elsewhere before it has been silent for `missMs` and
+ * counts as lost.
  */
-const missedExchanges = 5
+const maxMissedExchanges = 5
 
-/** Whether what this VM hears reaches the leader, as far as its last exchanges tell. */
-export function isInTouch (presence: Presence, presenceMs: Millis, now: Millis): boolean {
-  return now - presence.exchangedAt < missedExchanges * presenceMs
+/** Whether a recent exchange shows that the leader receives what this VM reports. */
+export function hasRecentExchange (presence: Presence, presenceMs: Millis, now: Millis): boolean {
+  return now - presence.lastExchangeAt < maxMissedExchanges * presenceMs
 }
 
-/** Servers that count as present and were not heard for too long. */
-export function missedServers (presence: Presence, present: readonly ServerId[], missMs: Millis, now: Millis): ServerId[] {
-  const known = new Set(present)
-  for (const id of presence.heardAt.keys()) {
-    if (!known.has(id)) presence.heardAt.delete(id)
+/**
+ * Finds the present servers that were not seen for longer than `missMs`. The time of a server that was never seen
+ * starts with this call.
+ */
+export function findMissedServers (presence: Presence, present: readonly ServerId[], missMs: Millis, now: Millis): ServerId[] {
+  const presentIds = new Set(present)
+  for (const id of presence.serverLastSeenAt.keys()) {
+    if (!presentIds.has(id)) presence.serverLastSeenAt.delete(id)
   }
   const missed: ServerId[] = []
   for (const id of present) {
-    const heardAt = presence.heardAt.get(id)
-    if (heardAt === undefined) presence.heardAt.set(id, now)
-    else if (now - heardAt > missMs) missed.push(id)
+    const lastSeenAt = presence.serverLastSeenAt.get(id)
+    if (lastSeenAt === undefined) presence.serverLastSeenAt.set(id, now)
+    else if (now - lastSeenAt > missMs) missed.push(id)
   }
   return missed
 }
--- a/packages/daemon/src/core/fleet/serverSlots.ts
+++ b/packages/daemon/src/core/fleet/serverSlots.ts
@@ -1,11 +1,14 @@
-/** Slots of a fleet's servers, by the copy of the state. */
+/** Derives the slots and regions of a fleet's servers from the state. */
 import type { FailureDomainId, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { listItems } from '@lynxcourse/state'
 import type { Config } from '@lynxcourse/state'
 import type { KnownServer, KnownServers, ServiceSlots } from '@lynxcourse/placement'
 
-/** Slots of the servers that take work, by service and region; a region without any counts with none. */
-export function openSlots (config: Config, regions: ReadonlyMap<FailureDomainId, RegionId>): ServiceSlots {
+/**
+ * Counts the slots of the serving servers by service and region. Regions without such servers are included with 0
+ * slots.
+ */
+export function countOpenSlots (config: Config, regions: ReadonlyMap<FailureDomainId, RegionId>): ServiceSlots {
   const evacuated = new Set<string>(listItems(config, 'evacuation').filter(item => item.isActive).map(item => item.key))
   const slots = new Map<ServiceId, Map<RegionId, number>>()
   for (const { facts, state } of listItems(config, 'backend')) {
@@ -18,13 +21,13 @@
   return slots
 }
 
-/** What the board needs to know of each server that may come back. */
-export function serverPlaces (config: Config, regions: ReadonlyMap<FailureDomainId, RegionId>): KnownServers {
-  const places = new Map<ServerId, KnownServer>()
+/** Lists the servers that have not ended, as the load board needs them. */
+export function listKnownServers (config: Config, regions: ReadonlyMap<FailureDomainId, RegionId>): KnownServers {
+  const servers = new Map<ServerId, KnownServer>()
   for (const { key, facts, state } of listItems(config, 'backend')) {
     if (state === 'gone') continue
     const isSettled = state === 'serving' && facts.coldMs === 0
-    places.set(key, { service: facts.service, region: regions.get(facts.failureDomain), slots: facts.slots, isSettled })
+    servers.set(key, { service: facts.service, region: regions.get(facts.failureDomain), slots: facts.slots, isSettled })
   }
-  return places
+  return servers
 }
--- a/packages/daemon/src/core/fleet/watching.ts
+++ b/packages/daemon/src/core/fleet/watching.ts
@@ -1,4 +1,4 @@
-/** An entry VM follows the control VMs' state by watches that stay open until there is news. */
+/** An entry VM follows the state of the control VMs by long polling: a watch stays open until there is a change. */
 import { getErrorMessage, rankByHash } from '@lynxcourse/base'
 import type { Millis } from '@lynxcourse/base'
 import { applyDelta } from '@lynxcourse/state'
@@ -8,123 +8,132 @@
 import { log } from '../../utils/logging.js'
 import { delay } from '../node/timers.js'
 import { callPeer } from '../rpc/rpcClient.js'
-import { controlAddresses, notifyFleetChange } from './fleetNode.js'
+import { listControlAddresses, notifyFleetChange } from './fleetNode.js'
 import type { FleetNode } from './fleetNode.js'
 import type { WatchReply, WatchRequest } from './fleetMethods.js'
 
-/** A control VM that failed is passed over for this long. */
-const avoidMs = 2000
-/** Pause after a failure, so that a fleet without control VMs is not flooded. */
-const retryMs = 60
-/** A VM without a state waits this long at one control VM for it, about the time of an election, before it asks the next one. */
-const firstWatchMs = 500
-/** Names of entry VMs are remembered for this long, since a control VM that has just started knows few. */
-const namesKeptMs = 30_000
+/** Time during which a control VM that failed is not used. */
+const avoidDurationMs = 2000
+/** Delay after a failure, so that control VMs that can't answer are not flooded. */
+const retryDelayMs = 60
+/**
+ * Time that a VM without a state waits for one control VM, before it tries the next one: about the duration of an
+ * election.
+ */
+const firstWatchTimeoutMs = 500
+/** Time for which names of entry VMs are kept, since a control VM that has just started knows few of them. */
+const entryNameTtlMs = 30_000
 
-/** Follows; disposal ends it. */
-export interface Watching extends AsyncDisposable {
+/** A running watch of the state; disposal stops it. */
+export interface StateWatch extends AsyncDisposable {
   readonly node: FleetNode
   readonly self: () => EntryPresence
-  readonly avoided: Map<string, Millis>
-  readonly namesAt: Map<string, Millis>
-  parent: string | undefined
+  readonly avoidedUntil: Map<string, Millis>
+  readonly entryNamesSeenAt: Map<string, Millis>
+  currentControl: string | undefined
   stopped: boolean
 }
 
-export function startWatching (node: FleetNode, self: () => EntryPresence): Watching {
-  const watching: Watching = {
+export function startStateWatch (node: FleetNode, self: () => EntryPresence): StateWatch {
+  const watch: StateWatch = {
     node,
     self,
-    avoided: new Map(),
-    namesAt: new Map(),
-    parent: undefined,
+    avoidedUntil: new Map(),
+    entryNamesSeenAt: new Map(),
+    currentControl: undefined,
     stopped: false,
-    [Symbol.asyncDispose]: async () => { watching.stopped = true }
+    [Symbol.asyncDispose]: async () => { watch.stopped = true }
   }
-  follow(watching).catch((err: unknown) => log(node.logs, 'sync', 'error', 'Following ended.', { error: getErrorMessage(err) }))
-  return watching
+  runWatch(watch).catch((err: unknown) => log(node.logs, 'sync', 'error', 'Watching of the state ended unexpectedly.', { error: getErrorMessage(err) }))
+  return watch
 }
 
-async function follow (watching: Watching): Promise<void> {
-  const { node } = watching
-  while (!watching.stopped) {
-    const parent = chooseControl(watching, presentTime())
-    if (parent === undefined) {
-      watching.avoided.clear()
-      await delay(retryMs)
+async function runWatch (watch: StateWatch): Promise<void> {
+  const { node } = watch
+  while (!watch.stopped) {
+    const control = chooseControl(watch, presentTime())
+    if (control === undefined) {
+      watch.avoidedUntil.clear()
+      await delay(retryDelayMs)
       continue
     }
     try {
-      const isFirst = parent !== watching.parent
-      const reply = await watchOnce(watching, parent, waitFor(watching, isFirst))
-      if (isFirst) log(node.logs, 'sync', 'info', 'Follows a control VM.', { peer: parent, ageMs: reply.ageMs === null ? undefined : Math.round(reply.ageMs), version: node.config.version })
-      watching.parent = parent
-      takeWatchReply(watching, parent, reply, presentTime())
+      const isFirst = control !== watch.currentControl
+      const reply = await watchOnce(watch, control, getWatchTimeout(watch, isFirst))
+      if (isFirst) log(node.logs, 'sync', 'info', 'Watching a control VM.', { peer: control, ageMs: reply.ageMs === null ? undefined : Math.round(reply.ageMs), version: node.config.version })
+      watch.currentControl = control
+      applyWatchReply(watch, control, reply, presentTime())
     } catch (err) {
-      log(node.logs, 'sync', 'warn', 'Control VM lost.', { peer: parent, error: getErrorMessage(err) })
-      avoid(watching, parent, presentTime())
-      await delay(retryMs)
+      log(node.logs, 'sync', 'warn', 'Watch of a control VM failed.', { peer: control, error: getErrorMessage(err) })
+      avoidControl(watch, control, presentTime())
+      await delay(retryDelayMs)
     }
   }
 }
 
-/** The first watch on a control VM returns at once, so that it shows whether that VM knows the present state; a VM without any waits for it. */
-function waitFor ({ node }: Watching, isFirst: boolean): Millis {
+/**
+ * Returns how long a watch may stay open. The first watch of a control VM returns immediately, which shows whether that
+ * VM knows the current state. A VM that has no state yet waits for one.
+ */
+function getWatchTimeout ({ node }: StateWatch, isFirst: boolean): Millis {
   if (!isFirst) return node.cfg.times.watchMs
-  return node.freshAt === -Infinity ? firstWatchMs : 0
+  return node.freshAt === -Infinity ? firstWatchTimeoutMs : 0
 }
 
-/** Tells one control VM at once of a change of this VM's own state. */
-export async function tellPresence (watching: Watching): Promise<void> {
-  const parent = chooseControl(watching, presentTime())
-  if (parent === undefined) return
-  await watchOnce(watching, parent, 0).catch((err: unknown) => log(watching.node.logs, 'sync', 'warn', 'Presence not told.', { peer: parent, error: getErrorMessage(err) }))
+/** Sends a change of this VM's presence to one control VM immediately. */
+export async function publishPresence (watch: StateWatch): Promise<void> {
+  const control = chooseControl(watch, presentTime())
+  if (control === undefined) return
+  await watchOnce(watch, control, 0).catch((err: unknown) => log(watch.node.logs, 'sync', 'warn', 'Presence could not be published.', { peer: control, error: getErrorMessage(err) }))
 }
 
-async function watchOnce (watching: Watching, parent: string, waitMs: Millis): Promise<WatchReply> {
-  const { node } = watching
+async function watchOnce (watch: StateWatch, control: string, waitMs: Millis): Promise<WatchReply> {
+  const { node } = watch
   const load = flushLoadReport(node.load, presentTime())
-  const request: WatchRequest = { version: node.config.version, waitMs, self: watching.self(), weights: node.loadNews.weights?.version ?? 0, ...(load === undefined ? {} : { load }) }
-  return await callPeer<WatchReply>(node.client, parent, 'fleet.watch', request, waitMs + node.cfg.times.rpcTimeoutMs)
+  const request: WatchRequest = { version: node.config.version, waitMs, self: watch.self(), weights: node.loadNews.weights?.version ?? 0, ...(load === undefined ? {} : { load }) }
+  return await callPeer<WatchReply>(node.client, control, 'fleet.watch', request, waitMs + node.cfg.times.rpcTimeoutMs)
 }
 
-/** A control VM of this region if one answers, else any. */
-function chooseControl (watching: Watching, now: Millis): string | undefined {
-  const { node } = watching
-  const open = controlAddresses(node).filter(address => (watching.avoided.get(address) ?? 0) <= now)
-  const near = open.filter(address => node.controls.some(place => place.rpc === address && place.region === node.cfg.region))
-  return rankByHash(node.cfg.name, near.length > 0 ? near : open)[0]
+/**
+ * Selects a control VM that did not fail recently: one of this region if possible, otherwise any; undefined if there is
+ * none.
+ */
+function chooseControl (watch: StateWatch, now: Millis): string | undefined {
+  const { node } = watch
+  const available = listControlAddresses(node).filter(address => (watch.avoidedUntil.get(address) ?? 0) <= now)
+  const inRegion = available.filter(address => node.controls.some(endpoint => endpoint.rpc === address && endpoint.region === node.cfg.region))
+  return rankByHash(node.cfg.name, inRegion.length > 0 ? inRegion : available)[0]
 }
 
-function avoid (watching: Watching, address: string, now: Millis): void {
-  watching.avoided.set(address, now + avoidMs)
-  if (watching.parent === address) watching.parent = undefined
+function avoidControl (watch: StateWatch, address: string, now: Millis): void {
+  watch.avoidedUntil.set(address, now + avoidDurationMs)
+  if (watch.currentControl === address) watch.currentControl = undefined
 }
 
-function takeWatchReply (watching: Watching, parent: string, reply: WatchReply, now: Millis): void {
-  const { node } = watching
+function applyWatchReply (watch: StateWatch, control: string, reply: WatchReply, now: Millis): void {
+  const { node } = watch
   if (reply.controls.length > 0) node.controls = reply.controls
   const weights = reply.news.weights ?? node.loadNews.weights
-  // A control VM that has just started has heard of no plans yet; what this VM was told last goes on until then.
+  // A control VM that has just started knows no plans yet; the previous plans of this VM stay valid until it does.
   const plans = reply.news.plans.length > 0 ? reply.news.plans : node.loadNews.plans
   node.loadNews = { ...reply.news, plans, ...(weights === undefined ? {} : { weights }) }
-  for (const listener of node.onLoad) listener()
-  for (const name of reply.entries) watching.namesAt.set(name, now)
-  for (const [name, at] of watching.namesAt) if (now - at > namesKeptMs) watching.namesAt.delete(name)
-  node.entryNames = [...new Set([node.cfg.name, ...watching.namesAt.keys()])].sort()
+  for (const listener of node.onLoadUpdate) listener()
+  for (const name of reply.entries) watch.entryNamesSeenAt.set(name, now)
+  for (const [name, at] of watch.entryNamesSeenAt) if (now - at > entryNameTtlMs) watch.entryNamesSeenAt.delete(name)
+  node.entryNames = [...new Set([node.cfg.name, ...watch.entryNamesSeenAt.keys()])].sort()
   const isStale = reply.ageMs === null || reply.ageMs > node.cfg.times.staleMs
-  // A control VM that was cut off or has just started may hold an old state. It does no harm to a VM that
-  // already follows, since versions only grow; it must not be the first word that a VM hears.
+  // A control VM that was partitioned or has just started may have a stale state. A VM that already has a state can
+  // apply it safely, since versions only increase, but it must not be the first state of a VM.
   if (isStale && node.freshAt === -Infinity) {
-    avoid(watching, parent, now)
+    avoidControl(watch, control, now)
     return
   }
-  const before = node.config.version
-  const isWhole = reply.delta === undefined || applyDelta(node.config, reply.delta)
-  if (isStale) avoid(watching, parent, now)
-  else if (isWhole) node.freshAt = now - (reply.ageMs ?? 0)
-  if (node.config.version !== before) {
-    log(node.logs, 'sync', 'info', 'State in force.', { version: node.config.version, from: before, items: reply.delta?.items.length, peer: parent })
+  const previousVersion = node.config.version
+  const isComplete = reply.delta === undefined || applyDelta(node.config, reply.delta)
+  if (isStale) avoidControl(watch, control, now)
+  else if (isComplete) node.freshAt = now - (reply.ageMs ?? 0)
+  if (node.config.version !== previousVersion) {
+    log(node.logs, 'sync', 'info', 'State applied.', { version: node.config.version, from: previousVersion, items: reply.delta?.items.length, peer: control })
     notifyFleetChange(node)
   }
 }
--- a/packages/daemon/src/core/rpc/packing.ts
+++ b/packages/daemon/src/core/rpc/packing.ts
@@ -1,41 +1,42 @@
 /**
- * Packs large messages between VMs.
+ * Compresses large messages between VMs.
  *
- * What can go wrong: all VMs start at one moment and each asks for the whole state. Its bytes fill an entry VM's link and their writing a
- * control VM's processor, calls run into their time-out, the state is sent again, and callers' requests wait in the same link. It
- * shows as VMs that receive several times the state before they are ready.
+ * When all VMs start at the same time, each of them requests the whole state. Without compression, the transfers
+ * saturate the links of entry VMs and the processors of control VMs, calls time out, the state is sent again, and
+ * requests of callers wait behind it in the same links. The symptom is VMs that receive the state several times before
+ * they are ready.
  */
 import { constants, gunzipSync, gzipSync } from 'node:zlib'
 import { LynxError } from '@lynxcourse/base'
 
-/** The coding, as HTTP names it. */
-export const packedCoding = 'gzip'
-/** Shorter messages gain less than their packing costs: they fit into some packets. */
-const leastPackedBytes = 4096
-/** The fastest level: 0.35 ms for 89 KB (mean of 50); level 6 saves a seventh of the packed bytes for twice the time. */
-const packing = { level: constants.Z_BEST_SPEED }
+/** The supported content coding, under its HTTP name. */
+export const supportedEncoding = 'gzip'
+/** Shorter messages fit into a few packets, so compressing them costs more than it saves. */
+const minCompressedBytes = 4096
+/** The fastest level takes 0.35 ms for 89 KB; level 6 takes twice the time for output that is a seventh smaller. */
+const gzipOptions = { level: constants.Z_BEST_SPEED }
 
-/** Whether a peer that accepts these codings should get a message of so many bytes packed. */
-export function isWorthPacking (accepted: string | undefined, bytes: number): boolean {
-  return bytes >= leastPackedBytes && accepted?.split(',').some(coding => coding.trim() === packedCoding) === true
+/** Whether a message of this size should be compressed for a peer that accepts these content codings. */
+export function shouldCompress (acceptedEncodings: string | undefined, bytes: number): boolean {
+  return bytes >= minCompressedBytes && acceptedEncodings?.split(',').some(encoding => encoding.trim() === supportedEncoding) === true
 }
 
-export function packText (text: string): Buffer {
-  return gzipSync(text, packing)
+export function compressText (text: string): Buffer {
+  return gzipSync(text, gzipOptions)
 }
 
 /**
- * Unpacks a message.
+ * Decompresses the body of a message.
  *
- * @param coding what its head names; undefined for none
- * @throws LynxError `peerFailed` where it can't be read, or is longer than `maxBytes` unpacked
+ * @param encoding value of its `content-encoding` header; undefined if the body is not compressed
+ * @throws LynxError `peerFailed` if the body can't be decompressed or would be longer than `maxBytes`
  */
-export function unpackText (body: Buffer, coding: string | undefined, maxBytes: number): string {
-  if (coding === undefined) return body.toString('utf8')
-  if (coding !== packedCoding) throw new LynxError('peerFailed', `unknown coding ${coding}`, { step: 'unpack' })
+export function decompressText (body: Buffer, encoding: string | undefined, maxBytes: number): string {
+  if (encoding === undefined) return body.toString('utf8')
+  if (encoding !== supportedEncoding) throw new LynxError('peerFailed', `unsupported content encoding '${encoding}'`, { step: 'unpack' })
   try {
     return gunzipSync(body, { maxOutputLength: maxBytes }).toString('utf8')
   } catch (err) {
-    throw new LynxError('peerFailed', 'the answer can\'t be unpacked', { step: 'unpack', cause: err })
+    throw new LynxError('peerFailed', 'the response can\'t be decompressed', { step: 'unpack', cause: err })
   }
 }
--- a/packages/daemon/src/core/rpc/rpcClient.ts
+++ b/packages/daemon/src/core/rpc/rpcClient.ts
@@ -1,4 +1,6 @@
-/** JSON-RPC 2.0 over HTTP to other VMs. Every call has a time-out; errors name the step and the peer. */
+/**
+ * JSON-RPC 2.0 client for calls to other VMs over HTTP. Every call has a timeout; errors name the step and the peer.
+ */
 import { JSONRPCClient } from 'json-rpc-2.0'
 import type { JSONRPCResponse } from 'json-rpc-2.0'
 import { Pool, buildConnector } from 'undici'
@@ -7,14 +9,14 @@
 import type { ErrorCode, Millis } from '@lynxcourse/base'
 import type { Metrics } from '../../utils/metrics.js'
 import { resetUnanswered } from '../../utils/resetUnanswered.js'
-import { packedCoding, unpackText } from './packing.js'
+import { supportedEncoding, decompressText } from './packing.js'
 
-/** What a client needs to reach other VMs. */
+/** Configuration of an RPC client. */
 export interface RpcClientCfg {
   readonly timeoutMs: Millis
-  /** The address that calls come from; empty for any. */
+  /** Local address that connections are bound to; empty for any. */
   readonly localAddress: string
-  /** TLS material; without it, plain HTTP. */
+  /** Returns the TLS material; undefined for plain HTTP. */
   readonly tls: () => { readonly cert: string, readonly key: string, readonly ca: string } | undefined
   readonly metrics: Metrics | undefined
 }
@@ -26,8 +28,8 @@
 
 const maxConnectionsPerPeer = 16
 const maxPeers = 256
-/** Largest answer that is unpacked; more than the whole state at the target size (docs/CAPACITY.md). */
-const maxAnswerBytes = 67_108_864
+/** Maximum size of a decompressed response; more than the whole state at the target size (docs/CAPACITY.md). */
+const maxResponseBytes = 67_108_864
 
 export function createRpcClient (cfg: RpcClientCfg): RpcClient {
   const client: RpcClient = { cfg, pools: new Map(), [Symbol.asyncDispose]: async () => await closeClient(client) }
@@ -38,9 +40,9 @@
   await Promise.all([...client.pools.values()].map(async pool => await pool.destroy()))
 }
 
-function poolFor (client: RpcClient, address: string): Pool {
-  const known = client.pools.get(address)
-  if (known !== undefined) return known
+function getPool (client: RpcClient, address: string): Pool {
+  const existing = client.pools.get(address)
+  if (existing !== undefined) return existing
   dropOldestPool(client)
   const tls = client.cfg.tls()
   const local = client.cfg.localAddress === '' ? {} : { localAddress: client.cfg.localAddress }
@@ -48,8 +50,8 @@
   const pool = new Pool(`${tls === undefined ? 'http' : 'https'}://${address}`, {
     connections: maxConnectionsPerPeer,
     ...local,
-    connect: tls === undefined ? resettingConnector(connect) : connect,
-    // Each call ends by its own time-out: one of the pool's would cut calls that may take longer.
+    connect: tls === undefined ? createResettingConnector(connect) : connect,
+    // Each call has its own timeout; timeouts of the pool would abort calls that are allowed to take longer.
     headersTimeout: 0,
     bodyTimeout: 0
   })
@@ -57,8 +59,11 @@
   return pool
 }
 
-/** Calls that were given up must not be taken later: what they ask for may have been undone by then. */
-function resettingConnector (connect: buildConnector.connector): buildConnector.connector {
+/**
+ * Creates a connector whose connections are reset when they end with an unanswered call. The peer must not process an
+ * abandoned call later, since its effect may have been reversed in the meantime.
+ */
+function createResettingConnector (connect: buildConnector.connector): buildConnector.connector {
   return (options, callback) => connect(options, (...result) => {
     if (result[0] === null) resetUnanswered(result[1])
     callback(...result)
@@ -73,7 +78,7 @@
   oldest[1].close().catch(() => undefined)
 }
 
-/** Forgets all connections, so that the next calls use new TLS files. */
+/** Closes all connections, so that later calls connect with the current TLS files. */
 export function refreshPools (client: RpcClient): void {
   for (const pool of client.pools.values()) pool.close().catch(() => undefined)
   client.pools.clear()
@@ -82,18 +87,20 @@
 /**
  * Calls a method of a peer.
  *
- * @throws LynxError `peerFailed` when it can't be reached in time, else the peer's own error
+ * @param timeoutMs overrides the timeout of the client
+ * @throws LynxError `peerFailed` if the peer can't be reached or doesn't answer in time, otherwise the error that the
+ * peer returned
  */
 export async function callPeer<Result> (client: RpcClient, address: string, method: string, params: object, timeoutMs?: Millis): Promise<Result> {
   client.cfg.metrics?.rpc.inc({ method, side: 'out' })
-  const pool = poolFor(client, address)
+  const pool = getPool(client, address)
   const rpc: JSONRPCClient = new JSONRPCClient(async request => {
     const body = JSON.stringify(request)
     client.cfg.metrics?.rpcBytes.inc({ direction: 'out' }, body.length)
     const text = await post(pool, body, timeoutMs ?? client.cfg.timeoutMs)
     client.cfg.metrics?.rpcBytes.inc({ direction: 'in' }, text.length)
     const response = JSON.parse(text) as JSONRPCResponse
-    // An answer to nobody would leave the caller waiting for ever.
+    // The JSON-RPC client ignores a response with another id, and the call would never end.
     if (response.id !== request.id) throw new LynxError('peerFailed', getErrorMessage(response.error), { step: method, peer: address })
     rpc.receive(response)
   })
@@ -108,19 +115,19 @@
   const options: Dispatcher.RequestOptions = {
     method: 'POST',
     path: '/rpc',
-    headers: { 'content-type': 'application/json', 'accept-encoding': packedCoding },
+    headers: { 'content-type': 'application/json', 'accept-encoding': supportedEncoding },
     body,
     signal: AbortSignal.timeout(Math.max(1, Math.ceil(timeoutMs)))
   }
   const res = await pool.request(options)
   const received = Buffer.from(await res.body.arrayBuffer())
-  const text = unpackText(received, res.headers['content-encoding']?.toString(), maxAnswerBytes)
-  if (res.statusCode !== 200) throw refusalOf(res.statusCode, text)
+  const text = decompressText(received, res.headers['content-encoding']?.toString(), maxResponseBytes)
+  if (res.statusCode !== 200) throw createStatusError(res.statusCode, text)
   return text
 }
 
-/** The error behind a message that the peer did not take as RPC at all. */
-function refusalOf (status: number, text: string): LynxError {
+/** Creates the error for a response that the peer sent before it processed the message as RPC. */
+function createStatusError (status: number, text: string): LynxError {
   const code = status === 403 ? 'notAllowed' : status === 413 ? 'tooLarge' : status === 429 ? 'overCapacity' : 'peerFailed'
   return new LynxError(code, `status ${status}: ${text.slice(0, 300)}`, { step: 'send' })
 }
--- a/packages/daemon/src/core/rpc/rpcServer.ts
+++ b/packages/daemon/src/core/rpc/rpcServer.ts
@@ -1,4 +1,4 @@
-/** JSON-RPC 2.0 over HTTP for other VMs and operators. */
+/** JSON-RPC 2.0 server over HTTP for other VMs, operators and backend servers. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, RequestListener, Server, ServerResponse } from 'node:http'
 import { createServer as createTlsServer } from 'node:https'
@@ -15,25 +15,28 @@
 import type { RateLimit } from '../../utils/rateLimit.js'
 import { lookAtSender } from '../../utils/senderLook.js'
 import type { TlsFiles } from '../../plugins/tlsFiles.js'
-import { isWorthPacking, packText, packedCoding } from './packing.js'
+import { shouldCompress, compressText, supportedEncoding } from './packing.js'
 
-/** Who calls, by the certificate's name: `vm:NAME`, `operator:NAME` or `server:NAME`. */
+/**
+ * The sender of a call, identified by the common name of its certificate: `vm:NAME`, `operator:NAME` or `server:NAME`.
+ */
 export interface RpcCaller {
   readonly role: 'vm' | 'operator' | 'server' | 'loopback'
   readonly name: string
   readonly address: string
 }
 
-/** A call that a method works on. */
+/** A call in progress. */
 export interface RpcCall extends RpcCaller {
   /**
-   * Waits for a look at the caller's connection. For methods whose late answers are of no use, or whose late effects do harm; what
-   * stays true without its sender is taken without a look.
+   * Waits for the next poll of the caller's connection, which reads a close that already arrived. Methods use it if a
+   * late answer is useless or a late effect is harmful. Methods that record facts don't need it: these stay true after
+   * the caller disconnects.
    *
-   * @throws LynxError `cancelled` if the caller closed it
+   * @throws LynxError `cancelled` if the caller closed the connection
    */
-  readonly look: () => Promise<void>
-  /** Aborted once the caller closed its connection, or has its answer. */
+  readonly ensureConnected: () => Promise<void>
+  /** Aborted when the connection closes or the response has been sent. */
   readonly gone: Cancel
 }
 
@@ -45,19 +48,19 @@
   readonly metrics: Metrics
 }
 
-/** Error code of JSON-RPC for errors of this system; the detail is in `data`. */
+/** JSON-RPC error code of all LynxErrors; `data` has the details. */
 const applicationErrorCode = -32000
 const maxHeaderBytes = 16_384
-const wireCountMs = 1000
+const wireCountIntervalMs = 1000
 
-/** Bounds of what the server takes. */
+/** Limits on incoming messages. */
 export interface RpcLimits {
   readonly maxBytes: number
-  /** From one address. */
+  /** Maximum number of messages per second from one address. */
   readonly perSecond: number
 }
 
-/** Makes the server; add its methods before it listens. */
+/** Creates the server. Its methods have to be added before it listens. */
 export function createRpcServer (limits: RpcLimits, metrics: Metrics, tls: TlsFiles | undefined, loop: LoopWatch): RpcServer {
   const methods = new JSONRPCServer<RpcCall>({ errorListener: () => undefined })
   methods.mapErrorToJSONRPCErrorResponse = (id, err) => {
@@ -65,9 +68,9 @@
     const code = data === undefined ? JSONRPCErrorCode.InternalError : applicationErrorCode
     return createJSONRPCErrorResponse(id, code, getErrorMessage(err), data)
   }
-  const rate = createRateLimit(limits.perSecond)
+  const rateLimit = createRateLimit(limits.perSecond)
   const listener: RequestListener = (req, res) => {
-    answerRpc(methods, limits.maxBytes, rate, loop, req, res).catch((err: unknown) => refuse(res, metrics, err))
+    handleRequest(methods, limits.maxBytes, rateLimit, loop, req, res).catch((err: unknown) => sendError(res, metrics, err))
   }
   const options = { maxHeaderSize: maxHeaderBytes, requestTimeout: 30_000, headersTimeout: 10_000 }
   const server = tls === undefined
@@ -78,7 +81,7 @@
   return { server, methods, metrics }
 }
 
-function refuse (res: ServerResponse, metrics: Metrics, err: unknown): void {
+function sendError (res: ServerResponse, metrics: Metrics, err: unknown): void {
   metrics.refusals.inc({ reason: isLynxError(err) ? err.code : 'badRpc' })
   if (res.headersSent) {
     res.destroy()
@@ -89,38 +92,38 @@
   res.writeHead(status, { 'content-type': 'application/json', connection: 'close' }).end(JSON.stringify(body))
 }
 
-async function answerRpc (methods: JSONRPCServer<RpcCall>, maxBytes: number, rate: RateLimit, loop: LoopWatch, req: IncomingMessage, res: ServerResponse): Promise<void> {
+async function handleRequest (methods: JSONRPCServer<RpcCall>, maxBytes: number, rateLimit: RateLimit, loop: LoopWatch, req: IncomingMessage, res: ServerResponse): Promise<void> {
   if (req.method !== 'POST' || req.url !== '/rpc') throw new LynxError('badRpc', 'expected POST /rpc', { step: 'receive' })
-  const caller = callerOf(req)
-  if (!takeToken(rate, caller.address, presentTime())) {
-    throw new LynxError('overCapacity', `more than ${rate.perSecond} messages a second`, { step: 'receive', peer: caller.address })
+  const caller = identifyCaller(req)
+  if (!takeToken(rateLimit, caller.address, presentTime())) {
+    throw new LynxError('overCapacity', `more than ${rateLimit.perSecond} messages per second`, { step: 'receive', peer: caller.address })
   }
   const body = await readBody(req, maxBytes)
-  const look = async (): Promise<void> => await lookAtSender(loop.looks, req.socket, 'receive')
+  const ensureConnected = async (): Promise<void> => await lookAtSender(loop.looks, req.socket, 'receive')
   const gone = new Cancel()
   res.once('close', () => gone.abort())
-  const answer = await methods.receiveJSON(body.toString('utf8'), { ...caller, look, gone })
+  const answer = await methods.receiveJSON(body.toString('utf8'), { ...caller, ensureConnected, gone })
   const text = JSON.stringify(answer ?? null)
   const type = { 'content-type': 'application/json' }
-  if (isWorthPacking(req.headers['accept-encoding']?.toString(), text.length)) {
-    res.writeHead(200, { ...type, 'content-encoding': packedCoding }).end(packText(text))
+  if (shouldCompress(req.headers['accept-encoding']?.toString(), text.length)) {
+    res.writeHead(200, { ...type, 'content-encoding': supportedEncoding }).end(compressText(text))
     return
   }
   res.writeHead(200, type).end(text)
 }
 
-/** Counts all bytes of a connection when it closes and whenever a request ends on it. */
+/** Counts the bytes of each connection periodically and when it closes. */
 function countWireBytes (server: Server, metrics: Metrics): void {
   server.on('connection', socket => {
-    let read = 0
-    let written = 0
+    let countedIn = 0
+    let countedOut = 0
     const count = (): void => {
-      metrics.rpcWireBytes.inc({ direction: 'in' }, socket.bytesRead - read)
-      metrics.rpcWireBytes.inc({ direction: 'out' }, socket.bytesWritten - written)
-      read = socket.bytesRead
-      written = socket.bytesWritten
+      metrics.rpcWireBytes.inc({ direction: 'in' }, socket.bytesRead - countedIn)
+      metrics.rpcWireBytes.inc({ direction: 'out' }, socket.bytesWritten - countedOut)
+      countedIn = socket.bytesRead
+      countedOut = socket.bytesWritten
     }
-    const timer = setInterval(count, wireCountMs)
+    const timer = setInterval(count, wireCountIntervalMs)
     timer.unref()
     socket.once('close', () => {
       clearInterval(timer)
@@ -129,14 +132,14 @@
   })
 }
 
-/** Tells callers apart by certificate; without TLS the daemon only listens on loopback. */
-function callerOf (req: IncomingMessage): RpcCaller {
+/** Identifies the caller by its certificate; without TLS the daemon listens on loopback only. */
+function identifyCaller (req: IncomingMessage): RpcCaller {
   const address = req.socket.remoteAddress ?? ''
   const socket = req.socket as TLSSocket
   if (socket.encrypted !== true) return { role: 'loopback', name: address, address }
   const [role, name] = String(socket.getPeerCertificate().subject?.CN ?? '').split(':')
   if ((role !== 'vm' && role !== 'operator' && role !== 'server') || name === undefined || name === '') {
-    throw new LynxError('notAllowed', 'certificate names no vm:, operator: or server:', { step: 'receive', peer: address })
+    throw new LynxError('notAllowed', 'the certificate names no vm:, operator: or server:', { step: 'receive', peer: address })
   }
   return { role, name, address }
 }
@@ -144,30 +147,30 @@
 /**
  * Adds a method.
  *
- * @param roles who may call it; callers on loopback without TLS may call all
- * @param schema checks the parameters, so that an error names the field
+ * @param roles roles that may call the method; callers on loopback without TLS may call every method
+ * @param schema validates the parameters; the error for invalid parameters names the field
  */
 export function addMethod<Schema extends z.ZodType> (
   rpc: RpcServer, name: string, roles: ReadonlyArray<RpcCaller['role']>, schema: Schema, handler: RpcHandler<z.output<Schema>>
 ): void {
-  rpc.methods.addMethod(name, async (params: unknown, caller: RpcCall) => {
+  rpc.methods.addMethod(name, async (params: unknown, call: RpcCall) => {
     rpc.metrics.rpc.inc({ method: name, side: 'in' })
-    if (caller.role !== 'loopback' && !roles.includes(caller.role)) {
+    if (call.role !== 'loopback' && !roles.includes(call.role)) {
       rpc.metrics.refusals.inc({ reason: 'notAllowed' })
-      throw new LynxError('notAllowed', `${caller.role}:${caller.name} may not call ${name}`, { step: name, peer: caller.name })
+      throw new LynxError('notAllowed', `${call.role}:${call.name} may not call ${name}`, { step: name, peer: call.name })
     }
-    const checked = schema.safeParse(params ?? {})
-    if (!checked.success) {
-      const issue = checked.error.issues[0]
+    const parsed = schema.safeParse(params ?? {})
+    if (!parsed.success) {
+      const issue = parsed.error.issues[0]
       const field = issue?.path.join('.') ?? ''
       rpc.metrics.refusals.inc({ reason: 'badRequest' })
       throw new LynxError('badRequest', `${field}: ${issue?.message}`, { step: name, field })
     }
-    return await handler(checked.data, caller)
+    return await handler(parsed.data, call)
   })
 }
 
-/** Starts to listen. */
+/** Starts to listen on an address. */
 export async function listenRpc (rpc: RpcServer, address: string): Promise<void> {
   await listen(rpc.server, address)
 }
