--- a/packages/daemon/__tests__/announcing.test.ts
+++ b/packages/daemon/__tests__/announcing.test.ts
@@ -1,4 +1,4 @@
-/** Announcements of many servers at one moment. */
+/** Announcements of many servers at the same time. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { brandId } from '@lynxcourse/base'
@@ -11,20 +11,21 @@
 const serverCount = 200
 
 /*
- * After a start of 630 servers and 200 VMs four leaders in a row lost their followers after a second each, and there was none that lasted for nine
- * seconds: 500 to 870 calls of servers failed in each of them with «no leader is known» or «no quorum within 800 ms». Each announcement went
- * to the leader as a call of its own, several milliseconds of a processor share of 0.4, and the hundreds that had waited for a leader came to it at once.
+ * Guards against leaders that lose their followers after a second each. When each announcement was a separate call to
+ * the leader, which takes several milliseconds at 0.4 of a processor, the hundreds of announcements that had waited for
+ * a leader arrived at once. After a start of 630 servers and 200 VMs, four leaders in a row failed so, 500 to 870 calls
+ * failed each time, and there was no stable leader for nine seconds.
  */
-test('servers that announce themselves while one announcement is under way reach the leader together', async () => {
-  await using rig = await startRig(0)
-  await submit(rig, replaceOrder('one', 0, 1, [routeTo('read')]))
+test('announcements that arrive while another one is in flight are committed in batches', async () => {
+  await using fixture = await startRig(0)
+  await submit(fixture, replaceOrder('one', 0, 1, [routeTo('read')]))
   await using known = await startServer('s1', (_req, res) => res.end())
-  const control = controlOf(rig, 1)
+  const control = controlOf(fixture, 1)
   await until(async () => await takeAnnouncement(control, known.facts, presentTime()).then(() => true, () => false))
-  const before = control.host.machine.config.version
-  const all = Array.from({ length: serverCount }, (_, place): BackendAnnouncement => ({ ...known.facts, id: brandId<ServerId>(`many-${place}`), address: `127.0.0.1:${20_000 + place}` }))
-  await Promise.all(all.map(async facts => await takeAnnouncement(control, facts, presentTime())))
+  const versionBefore = control.host.machine.config.version
+  const announcements = Array.from({ length: serverCount }, (_, index): BackendAnnouncement => ({ ...known.facts, id: brandId<ServerId>(`many-${index}`), address: `127.0.0.1:${20_000 + index}` }))
+  await Promise.all(announcements.map(async facts => await takeAnnouncement(control, facts, presentTime())))
   await until(() => listItems(control.host.machine.config, 'backend').length === serverCount + 1)
-  const changes = control.host.machine.config.version - before
-  assert.ok(changes <= serverCount / 20, `${changes} changes of the state for ${serverCount} servers`)
+  const changes = control.host.machine.config.version - versionBefore
+  assert.ok(changes <= serverCount / 20, `${changes} state changes for ${serverCount} servers`)
 })
--- a/packages/daemon/__tests__/fleet.test.ts
+++ b/packages/daemon/__tests__/fleet.test.ts
@@ -1,4 +1,4 @@
-/** A fleet's VMs on loopback: founding, changes, forwarding by route, and what must not run twice. */
+/** VMs of a fleet on loopback: founding of the group, changes, routing, retries and graceful stops. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { once } from 'node:events'
@@ -11,101 +11,101 @@
 import { ask, controlOf, publish, replaceOrder, routeTo, startRig, startServer, startVm, submit, until } from './support/fleetRig.js'
 import { freePorts } from './support/freePorts.js'
 
-test('seeds found the group; a change is in force at the entry VM; requests reach servers by route', async () => {
-  await using rig = await startRig(1)
+test('the seeds found the group, the entry VM applies a change, and requests reach servers by route', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (req, res) => res.end(`${req.method} ${req.url}`))
-  await publish(rig, [server], [routeTo('read'), routeTo('write', { isIdempotent: false })])
-  assert.deepEqual([(await ask(rig, '/read/1?x=2')).body, (await ask(rig, '/write/1', 'POST')).body], ['GET /read/1?x=2', 'POST /write/1'])
-  assert.equal((await ask(rig, '/none/1')).status, 404)
+  await publish(fixture, [server], [routeTo('read'), routeTo('write', { isIdempotent: false })])
+  assert.deepEqual([(await ask(fixture, '/read/1?x=2')).body, (await ask(fixture, '/write/1', 'POST')).body], ['GET /read/1?x=2', 'POST /write/1'])
+  assert.equal((await ask(fixture, '/none/1')).status, 404)
   assert.equal(server.requests[0]?.headers['lynx-expect-server'], 's1')
-  const read = await readRoutes(controlOf(rig, 1))
+  const read = await readRoutes(controlOf(fixture, 1))
   assert.deepEqual([read.routesVersion, read.set?.routes.length], [1, 2])
 })
 
-/** Guards against this failure: a VM that can't start stays alive with a port open, and its process never ends. */
-test('a VM that finds one of its ports taken closes the others', async () => {
-  await using rig = await startRig(0)
-  const taken = rig.settings[0] as FleetSettings
-  const [free] = await freePorts(1)
-  const cfg: FleetSettings = { ...taken, name: 'late', roles: ['entry'], rpc: `127.0.0.1:${free}` }
+/** Guards against a VM that fails to start but keeps a port open, so that its process never ends. */
+test('a VM that can\'t listen on one of its ports closes the others', async () => {
+  await using fixture = await startRig(0)
+  const runningCfg = fixture.settings[0] as FleetSettings
+  const [freePort] = await freePorts(1)
+  const cfg: FleetSettings = { ...runningCfg, name: 'late', roles: ['entry'], rpc: `127.0.0.1:${freePort}` }
   await assert.rejects(startVm(cfg), err => isLynxError(err, 'badSettings'))
-  await using holder = createTcpServer().listen(free, '127.0.0.1')
-  await once(holder, 'listening')
+  await using portHolder = createTcpServer().listen(freePort, '127.0.0.1')
+  await once(portHolder, 'listening')
 })
 
-test('an evacuated failure domain and a server that leaves get nothing more; callers hear when to come back', async () => {
-  await using rig = await startRig(1)
+test('an evacuated failure domain and a draining server get no requests, and callers receive a retry-after header', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read')])
+  await publish(fixture, [server], [routeTo('read')])
   const domain = brandId<FailureDomainId>('kochi-a')
-  await submit(rig, { type: 'evacuate', failureDomain: domain, isActive: true })
-  await until(async () => (await ask(rig, '/read/1')).status === 503)
-  const refused = await ask(rig, '/read/1')
-  assert.ok(Number(refused.headers['retry-after']) > 0)
-  await until(async () => (await submit(rig, { type: 'evacuate', failureDomain: domain, isActive: false })).ok)
-  await until(async () => (await ask(rig, '/read/1')).status === 200)
-  await submit(rig, { type: 'announce', facts: { ...server.facts, isDraining: true, seq: 2 } })
-  await until(async () => (await ask(rig, '/read/1')).status === 503)
+  await submit(fixture, { type: 'evacuate', failureDomain: domain, isActive: true })
+  await until(async () => (await ask(fixture, '/read/1')).status === 503)
+  const rejected = await ask(fixture, '/read/1')
+  assert.ok(Number(rejected.headers['retry-after']) > 0)
+  await until(async () => (await submit(fixture, { type: 'evacuate', failureDomain: domain, isActive: false })).ok)
+  await until(async () => (await ask(fixture, '/read/1')).status === 200)
+  await submit(fixture, { type: 'announce', facts: { ...server.facts, isDraining: true, seq: 2 } })
+  await until(async () => (await ask(fixture, '/read/1')).status === 503)
 })
 
-/** Guards against this failure: a firm offer binds an owner twice. */
-test('a request that must not repeat is not sent again after its connection was lost, and the caller is promised nothing', async () => {
-  await using rig = await startRig(1)
+/** Guards against a non-idempotent request, such as a firm offer, that is executed twice. */
+test('a non-idempotent request is not sent again after its connection was lost, and the caller gets a 502', async () => {
+  await using fixture = await startRig(1)
   await using first = await startServer('s1', req => req.socket.destroy())
   await using second = await startServer('s2', req => req.socket.destroy())
-  await publish(rig, [first, second], [routeTo('write', { isIdempotent: false, maxAttempts: 3 }), routeTo('read', { maxAttempts: 2 })])
-  assert.equal((await ask(rig, '/write/1', 'POST')).status, 502)
+  await publish(fixture, [first, second], [routeTo('write', { isIdempotent: false, maxAttempts: 3 }), routeTo('read', { maxAttempts: 2 })])
+  assert.equal((await ask(fixture, '/write/1', 'POST')).status, 502)
   assert.equal(first.requests.length + second.requests.length, 1)
-  assert.equal((await ask(rig, '/read/1')).status, 502)
-  assert.equal(first.requests.length + second.requests.length, 3, 'a repeatable one goes to a second server')
+  assert.equal((await ask(fixture, '/read/1')).status, 502)
+  assert.equal(first.requests.length + second.requests.length, 3, 'an idempotent request is sent to a second server')
 })
 
-test('a request that a server proves it did not run goes to another one, also when it must not repeat', async () => {
-  await using rig = await startRig(1)
+test('a request that a server declares as not started is sent to another server, even if it is not idempotent', async () => {
+  await using fixture = await startRig(1)
   await using full = await startServer('s1', (_req, res) => res.writeHead(503, { 'lynx-not-started': '1' }).end())
   await using free = await startServer('s2', (_req, res) => res.end('ran'))
-  await publish(rig, [full, free], [routeTo('write', { isIdempotent: false })])
-  for (let sent = 0; sent < 4; sent++) assert.equal((await ask(rig, '/write/1', 'POST')).body, 'ran')
+  await publish(fixture, [full, free], [routeTo('write', { isIdempotent: false })])
+  for (let sent = 0; sent < 4; sent++) assert.equal((await ask(fixture, '/write/1', 'POST')).body, 'ran')
 })
 
-/** Guards against this failure: a caller gets half an answer that looks whole. */
-test('an answer that breaks off on its way is never passed on as whole', async () => {
-  await using rig = await startRig(1)
+/** Guards against a truncated response that looks complete to the caller. */
+test('a response that is truncated in transit is not forwarded as complete', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (req, res) => {
     res.writeHead(200, { 'content-length': '100' })
     res.write('half')
     setTimeout(() => req.socket.destroy(), 20)
   })
-  await publish(rig, [server], [routeTo('write', { isIdempotent: false })])
-  const got = await ask(rig, '/write/1', 'POST')
-  assert.deepEqual([got.status, got.body.includes('half')], [502, false])
+  await publish(fixture, [server], [routeTo('write', { isIdempotent: false })])
+  const response = await ask(fixture, '/write/1', 'POST')
+  assert.deepEqual([response.status, response.body.includes('half')], [502, false])
 })
 
-/** Guards against this failure: a caller gets half an answer that looks whole. */
-test('an answer without a length whose connection is reset is not passed on; one whose connection ends is', async () => {
-  await using rig = await startRig(1)
+/** Guards against a truncated response that looks complete to the caller. */
+test('a response without a content length is forwarded if its connection ends, but not if it is reset', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (req, res) => {
     req.socket.write('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf')
-    const isWhole = req.url === '/write/whole'
+    const isComplete = req.url === '/write/whole'
     if (req.url === '/write/at-once') req.socket.resetAndDestroy()
-    else setTimeout(() => { if (isWhole) req.socket.end(); else req.socket.resetAndDestroy() }, 30)
+    else setTimeout(() => { if (isComplete) req.socket.end(); else req.socket.resetAndDestroy() }, 30)
     res.detachSocket(req.socket)
   })
-  await publish(rig, [server], [routeTo('write', { isIdempotent: false })])
-  const whole = await ask(rig, '/write/whole', 'POST')
-  assert.deepEqual([whole.status, whole.body], [200, 'half'])
+  await publish(fixture, [server], [routeTo('write', { isIdempotent: false })])
+  const complete = await ask(fixture, '/write/whole', 'POST')
+  assert.deepEqual([complete.status, complete.body], [200, 'half'])
   for (const path of ['/write/reset', '/write/at-once']) {
-    const got = await ask(rig, path, 'POST')
-    assert.deepEqual([got.status, got.body.includes('half')], [502, false], path)
+    const truncated = await ask(fixture, path, 'POST')
+    assert.deepEqual([truncated.status, truncated.body.includes('half')], [502, false], path)
   }
 })
 
-test('a caller that closes its connection ends the work at the server', async () => {
-  await using rig = await startRig(1)
+test('a request is aborted at the server when its caller closes the connection', async () => {
+  await using fixture = await startRig(1)
   let closed = 0
   await using server = await startServer('s1', (_req, res) => { res.once('close', () => { closed += 1 }) })
-  await publish(rig, [server], [routeTo('read')])
-  const port = Number(rig.settings.at(-1)?.callers?.split(':')[1])
+  await publish(fixture, [server], [routeTo('read')])
+  const port = Number(fixture.settings.at(-1)?.callers?.split(':')[1])
   const socket = connect(port, '127.0.0.1')
   socket.write('GET /read/1 HTTP/1.1\r\nHost: a.example\r\n\r\n')
   await until(() => server.requests.length === 1)
@@ -113,97 +113,97 @@
   await until(() => closed === 1)
 })
 
-test('at the route\'s time-out the caller has its final answer', async () => {
-  await using rig = await startRig(1)
+test('the caller receives a 504 when the route\'s timeout has passed', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', () => undefined)
-  await publish(rig, [server], [routeTo('write', { isIdempotent: false, timeoutMs: 300 })])
-  assert.equal((await ask(rig, '/write/1', 'POST')).status, 504)
+  await publish(fixture, [server], [routeTo('write', { isIdempotent: false, timeoutMs: 300 })])
+  assert.equal((await ask(fixture, '/write/1', 'POST')).status, 504)
 })
 
-/** Guards against this failure: after a restart a VM sends work to a server that has left. */
-test('a VM that starts serves only once a control VM vouches that its state is the present one', async () => {
-  await using rig = await startRig(1)
+/** Guards against a restarted VM that sends requests to a server that has left. */
+test('a restarted entry VM is ready only after a control VM confirms that its state is current', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read')])
-  const entry = rig.daemons.pop() as FleetDaemon
+  await publish(fixture, [server], [routeTo('read')])
+  const entry = fixture.daemons.pop() as FleetDaemon
   await entry[Symbol.asyncDispose]()
-  for (const place of [0, 1]) {
-    await rig.daemons[place]?.[Symbol.asyncDispose]()
-    rig.daemons[place] = undefined
+  for (const index of [0, 1]) {
+    await fixture.daemons[index]?.[Symbol.asyncDispose]()
+    fixture.daemons[index] = undefined
   }
-  const { staleMs } = rig.settings[3]?.times ?? { staleMs: 0 }
+  const { staleMs } = fixture.settings[3]?.times ?? { staleMs: 0 }
   await new Promise(resolve => setTimeout(resolve, staleMs + 500))
-  const back = await startVm(rig.settings[3] as (typeof rig.settings)[number])
-  rig.daemons.push(back)
+  const restarted = await startVm(fixture.settings[3] as (typeof fixture.settings)[number])
+  fixture.daemons.push(restarted)
   await new Promise(resolve => setTimeout(resolve, 1500))
-  assert.equal(isFleetReady(back), false)
-  assert.equal((await ask(rig, '/read/1')).status, 503)
-  rig.daemons[0] = await startVm({ ...rig.settings[0] as (typeof rig.settings)[number], isFirstStart: false })
-  await until(() => isFleetReady(back))
-  assert.equal((await ask(rig, '/read/1')).status, 200)
+  assert.equal(isFleetReady(restarted), false)
+  assert.equal((await ask(fixture, '/read/1')).status, 503)
+  fixture.daemons[0] = await startVm({ ...fixture.settings[0] as (typeof fixture.settings)[number], isFirstStart: false })
+  await until(() => isFleetReady(restarted))
+  assert.equal((await ask(fixture, '/read/1')).status, 200)
 })
 
-test('a server that falls silent is noted by the leader and taken back by its next announcement', async () => {
-  await using rig = await startRig(0)
-  await submit(rig, replaceOrder('one', 0, 1, [routeTo('read')]))
+test('the leader marks a silent server as lost, and its next announcement restores it', async () => {
+  await using fixture = await startRig(0)
+  await submit(fixture, replaceOrder('one', 0, 1, [routeTo('read')]))
   await using server = await startServer('s1', (_req, res) => res.end())
   const id: ServerId = server.facts.id
-  await submit(rig, { type: 'announce', facts: server.facts })
-  await until(() => findItem(controlOf(rig, 1).host.machine.config, 'backend', id)?.state === 'lost')
-  await submit(rig, { type: 'announce', facts: { ...server.facts, seq: 2 } })
-  await until(() => findItem(controlOf(rig, 1).host.machine.config, 'backend', id)?.state === 'serving')
+  await submit(fixture, { type: 'announce', facts: server.facts })
+  await until(() => findItem(controlOf(fixture, 1).host.machine.config, 'backend', id)?.state === 'lost')
+  await submit(fixture, { type: 'announce', facts: { ...server.facts, seq: 2 } })
+  await until(() => findItem(controlOf(fixture, 1).host.machine.config, 'backend', id)?.state === 'serving')
 })
 
-test('a VM that leaves is not ready, answers what it has, and says that it closes', async () => {
-  await using rig = await startRig(1)
-  await using server = await startServer('s1', (_req, res) => setTimeout(() => res.end('whole'), 300))
-  await publish(rig, [server], [routeTo('read')])
-  const entry = rig.daemons.at(-1) as FleetDaemon
-  const answer = ask(rig, '/read/1')
+test('a VM that stops is not ready, completes its requests and sends connection: close', async () => {
+  await using fixture = await startRig(1)
+  await using server = await startServer('s1', (_req, res) => setTimeout(() => res.end('complete'), 300))
+  await publish(fixture, [server], [routeTo('read')])
+  const entry = fixture.daemons.at(-1) as FleetDaemon
+  const pendingResponse = ask(fixture, '/read/1')
   await until(() => server.requests.length === 1)
-  const left = leaveFleet(entry)
+  const leaving = leaveFleet(entry)
   assert.equal(isFleetReady(entry), false)
-  const got = await answer
-  assert.deepEqual([got.body, got.headers.connection], ['whole', 'close'])
-  await left
-  await until(() => controlOf(rig, 0).presence.entries.get('vm-3')?.presence.isReady !== true)
+  const response = await pendingResponse
+  assert.deepEqual([response.body, response.headers.connection], ['complete', 'close'])
+  await leaving
+  await until(() => controlOf(fixture, 0).presence.entries.get('vm-3')?.presence.isReady !== true)
 })
 
-/** Guards against this failure: after a restart of all VMs nearly all requests are refused for seconds. */
-test('a VM that starts anew trusts servers that do not say they are cold', async () => {
-  await using rig = await startRig(1)
+/** Guards against the rejection of nearly all requests for seconds after a restart of all VMs. */
+test('a restarted entry VM treats servers that do not announce a cold time as warm', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  const slowToWarm = replaceOrder('first', 0, 1, [routeTo('read')])
-  if (slowToWarm.type === 'replaceRoutes') {
-    const upstreams = slowToWarm.set.upstreams.map(upstream => ({ ...upstream, warmupMs: 60_000, warmupPerSecond: 1 }))
-    await submit(rig, { ...slowToWarm, set: { ...slowToWarm.set, upstreams } })
+  const order = replaceOrder('first', 0, 1, [routeTo('read')])
+  if (order.type === 'replaceRoutes') {
+    const upstreams = order.set.upstreams.map(upstream => ({ ...upstream, warmupMs: 60_000, warmupPerSecond: 1 }))
+    await submit(fixture, { ...order, set: { ...order.set, upstreams } })
   }
-  await submit(rig, { type: 'announce', facts: server.facts })
-  await until(async () => (await ask(rig, '/read/1')).status === 200)
-  for (let sent = 0; sent < 10; sent++) assert.equal((await ask(rig, '/read/1')).status, 200)
+  await submit(fixture, { type: 'announce', facts: server.facts })
+  await until(async () => (await ask(fixture, '/read/1')).status === 200)
+  for (let sent = 0; sent < 10; sent++) assert.equal((await ask(fixture, '/read/1')).status, 200)
 })
 
-/** Guards against this failure: entry VMs lose their control VM every second and go round all of them. */
-test('a watch without news stays with its control VM', async () => {
-  await using rig = await startRig(1)
+/** Guards against entry VMs whose watch fails every second, so that they try all control VMs in turn. */
+test('a watch without changes stays with its control VM', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read')])
-  const watching = (rig.daemons.at(-1) as FleetDaemon).stateWatch
-  await until(() => watching?.currentControl !== undefined)
+  await publish(fixture, [server], [routeTo('read')])
+  const stateWatch = (fixture.daemons.at(-1) as FleetDaemon).stateWatch
+  await until(() => stateWatch?.currentControl !== undefined)
   await new Promise(resolve => setTimeout(resolve, 2200))
-  const { currentControl: parent } = watching ?? {}
+  const { currentControl } = stateWatch ?? {}
   await new Promise(resolve => setTimeout(resolve, 2500))
-  assert.equal(watching?.currentControl, parent)
-  const isAvoided = [...watching?.avoidedUntil.values() ?? []].some(until => until > presentTime())
+  assert.equal(stateWatch?.currentControl, currentControl)
+  const isAvoided = [...stateWatch?.avoidedUntil.values() ?? []].some(avoidedUntil => avoidedUntil > presentTime())
   assert.equal(isAvoided, false)
 })
 
-/** Guards against this failure: a caller gets a failure in place of an answer that was nearly there; at a VM that stops, a planned stop cuts a request. */
-test('work under way is given up only where another server takes the request now', async () => {
-  await using rig = await startRig(1)
+/** Guards against a failure in place of a late response, and against a graceful stop that aborts a request. */
+test('a request in flight is abandoned only if another server can take it immediately', async () => {
+  await using fixture = await startRig(1)
   await using slow = await startServer('s1', (_req, res) => setTimeout(() => res.end('late'), 1300))
-  await publish(rig, [slow], [routeTo('read', { timeoutMs: 3000 })])
-  const alone = await ask(rig, '/read/1')
-  assert.deepEqual([alone.status, alone.body], [200, 'late'])
+  await publish(fixture, [slow], [routeTo('read', { timeoutMs: 3000 })])
+  const response = await ask(fixture, '/read/1')
+  assert.deepEqual([response.status, response.body], [200, 'late'])
   assert.equal(slow.requests.length, 1)
 })
--- a/packages/daemon/__tests__/fleetControl.test.ts
+++ b/packages/daemon/__tests__/fleetControl.test.ts
@@ -1,4 +1,4 @@
-/** A fleet's control VMs on loopback: what they vouch for, and how they come back. */
+/** Control VMs of a fleet on loopback: which state they confirm as current, and how they recover. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { rm } from 'node:fs/promises'
@@ -11,80 +11,83 @@
 import { findItem } from '@lynxcourse/state'
 import { controlOf, publish, replaceOrder, routeTo, startRig, startVm, submit, until } from './support/fleetRig.js'
 
-/** Guards against an order that lay at a frozen control VM and takes effect after newer ones. */
+/** Guards against an order that was delayed at a suspended control VM and takes effect after newer ones. */
 test('a control VM that missed the last evacuation of a failure domain can\'t undo it', async () => {
-  await using rig = await startRig(1)
-  await publish(rig, [], [routeTo('read')])
+  await using fixture = await startRig(1)
+  await publish(fixture, [], [routeTo('read')])
   const failureDomain = brandId<FailureDomainId>('kochi-a')
-  await submit(rig, { type: 'evacuate', failureDomain, isActive: true })
-  const behind = controlOf(rig, 1)
-  await until(() => findItem(behind.host.machine.config, 'evacuation', failureDomain)?.isActive === true)
-  const present = behind.host.machine.config.version
-  behind.host.machine.config.version = 1
-  const judged = submitRouteCommand(behind, { type: 'evacuate', failureDomain, isActive: false })
-  behind.host.machine.config.version = present
-  const answer = await judged
+  await submit(fixture, { type: 'evacuate', failureDomain, isActive: true })
+  const staleControl = controlOf(fixture, 1)
+  await until(() => findItem(staleControl.host.machine.config, 'evacuation', failureDomain)?.isActive === true)
+  const currentVersion = staleControl.host.machine.config.version
+  staleControl.host.machine.config.version = 1
+  const pendingAnswer = submitRouteCommand(staleControl, { type: 'evacuate', failureDomain, isActive: false })
+  staleControl.host.machine.config.version = currentVersion
+  const answer = await pendingAnswer
   assert.ok(!answer.ok && answer.code === 'versionConflict')
-  assert.equal(findItem(behind.host.machine.config, 'evacuation', failureDomain)?.isActive, true)
-  await until(async () => (await submit(rig, { type: 'evacuate', failureDomain, isActive: false })).ok)
+  assert.equal(findItem(staleControl.host.machine.config, 'evacuation', failureDomain)?.isActive, true)
+  await until(async () => (await submit(fixture, { type: 'evacuate', failureDomain, isActive: false })).ok)
 })
 
-test('a control VM that lost its disk returns as a new member and the group bears the next loss', async () => {
-  await using rig = await startRig(0)
-  assert.equal((await submit(rig, replaceOrder('one', 0, 1, [routeTo('read')]))).ok, true)
-  const cfg = rig.settings[2] as (typeof rig.settings)[number]
-  await rig.daemons[2]?.[Symbol.asyncDispose]()
+test('a control VM that lost its disk rejoins as a new member, and the group tolerates the next failure', async () => {
+  await using fixture = await startRig(0)
+  assert.equal((await submit(fixture, replaceOrder('one', 0, 1, [routeTo('read')]))).ok, true)
+  const cfg = fixture.settings[2] as (typeof fixture.settings)[number]
+  await fixture.daemons[2]?.[Symbol.asyncDispose]()
   await rm(cfg.dataFolder ?? '', { recursive: true, force: true })
-  rig.daemons[2] = await startVm({ ...cfg, isFirstStart: false })
-  await until(() => controlOf(rig, 2).host.replica?.members.some(member => member.id === controlOf(rig, 2).host.id && member.voter) ?? false)
-  await rig.daemons[0]?.[Symbol.asyncDispose]()
-  rig.daemons[0] = undefined
-  assert.equal((await submit(rig, replaceOrder('two', 1, 2, [routeTo('other')]))).ok, true)
-  assert.equal((await readRoutes(controlOf(rig, 2))).routesVersion, 2)
+  fixture.daemons[2] = await startVm({ ...cfg, isFirstStart: false })
+  await until(() => controlOf(fixture, 2).host.replica?.members.some(member => member.id === controlOf(fixture, 2).host.id && member.voter) ?? false)
+  await fixture.daemons[0]?.[Symbol.asyncDispose]()
+  fixture.daemons[0] = undefined
+  assert.equal((await submit(fixture, replaceOrder('two', 1, 2, [routeTo('other')]))).ok, true)
+  assert.equal((await readRoutes(controlOf(fixture, 2))).routesVersion, 2)
 })
 
-/** Guards against this failure: a control VM takes no part any more, although its disk works again. */
-
-/** Guards against this failure: a control VM that lost its disk never returns while no seed leads, and the next losses lose what was confirmed. */
-test('a blank control VM is let in by members that do not lead, too', async () => {
-  await using rig = await startRig(0)
-  const leads = ({ host }: FleetControl): boolean => host.replica !== undefined && host.replica.leader === host.id
-  const controls = [0, 1, 2].map(place => controlOf(rig, place))
-  await until(() => controls.some(leads))
-  const leader = controls.find(leads) as FleetControl
-  const follower = controls.find(control => !leads(control)) as FleetControl
+/**
+ * Guards against a control VM with a lost disk that can't rejoin while no seed leads, so that the next failures lose
+ * confirmed changes.
+ */
+test('a control VM with an empty disk can also join through a follower', async () => {
+  await using fixture = await startRig(0)
+  const isLeader = ({ host }: FleetControl): boolean => host.replica !== undefined && host.replica.leader === host.id
+  const controls = [0, 1, 2].map(index => controlOf(fixture, index))
+  await until(() => controls.some(isLeader))
+  const leader = controls.find(isLeader) as FleetControl
+  const follower = controls.find(control => !isLeader(control)) as FleetControl
   const id = '127.0.0.1:1/blank' as HolderId
   await until(async () => await callPeer(follower.node.client, follower.node.cfg.rpc, 'cluster.join', { id }).then(() => true, () => false))
   await until(() => leader.host.replica?.members.some(member => member.id === id) === true)
 })
 
-test('a copy whose disk failed takes part again once the disk works', async () => {
-  await using rig = await startRig(0)
-  await submit(rig, replaceOrder('one', 0, 1, [routeTo('read')]))
-  const { host } = controlOf(rig, 0)
-  const failing = host.storage
-  await failing.file.close()
-  await submit(rig, replaceOrder('two', 1, 2, [routeTo('other')]))
-  // Seen by its storage being another one: where this VM led, it has failed and come back before the change is through.
-  await until(() => host.storage !== failing && host.failed === undefined && host.replica?.commit === controlOf(rig, 1).host.replica?.commit)
-  assert.equal((await readRoutes(controlOf(rig, 0))).routesVersion, 2)
+/** Guards against a control VM that stays out of the group although its disk works again. */
+test('a replica whose disk failed takes part again once the disk works', async () => {
+  await using fixture = await startRig(0)
+  await submit(fixture, replaceOrder('one', 0, 1, [routeTo('read')]))
+  const { host } = controlOf(fixture, 0)
+  const failedStorage = host.storage
+  await failedStorage.file.close()
+  await submit(fixture, replaceOrder('two', 1, 2, [routeTo('other')]))
+  // A new storage object shows the recovery: if this VM led, it may have failed and recovered before the change is
+  // committed.
+  await until(() => host.storage !== failedStorage && host.failed === undefined && host.replica?.commit === controlOf(fixture, 1).host.replica?.commit)
+  assert.equal((await readRoutes(controlOf(fixture, 0))).routesVersion, 2)
 })
 
-/** Guards against this failure: an entry VM that starts is ready without a route or a server, and refuses all. */
-test('a control VM does not vouch for entries that wait for its disk', async () => {
-  await using rig = await startRig(0)
-  await submit(rig, replaceOrder('one', 0, 1, [routeTo('read')]))
-  const control = controlOf(rig, 2)
+/** Guards against a restarted entry VM that is ready without routes or servers and rejects all requests. */
+test('a control VM does not confirm its state as current before committed entries are on its disk', async () => {
+  await using fixture = await startRig(0)
+  await submit(fixture, replaceOrder('one', 0, 1, [routeTo('read')]))
+  const control = controlOf(fixture, 2)
   const { host } = control
   await until(() => host.machine.config.version > 0)
-  for (const place of [0, 1]) {
-    await rig.daemons[place]?.[Symbol.asyncDispose]()
-    rig.daemons[place] = undefined
+  for (const index of [0, 1]) {
+    await fixture.daemons[index]?.[Symbol.asyncDispose]()
+    fixture.daemons[index] = undefined
   }
   const replica = host.replica as Replica
   const sync = host.storage.file.datasync.bind(host.storage.file)
-  let release = (): void => undefined
-  const released = new Promise<void>(resolve => { release = resolve })
+  let releaseSync = (): void => undefined
+  const released = new Promise<void>(resolve => { releaseSync = resolve })
   host.storage.file.datasync = async () => {
     await released
     await sync()
@@ -97,9 +100,9 @@
   const sentAt = presentTime()
   await callPeer(control.node.client, control.node.cfg.rpc, 'log.message', { cluster: replica.cluster, from, to: host.id, message })
   await until(() => replica.commit === index)
-  const vouchedAt = presentTime() - stateAge(control, presentTime())
-  assert.deepEqual([host.machine.config.version, vouchedAt < sentAt], [version, true])
-  release()
+  const confirmedAt = presentTime() - stateAge(control, presentTime())
+  assert.deepEqual([host.machine.config.version, confirmedAt < sentAt], [version, true])
+  releaseSync()
   await until(() => host.machine.config.version > version)
   await until(() => presentTime() - stateAge(control, presentTime()) >= sentAt)
 })
--- a/packages/daemon/__tests__/fleetSeams.test.ts
+++ b/packages/daemon/__tests__/fleetSeams.test.ts
@@ -1,4 +1,4 @@
-/** What a fleet and those around it tell each other: servers, callers, and VMs of the load. */
+/** Interfaces of a fleet: announcements of servers, lookups of callers, and load reports between VMs. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { isLynxError } from '@lynxcourse/base'
@@ -6,49 +6,49 @@
 import type { FleetLookup } from '@lynxcourse/daemon'
 import { ask, controlOf, publish, routeTo, startRig, startServer, until } from './support/fleetRig.js'
 
-test('servers announce and leave, and callers look up, over RPC at any control VM; bad input names its field', async () => {
-  await using rig = await startRig(1)
+test('servers announce and dismiss themselves and callers look up entry VMs at any control VM; errors name the invalid field', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [], [routeTo('read')])
-  const { client } = controlOf(rig, 1).node
-  const at = rig.settings[2]?.rpc ?? ''
-  await until(async () => await callPeer(client, at, 'fleet.announce', { facts: server.facts }).then(() => true, () => false))
-  await until(async () => (await ask(rig, '/read/1')).status === 200)
-  const lookUp = async (): Promise<FleetLookup> => await callPeer<FleetLookup>(client, at, 'fleet.lookup', { region: 'kochi' })
-  // The entry VM follows one control VM; the others hear of it by their next exchange with the leader.
+  await publish(fixture, [], [routeTo('read')])
+  const { client } = controlOf(fixture, 1).node
+  const address = fixture.settings[2]?.rpc ?? ''
+  await until(async () => await callPeer(client, address, 'fleet.announce', { facts: server.facts }).then(() => true, () => false))
+  await until(async () => (await ask(fixture, '/read/1')).status === 200)
+  const lookUp = async (): Promise<FleetLookup> => await callPeer<FleetLookup>(client, address, 'fleet.lookup', { region: 'kochi' })
+  // The entry VM watches one control VM; the others learn of it in their next exchange with the leader.
   await until(async () => (await lookUp()).addresses.length > 0)
-  const found = await lookUp()
-  assert.deepEqual([found.addresses, found.ttlMs], [[rig.settings[3]?.callers], 2000])
-  await callPeer(client, at, 'fleet.dismiss', { server: 's1' })
-  await until(async () => (await ask(rig, '/read/1')).status === 503)
-  await assert.rejects(callPeer(client, at, 'fleet.announce', { facts: { ...server.facts, slots: 0 } }), err => isLynxError(err, 'badRequest') && err.field === 'facts.slots')
+  const result = await lookUp()
+  assert.deepEqual([result.addresses, result.ttlMs], [[fixture.settings[3]?.callers], 2000])
+  await callPeer(client, address, 'fleet.dismiss', { server: 's1' })
+  await until(async () => (await ask(fixture, '/read/1')).status === 503)
+  await assert.rejects(callPeer(client, address, 'fleet.announce', { facts: { ...server.facts, slots: 0 } }), err => isLynxError(err, 'badRequest') && err.field === 'facts.slots')
 })
 
-/** Guards against this failure: each VM sends to a full server as if it were idle. */
-test('what an entry VM hears of the load comes back to it from the leader as a plan and as full servers', async () => {
-  await using rig = await startRig(1)
+/** Guards against VMs that send requests to a full server as if it were idle. */
+test('load that an entry VM observes returns from the leader as a region plan and as the queue depth of full servers', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => {
     res.setHeader('lynx-load', '9')
     res.end('ok')
   })
-  await publish(rig, [server], [routeTo('read')])
-  const gateway = rig.daemons.at(-1)?.gateway
-  await until(() => gateway?.fleet.shares.get(server.facts.service)?.get(controlOf(rig, 0).node.cfg.region) === 1)
+  await publish(fixture, [server], [routeTo('read')])
+  const gateway = fixture.daemons.at(-1)?.gateway
+  await until(() => gateway?.fleet.shares.get(server.facts.service)?.get(controlOf(fixture, 0).node.cfg.region) === 1)
   await until(async () => {
-    await ask(rig, '/read/1')
+    await ask(fixture, '/read/1')
     return (gateway?.fleet.byId.get(server.facts.id)?.sharedQueueDepth ?? 0) > 8
   })
 })
 
-/** Guards against this failure: a broker sees another broker's list. */
-test('an answer that names another request is not passed on', async () => {
-  await using rig = await startRig(1)
+/** Guards against a caller that receives the response to another caller's request. */
+test('a response with the idempotency key of another request is not forwarded', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => {
     res.setHeader('idempotency-key', 'another')
     res.end('another\'s list')
   })
-  await publish(rig, [server], [routeTo('write', { isIdempotent: false })])
-  const got = await ask(rig, '/write/1', 'POST', { 'idempotency-key': 'mine' })
-  assert.equal(got.status, 502)
-  assert.doesNotMatch(got.body, /list/)
+  await publish(fixture, [server], [routeTo('write', { isIdempotent: false })])
+  const response = await ask(fixture, '/write/1', 'POST', { 'idempotency-key': 'mine' })
+  assert.equal(response.status, 502)
+  assert.doesNotMatch(response.body, /list/)
 })
--- a/packages/daemon/__tests__/fleetStart.test.ts
+++ b/packages/daemon/__tests__/fleetStart.test.ts
@@ -1,4 +1,4 @@
-/** What callers and the placement meet after VMs start anew. */
+/** Requests and the placement after restarts of VMs, and which failures count against a server. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { mkdtemp, rm, writeFile } from 'node:fs/promises'
@@ -13,90 +13,90 @@
 import { ask, controlOf, publish, routeTo, startRig, startServer, startVm, until } from './support/fleetRig.js'
 import type { FleetRig } from './support/fleetRig.js'
 
-async function stop (rig: FleetRig, place: number): Promise<void> {
-  await rig.daemons[place]?.[Symbol.asyncDispose]()
-  rig.daemons[place] = undefined
+async function stop (fixture: FleetRig, index: number): Promise<void> {
+  await fixture.daemons[index]?.[Symbol.asyncDispose]()
+  fixture.daemons[index] = undefined
 }
 
-/** Guards against this failure: after all VMs start, callers are refused, come back and are refused again. */
-test('a request that comes before the state is known waits for it and is served', async () => {
-  await using rig = await startRig(1)
+/** Guards against callers that are rejected repeatedly after a start of all VMs. */
+test('a request that arrives before the state is known waits for the state and is served', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read')])
-  for (const place of [3, 2, 1, 0]) await stop(rig, place)
-  const settings = rig.settings.map(cfg => ({ ...cfg, isFirstStart: false }))
-  rig.daemons[3] = await startVm(settings[3] as typeof settings[0])
-  const early = ask(rig, '/read/1')
-  for (const place of [0, 1, 2]) rig.daemons[place] = await startVm(settings[place] as typeof settings[0])
-  assert.equal((await early).status, 200)
+  await publish(fixture, [server], [routeTo('read')])
+  for (const index of [3, 2, 1, 0]) await stop(fixture, index)
+  const settings = fixture.settings.map(cfg => ({ ...cfg, isFirstStart: false }))
+  fixture.daemons[3] = await startVm(settings[3] as typeof settings[0])
+  const earlyResponse = ask(fixture, '/read/1')
+  for (const index of [0, 1, 2]) fixture.daemons[index] = await startVm(settings[index] as typeof settings[0])
+  assert.equal((await earlyResponse).status, 200)
 })
 
 /*
- * A request that had been held for the state was judged by the turn of the event loop in which it had been read: 0.3 s later that
- * turn looked long, so it was refused as if the VM had no processor time. Seven of eight runs beside busy processes ended so.
+ * Guards against the rejection of a request that waited for the state. The VM measured the event loop iteration in
+ * which it had read the request; 0.3 s later that iteration looked long, as if the VM had no processor time.
  */
-test('a request that waited for the state is not taken for one of a long turn', async () => {
-  await using rig = await startRig(1)
+test('a request that waited for the state is not rejected for a long event loop iteration', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read', { timeoutMs: 20_000, aimMs: 10_000 })])
-  for (const place of [3, 2, 1, 0]) await stop(rig, place)
-  const settings = rig.settings.map(cfg => ({ ...cfg, isFirstStart: false }))
-  rig.daemons[3] = await startVm(settings[3] as typeof settings[0])
-  const early = ask(rig, '/read/1')
-  await until(() => rig.daemons[3]?.gateway?.waiting === 1)
+  await publish(fixture, [server], [routeTo('read', { timeoutMs: 20_000, aimMs: 10_000 })])
+  for (const index of [3, 2, 1, 0]) await stop(fixture, index)
+  const settings = fixture.settings.map(cfg => ({ ...cfg, isFirstStart: false }))
+  fixture.daemons[3] = await startVm(settings[3] as typeof settings[0])
+  const earlyResponse = ask(fixture, '/read/1')
+  await until(() => fixture.daemons[3]?.gateway?.waiting === 1)
   await new Promise(resolve => setTimeout(resolve, 300))
-  for (const place of [0, 1, 2]) rig.daemons[place] = await startVm(settings[place] as typeof settings[0])
-  assert.equal((await early).status, 200)
+  for (const index of [0, 1, 2]) fixture.daemons[index] = await startVm(settings[index] as typeof settings[0])
+  assert.equal((await earlyResponse).status, 200)
 })
 
-/** Guards against this failure: requests hang at a VM that finds no control VM. */
-test('a request to a VM that does not get the state is told to come back within about a second', async () => {
-  await using rig = await startRig(1)
+/** Guards against requests that wait forever at a VM that finds no control VM. */
+test('a request to a VM without a state is rejected with a retry-after header within about a second', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read')])
-  for (const place of [3, 2, 1, 0]) await stop(rig, place)
-  rig.daemons[3] = await startVm({ ...rig.settings[3] as typeof rig.settings[0], isFirstStart: false })
-  const got = await ask(rig, '/read/1')
-  assert.equal(got.status, 503)
-  assert.ok(Number(got.headers['retry-after']) > 0)
-  assert.equal(isFleetReady(rig.daemons[3] as FleetDaemon), false)
+  await publish(fixture, [server], [routeTo('read')])
+  for (const index of [3, 2, 1, 0]) await stop(fixture, index)
+  fixture.daemons[3] = await startVm({ ...fixture.settings[3] as typeof fixture.settings[0], isFirstStart: false })
+  const response = await ask(fixture, '/read/1')
+  assert.equal(response.status, 503)
+  assert.ok(Number(response.headers['retry-after']) > 0)
+  assert.equal(isFleetReady(fixture.daemons[3] as FleetDaemon), false)
 })
 
-/** Guards against this failure: after all control VMs died, every object has another server, cold for it. */
-test('control VMs that start anew go on from the placement that they kept', async () => {
-  await using rig = await startRig(1)
+/** Guards against a crash of all control VMs that moves every object to a server that is cold for it. */
+test('restarted control VMs continue from the placement that they saved', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read')])
-  for (const place of [2, 1, 0]) await stop(rig, place)
+  await publish(fixture, [server], [routeTo('read')])
+  for (const index of [2, 1, 0]) await stop(fixture, index)
   const id = server.facts.id
   const service = server.facts.service
   const region = brandId<RegionId>('kochi')
-  const kept: LoadUpdate = {
+  const saved: LoadUpdate = {
     full: [],
     silent: [],
     weights: { version: 17, servers: [[id, 0.4]] },
     plans: [{ service, isMeasured: true, fill: 0.5, busy: 4, demand: [[region, 4]], shares: [[region, [[region, 1]]]] }]
   }
-  for (const place of [0, 1, 2]) {
-    const cfg = rig.settings[place] as typeof rig.settings[0]
-    await writePlacement(cfg.dataFolder ?? '', kept)
-    rig.daemons[place] = await startVm({ ...cfg, isFirstStart: false })
+  for (const index of [0, 1, 2]) {
+    const cfg = fixture.settings[index] as typeof fixture.settings[0]
+    await writePlacement(cfg.dataFolder ?? '', saved)
+    fixture.daemons[index] = await startVm({ ...cfg, isFirstStart: false })
   }
-  for (const place of [0, 1, 2]) await until(() => controlOf(rig, place).board.weights.get(id) === 0.4)
-  const { gateway } = rig.daemons[3] as FleetDaemon
+  for (const index of [0, 1, 2]) await until(() => controlOf(fixture, index).board.weights.get(id) === 0.4)
+  const { gateway } = fixture.daemons[3] as FleetDaemon
   await until(() => gateway?.fleet.byId.get(id)?.weight === 0.4)
 })
 
-test('a kept placement is read back as it was; a torn file names itself, and none is no error', async () => {
+test('a saved placement is read back unchanged; a truncated file is reported by name, and a missing one is no error', async () => {
   const folder = await mkdtemp(join(tmpdir(), 'lynx-placement-'))
   try {
     assert.equal(await readPlacement(folder), undefined)
     const board = createLoadBoard()
     const service = brandId<ServiceId>('desk')
     const region = brandId<RegionId>('kochi')
-    const news: LoadUpdate = { ...board.news, weights: { version: 3, servers: [[brandId<ServerId>('s'), 0.5]] }, plans: [{ service, isMeasured: true, fill: 0.5, busy: 3, demand: [[region, 3]], shares: [[region, [[region, 1]]]] }] }
-    await writePlacement(folder, news)
-    assert.deepEqual(await readPlacement(folder), news)
+    const update: LoadUpdate = { ...board.news, weights: { version: 3, servers: [[brandId<ServerId>('s'), 0.5]] }, plans: [{ service, isMeasured: true, fill: 0.5, busy: 3, demand: [[region, 3]], shares: [[region, [[region, 1]]]] }] }
+    await writePlacement(folder, update)
+    assert.deepEqual(await readPlacement(folder), update)
     await writeFile(join(folder, 'placement.json'), '{"plans":[{"ser')
     await assert.rejects(readPlacement(folder), err => isLynxError(err, 'badRequest') && err.field === 'placement.json')
   } finally {
@@ -104,44 +104,44 @@
   }
 })
 
-/** Guards against this failure: a server is left alone by a VM though it answers. */
+/** Guards against the ejection of a server that answers requests. */
 test('a route\'s timeout does not count against a server that answers others', async () => {
-  await using rig = await startRig(1)
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (req, res) => { if (req.url?.endsWith('never') !== true) res.end('ok') })
-  await publish(rig, [server], [routeTo('read', { isIdempotent: false, timeoutMs: 340, aimMs: 350 })])
+  await publish(fixture, [server], [routeTo('read', { isIdempotent: false, timeoutMs: 340, aimMs: 350 })])
   for (let sent = 0; sent < 3; sent++) {
-    const late = ask(rig, '/read/never')
+    const timedOut = ask(fixture, '/read/never')
     await new Promise(resolve => setTimeout(resolve, 100))
-    assert.equal((await ask(rig, '/read/1')).status, 200)
-    assert.equal((await late).status, 504)
+    assert.equal((await ask(fixture, '/read/1')).status, 200)
+    assert.equal((await timedOut).status, 504)
   }
-  const known = rig.daemons.at(-1)?.gateway?.fleet.byId.get(server.facts.id)
-  assert.deepEqual([known?.consecutiveFailures, known?.ejectedUntil], [0, -Infinity])
+  const fleetServer = fixture.daemons.at(-1)?.gateway?.fleet.byId.get(server.facts.id)
+  assert.deepEqual([fleetServer?.consecutiveFailures, fleetServer?.ejectedUntil], [0, -Infinity])
 })
 
-/** Guards against this failure: servers are named as answering nobody while all their slots are at work, and their objects move. */
-test('work that its timeout cuts does not count against a server until it owes an answer for longer than the longest work takes', async () => {
-  await using rig = await startRig(1)
+/** Guards against servers that are reported as silent while all their slots are busy, so that their objects move. */
+test('a timeout counts against a server only if it has not answered for longer than the longest request takes', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', () => undefined)
-  await publish(rig, [server], [routeTo('read', { isIdempotent: false, timeoutMs: 1000, aimMs: 1000 })])
-  const gateway = rig.daemons.at(-1)?.gateway
-  const known = (): FleetServer | undefined => gateway?.fleet.byId.get(server.facts.id)
-  assert.equal((await ask(rig, '/read/1')).status, 504)
-  assert.deepEqual([known()?.consecutiveFailures, gateway?.node.load.failed.size], [0, 0])
-  for (let sent = 1; sent < 20 && known()?.consecutiveFailures === 0; sent++) assert.equal((await ask(rig, '/read/1')).status, 504)
-  assert.ok((known()?.consecutiveFailures ?? 0) > 0, 'a server that answers nothing at all is doubted')
+  await publish(fixture, [server], [routeTo('read', { isIdempotent: false, timeoutMs: 1000, aimMs: 1000 })])
+  const gateway = fixture.daemons.at(-1)?.gateway
+  const getFleetServer = (): FleetServer | undefined => gateway?.fleet.byId.get(server.facts.id)
+  assert.equal((await ask(fixture, '/read/1')).status, 504)
+  assert.deepEqual([getFleetServer()?.consecutiveFailures, gateway?.node.load.failed.size], [0, 0])
+  for (let sent = 1; sent < 20 && getFleetServer()?.consecutiveFailures === 0; sent++) assert.equal((await ask(fixture, '/read/1')).status, 504)
+  assert.ok((getFleetServer()?.consecutiveFailures ?? 0) > 0, 'a server that answers no request at all has failures')
 })
 
 /*
- * Servers whose addresses had gone to others stayed in the directory for three seconds and more although nothing of them was left. Each answer
- * of the new server at such an address carried that one's load and counted as an answer of the former one: as its load, as a sign of
- * its life at the leader, and against the word of other VMs that it failed them.
+ * Guards against servers that stay in the directory after another server took over their address. The responses of the
+ * new server counted as responses of the former one: as its load, as a sign of life for the leader, and against reports
+ * of failures from other VMs.
  */
-test('the word of another server at an address says nothing of the server that was there', async () => {
-  await using rig = await startRig(1)
+test('a response of another server at the same address does not count for the former server', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.writeHead(421, { 'lynx-load': '2' }).end())
-  await publish(rig, [server], [routeTo('read')])
-  assert.equal((await ask(rig, '/read/1')).status, 503)
-  const known = rig.daemons.at(-1)?.gateway?.fleet.byId.get(server.facts.id)
-  assert.deepEqual([known?.reportedQueueDepth, known?.lastAnsweredAt, known?.consecutiveFailures], [0, -Infinity, 2])
+  await publish(fixture, [server], [routeTo('read')])
+  assert.equal((await ask(fixture, '/read/1')).status, 503)
+  const fleetServer = fixture.daemons.at(-1)?.gateway?.fleet.byId.get(server.facts.id)
+  assert.deepEqual([fleetServer?.reportedQueueDepth, fleetServer?.lastAnsweredAt, fleetServer?.consecutiveFailures], [0, -Infinity, 2])
 })
--- a/packages/daemon/__tests__/presence.test.ts
+++ b/packages/daemon/__tests__/presence.test.ts
@@ -1,4 +1,4 @@
-/** Which servers the leader takes for lost while control VMs are cut off from each other. */
+/** Presence of entry VMs and servers, and which servers the leader marks as lost while control VMs are partitioned. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createPresence, hasRecentExchange, findMissedServers, recordEntry, recordReported, recordWatchingEntry, presentTime, listUnreportedEntries, takeAnnouncement, applyPresenceReport } from '@lynxcourse/daemon'
@@ -12,78 +12,79 @@
 const server = brandId<ServerId>('i-1')
 const missMs = 4500
 
-function entryVm (name: string): EntryPresence {
+function createEntry (name: string): EntryPresence {
   return { name, address: `${name}:80`, failureDomain: brandId<FailureDomainId>('kochi-a'), region: brandId<RegionId>('kochi'), isReady: true }
 }
 
-function report (load: Partial<LoadDigest>): PresenceReport {
+function createReport (load: Partial<LoadDigest>): PresenceReport {
   return { from: { rpc: '127.0.0.1:1', region: brandId<RegionId>('kochi') }, entries: [], heard: [], weights: 0, load: { servers: [], busy: [], failed: [], ...load } }
 }
 
-/** Guards against this failure: half of all servers leave the directory at one moment, and come back seconds later. */
-test('a server that answers requests is not taken for lost, though its announcements do not arrive', () => {
+/** Guards against half of all servers leaving the directory at the same time and returning seconds later. */
+test('a server that answers requests does not count as missed, although its announcements do not arrive', () => {
   const presence = createPresence()
   assert.deepEqual(findMissedServers(presence, [server], missMs, 0), [])
-  applyPresenceReport(presence, report({ servers: [[server, 2]] }), 4000)
+  applyPresenceReport(presence, createReport({ servers: [[server, 2]] }), 4000)
   assert.deepEqual(findMissedServers(presence, [server], missMs, 8000), [])
-  applyPresenceReport(presence, report({ failed: [[server, 2]] }), 8400)
-  assert.deepEqual(findMissedServers(presence, [server], missMs, 8600), [server], 'one that answers nobody is')
+  applyPresenceReport(presence, createReport({ failed: [[server, 2]] }), 8400)
+  assert.deepEqual(findMissedServers(presence, [server], missMs, 8600), [server], 'a server that answers no request is missed')
 })
 
-/** Guards against this failure: servers that tell no load with their answers are taken for lost while a control VM is cut off. */
-test('a control VM that does not reach the leader turns announcements away, so that servers go to another one', async () => {
-  await using rig = await startRig(0)
-  await submit(rig, replaceOrder('one', 0, 1, [routeTo('read')]))
+/** Guards against servers without load headers that are marked as lost while a control VM is partitioned. */
+test('a control VM that can\'t reach the leader rejects announcements, so that servers use another control VM', async () => {
+  await using fixture = await startRig(0)
+  await submit(fixture, replaceOrder('one', 0, 1, [routeTo('read')]))
   await using known = await startServer('s1', (_req, res) => res.end())
-  await submit(rig, { type: 'announce', facts: known.facts })
-  const control = controlOf(rig, 2)
+  await submit(fixture, { type: 'announce', facts: known.facts })
+  const control = controlOf(fixture, 2)
   await until(async () => await takeAnnouncement(control, known.facts, presentTime()).then(() => true, () => false))
-  for (const place of [0, 1]) {
-    await rig.daemons[place]?.[Symbol.asyncDispose]()
-    rig.daemons[place] = undefined
+  for (const index of [0, 1]) {
+    await fixture.daemons[index]?.[Symbol.asyncDispose]()
+    fixture.daemons[index] = undefined
   }
   await until(async () => await takeAnnouncement(control, known.facts, presentTime()).then(() => false, err => isLynxError(err, 'notLeader')))
 })
 
-test('what a VM hears reaches the leader until some exchanges in a row were missed', () => {
+test('a VM counts as connected to the leader until several consecutive exchanges have failed', () => {
   const presence = createPresence()
-  assert.equal(hasRecentExchange(presence, 400, 0), false, 'not before the first')
+  assert.equal(hasRecentExchange(presence, 400, 0), false, 'no exchange yet')
   presence.lastExchangeAt = 1000
   assert.equal(hasRecentExchange(presence, 400, 2900), true)
   assert.equal(hasRecentExchange(presence, 400, 3000), false)
 })
 
 /*
- * Each of nine control VMs told the leader of all 185 entry VMs two and a half times a second, whether it had heard of them itself or from
- * the leader: 30 KB a report, 0.7 MB a second into the leader, most of it between regions.
+ * Guards against needless traffic to the leader. When each of nine control VMs reported all 185 entry VMs in each
+ * exchange, including those that it knew from the leader, reports had 30 KB, and the leader received 0.7 MB/s, mostly
+ * across regions.
  */
-test('a control VM tells the leader of the entry VMs that it heard itself, once, and again until the leader has it', () => {
+test('a control VM reports entry VMs that it saw directly, once, and again until the leader has received the report', () => {
   const presence = createPresence()
-  for (let place = 0; place < 185; place++) recordEntry(presence, entryVm(`far-${place}`), 900)
-  recordWatchingEntry(presence, entryVm('near'), 1000)
-  const first = listUnreportedEntries(presence, 1200)
-  assert.deepEqual(first.map(({ presence: { name }, ageMs }) => [name, ageMs]), [['near', 200]])
+  for (let index = 0; index < 185; index++) recordEntry(presence, createEntry(`remote-${index}`), 900)
+  recordWatchingEntry(presence, createEntry('direct'), 1000)
+  const firstReport = listUnreportedEntries(presence, 1200)
+  assert.deepEqual(firstReport.map(({ presence: { name }, ageMs }) => [name, ageMs]), [['direct', 200]])
   assert.deepEqual(listUnreportedEntries(presence, 1600).length, 1, 'the report was lost')
-  recordReported(presence, first)
+  recordReported(presence, firstReport)
   assert.deepEqual(listUnreportedEntries(presence, 2000), [])
-  recordWatchingEntry(presence, entryVm('near'), 2100)
+  recordWatchingEntry(presence, createEntry('direct'), 2100)
   assert.equal(listUnreportedEntries(presence, 2400).length, 1)
 })
 
-test('an entry VM that is heard while a report of it is under way is told again', () => {
+test('an entry VM that changes while a report with it is in flight is reported again', () => {
   const presence = createPresence()
-  recordWatchingEntry(presence, entryVm('near'), 1000)
-  const sent = listUnreportedEntries(presence, 1200)
-  recordWatchingEntry(presence, { ...entryVm('near'), isReady: false }, 1210)
-  recordReported(presence, sent)
+  recordWatchingEntry(presence, createEntry('direct'), 1000)
+  const sentReport = listUnreportedEntries(presence, 1200)
+  recordWatchingEntry(presence, { ...createEntry('direct'), isReady: false }, 1210)
+  recordReported(presence, sentReport)
   assert.deepEqual(listUnreportedEntries(presence, 1600).map(entry => entry.presence.isReady), [false])
 })
 
-test('a control VM that was told the weights keeps them when they are not told again', () => {
+test('a control VM keeps the weights when a later update omits them', () => {
   const board = createLoadBoard()
   const weights = { version: 7, servers: [[server, 0.5] as const] }
-  const news: LoadUpdate = { full: [], plans: [], silent: [] }
-  storeLoadUpdate(board, { ...news, weights })
-  storeLoadUpdate(board, news)
+  const update: LoadUpdate = { full: [], plans: [], silent: [] }
+  storeLoadUpdate(board, { ...update, weights })
+  storeLoadUpdate(board, update)
   assert.deepEqual([board.news.weights, board.weights.get(server)], [weights, 0.5])
 })
--- a/packages/daemon/__tests__/senderLeft.test.ts
+++ b/packages/daemon/__tests__/senderLeft.test.ts
@@ -1,4 +1,4 @@
-/** Calls between VMs whose senders gave them up before they were read, or while they were worked on. */
+/** RPC calls that their senders abandoned before they were read or while they were in progress. */
 import assert from 'node:assert/strict'
 import { ServerResponse } from 'node:http'
 import { test } from 'node:test'
@@ -13,116 +13,126 @@
 import { connectThreadCaller, postOf } from './support/threadCaller.js'
 
 const failureDomain = brandId<FailureDomainId>('kochi-a')
-/** Less than the time without a leader after which another one is elected. */
+/** Shorter than the election timeout. */
 const blockedMs = 300
 
-/** Starts three control VMs, has them agree on a first state, and finds their leader. */
-async function startControls (): Promise<{ readonly rig: FleetRig, readonly leader: FleetControl } & AsyncDisposable> {
-  const rig = await startRig(0)
-  await submit(rig, replaceOrder('first', 0, 1, [routeTo('read')]))
-  const controls = [0, 1, 2].map(place => controlOf(rig, place))
+/** Starts three control VMs, commits a first state and finds the leader. */
+async function startControls (): Promise<{ readonly fixture: FleetRig, readonly leader: FleetControl } & AsyncDisposable> {
+  const fixture = await startRig(0)
+  await submit(fixture, replaceOrder('first', 0, 1, [routeTo('read')]))
+  const controls = [0, 1, 2].map(index => controlOf(fixture, index))
   const leader = controls.find(control => getLeaderAddress(control) === control.node.cfg.rpc) as FleetControl
-  return { rig, leader, [Symbol.asyncDispose]: async () => await rig[Symbol.asyncDispose]() }
+  return { fixture, leader, [Symbol.asyncDispose]: async () => await fixture[Symbol.asyncDispose]() }
 }
 
-/** How many calls of a method a VM has taken up. */
-async function callsOf ({ node }: FleetControl, method: string): Promise<number> {
+/** Returns how many calls of a method a VM has started. */
+async function countCalls ({ node }: FleetControl, method: string): Promise<number> {
   const { values } = await node.metrics.rpc.get()
   return values.filter(({ labels }) => labels.method === method && labels.side === 'in').reduce((sum, { value }) => sum + value, 0)
 }
 
-/** Has a sender call a method and leave while the VM stands still, and waits until the VM is past that call. */
-async function callAndLeave (control: FleetControl, method: string, params: object): Promise<void> {
-  const before = await callsOf(control, method)
+/**
+ * Lets a sender call a method and disconnect while the VM is blocked, and waits until the VM has processed the call.
+ */
+async function callAndDisconnect (control: FleetControl, method: string, params: object): Promise<void> {
+  const callsBefore = await countCalls(control, method)
   const body = JSON.stringify({ jsonrpc: '2.0', id: 1, method, params })
   await using sender = await connectThreadCaller(control.node.cfg.rpc, '/none', false, postOf('/rpc', body))
   sender.sendAndLeaveWhileBlocked(blockedMs)
-  await until(async () => await callsOf(control, method) > before)
+  await until(async () => await countCalls(control, method) > callsBefore)
   await callPeer(control.node.client, control.node.cfg.rpc, 'fleet.lookup', {})
 }
 
-/** Guards against this failure: an evacuation takes effect that the VM which relayed it has told its operator nothing of. */
-test('an evacuation that its sender gave up before the leader read it is not carried out', async () => {
+/** Guards against an evacuation that takes effect although its operator received no confirmation. */
+test('an evacuation whose sender disconnected before the leader read it is not executed', async () => {
   await using controls = await startControls()
-  const { rig, leader } = controls
+  const { fixture, leader } = controls
   const command: RouteCommand = { type: 'evacuate', failureDomain, isActive: true, baseVersion: leader.host.machine.config.version }
-  await callAndLeave(leader, 'fleet.submit', { command })
-  assert.equal((await submit(rig, replaceOrder('next', 1, 2, [routeTo('other')]))).ok, true)
+  await callAndDisconnect(leader, 'fleet.submit', { command })
+  assert.equal((await submit(fixture, replaceOrder('next', 1, 2, [routeTo('other')]))).ok, true)
   assert.equal(findItem(leader.host.machine.config, 'evacuation', failureDomain)?.isActive ?? false, false)
 })
 
-/** Guards against this failure: a server that has ended or leaves gets work, since its word was dropped with the call that brought it. */
-test('what a server said is taken although the VM that passed it on gave the call up', async () => {
+/**
+ * Guards against requests to a server that has ended or is leaving, because its announcement was dropped with an
+ * abandoned call.
+ */
+test('an announcement is applied although the VM that relayed it abandoned the call', async () => {
   await using controls = await startControls()
-  const { rig, leader } = controls
+  const { fixture, leader } = controls
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
   const { facts } = server
-  await callAndLeave(leader, 'fleet.submit', { command: { type: 'announceAll', servers: [facts] } })
-  assert.equal((await submit(rig, replaceOrder('next', 1, 2, [routeTo('other')]))).ok, true)
+  await callAndDisconnect(leader, 'fleet.submit', { command: { type: 'announceAll', servers: [facts] } })
+  assert.equal((await submit(fixture, replaceOrder('next', 1, 2, [routeTo('other')]))).ok, true)
   assert.equal(findItem(leader.host.machine.config, 'backend', facts.id)?.state, 'serving')
-  await callAndLeave(leader, 'fleet.submit', { command: { type: 'dismiss', ids: [facts.id] } })
-  assert.equal((await submit(rig, replaceOrder('last', 2, 3, [routeTo('read')]))).ok, true)
+  await callAndDisconnect(leader, 'fleet.submit', { command: { type: 'dismiss', ids: [facts.id] } })
+  assert.equal((await submit(fixture, replaceOrder('last', 2, 3, [routeTo('read')]))).ok, true)
   assert.equal(findItem(leader.host.machine.config, 'backend', facts.id)?.state, 'gone')
 })
 
-/** Guards against this failure: after a start of all VMs the leader asks its quorum again and again for reads that nobody waits for. */
-test('a read that its sender gave up before it was read asks no quorum', async () => {
+/** Guards against repeated quorum checks after a start of all VMs, for reads that no sender waits for. */
+test('an abandoned read starts no quorum check', async () => {
   await using controls = await startControls()
   const { host } = controls.leader
-  const before = host.nextToken
-  await callAndLeave(controls.leader, 'fleet.read', {})
-  assert.equal(host.nextToken, before)
+  const tokenBefore = host.nextToken
+  await callAndDisconnect(controls.leader, 'fleet.read', {})
+  assert.equal(host.nextToken, tokenBefore)
 })
 
-function watchOf (control: FleetControl, isReady: boolean): object {
+function createWatchRequest (control: FleetControl, isReady: boolean): object {
   const self = { name: 'entry', address: '127.0.0.1:1', failureDomain, region: 'kochi', isReady }
   return { version: control.host.machine.config.version, waitMs: 10_000, weights: 0, self }
 }
 
-/** Calls that a VM answers while it reads of a close; they take far less time than the watch below waits. */
-const callsMeanwhile = 20
+/** Calls that a VM answers until it has read a close; they take far less time than the watch below waits. */
+const maxCallsUntilClose = 20
 
-/** Lets a VM answer some calls, until no more than so many wait for news. */
-async function untilFewer ({ host, node }: FleetControl, waiting: number): Promise<void> {
-  for (let done = 0; done < callsMeanwhile && host.onProgress.length > waiting; done++) await callPeer(node.client, node.cfg.rpc, 'fleet.lookup', {})
+/** Makes calls to a VM until at most `maxWaiting` of its watches wait for a change. */
+async function waitForFewerWatches ({ host, node }: FleetControl, maxWaiting: number): Promise<void> {
+  for (let done = 0; done < maxCallsUntilClose && host.onProgress.length > maxWaiting; done++) await callPeer(node.client, node.cfg.rpc, 'fleet.lookup', {})
 }
 
-/** Guards against this failure: control VMs that are behind hold watches of entry VMs that gave up waiting, or forget that those VMs live. */
-test('a watch that its VM gave up before it was read waits for nothing, and what it said of that VM is taken', async () => {
+/**
+ * Guards against slow control VMs that keep abandoned watches of entry VMs, or that forget the presence of these VMs.
+ */
+test('an abandoned watch does not wait, but its presence is recorded', async () => {
   await using controls = await startControls()
   const { host, presence } = controls.leader
-  const before = host.onProgress.length
+  const watchesBefore = host.onProgress.length
   for (const isReady of [true, false]) {
-    await callAndLeave(controls.leader, 'fleet.watch', watchOf(controls.leader, isReady))
-    await untilFewer(controls.leader, before)
-    assert.equal(host.onProgress.length, before)
+    await callAndDisconnect(controls.leader, 'fleet.watch', createWatchRequest(controls.leader, isReady))
+    await waitForFewerWatches(controls.leader, watchesBefore)
+    assert.equal(host.onProgress.length, watchesBefore)
     assert.equal(presence.entries.get('entry')?.presence.isReady, isReady)
   }
 })
 
-/** Guards against this failure: control VMs hold watches of VMs that are gone, and pack each change for them. */
-test('a watch ends once its VM gives it up', async () => {
+/** Guards against control VMs that keep watches of disconnected VMs and compress each change for them. */
+test('a watch ends when its VM disconnects', async () => {
   await using controls = await startControls()
   const { host, node } = controls.leader
-  const before = host.onProgress.length
-  const given = callPeer(node.client, node.cfg.rpc, 'fleet.watch', watchOf(controls.leader, true), blockedMs)
-  await until(() => host.onProgress.length > before)
-  await assert.rejects(given)
-  await untilFewer(controls.leader, before)
-  assert.equal(host.onProgress.length, before)
+  const watchesBefore = host.onProgress.length
+  const pendingWatch = callPeer(node.client, node.cfg.rpc, 'fleet.watch', createWatchRequest(controls.leader, true), blockedMs)
+  await until(() => host.onProgress.length > watchesBefore)
+  await assert.rejects(pendingWatch)
+  await waitForFewerWatches(controls.leader, watchesBefore)
+  assert.equal(host.onProgress.length, watchesBefore)
 })
 
-/** Guards against this failure: a VM that stood still ends the waits of watches first, and packs the state for VMs that left meanwhile. */
-test('a watch whose VM leaves while the control VM stands still past its wait is not answered', async t => {
+/**
+ * Guards against a control VM that, after it was blocked, ends waits first and compresses the state for disconnected
+ * VMs.
+ */
+test('a watch whose VM disconnects while the control VM is blocked beyond the end of the wait is not answered', async t => {
   await using controls = await startControls()
   const { host, node } = controls.leader
-  const before = host.onProgress.length
-  const body = JSON.stringify({ jsonrpc: '2.0', id: 1, method: 'fleet.watch', params: { ...watchOf(controls.leader, true), waitMs: blockedMs / 2 } })
+  const watchesBefore = host.onProgress.length
+  const body = JSON.stringify({ jsonrpc: '2.0', id: 1, method: 'fleet.watch', params: { ...createWatchRequest(controls.leader, true), waitMs: blockedMs / 2 } })
   await using sender = await connectThreadCaller(node.cfg.rpc, '/none', false, postOf('/rpc', body))
-  const { mock } = t.mock.method(ServerResponse.prototype, 'end')
+  const { mock: endMock } = t.mock.method(ServerResponse.prototype, 'end')
   sender.send()
-  await until(() => host.onProgress.length > before)
+  await until(() => host.onProgress.length > watchesBefore)
   sender.leaveWhileBlocked(blockedMs)
-  for (let done = 0; done < callsMeanwhile; done++) await callPeer(node.client, node.cfg.rpc, 'fleet.lookup', {})
-  assert.equal(mock.calls.filter(call => String(call.arguments[0]).includes('"entries":["entry"]')).length, 0)
+  for (let done = 0; done < maxCallsUntilClose; done++) await callPeer(node.client, node.cfg.rpc, 'fleet.lookup', {})
+  assert.equal(endMock.calls.filter(call => String(call.arguments[0]).includes('"entries":["entry"]')).length, 0)
 })
