--- a/packages/daemon/src/core/fleet/fleetMethods.ts
+++ b/packages/daemon/src/core/fleet/fleetMethods.ts
@@ -184,7 +184,8 @@
  *
  * When all VMs start at the same time and watches return immediately, entry VMs repeat them while the control VMs elect
  * a leader, and the watches use the processor time that the election needs. The symptom is many log lines about watches
- * without a version. With the delay, each entry VM sends one watch and is answered as soon as the state is known.
+ * that start without a version. With the delay, each entry VM sends one watch and is answered as soon as the state is
+ * known.
  */
 async function waitUntilCurrent (control: FleetControl, waitMs: Millis, signal: Cancel): Promise<void> {
   const isCurrent = (): boolean => stateAge(control, presentTime()) < control.node.cfg.times.staleMs
--- a/packages/daemon/src/core/fleet/presenceLoop.ts
+++ b/packages/daemon/src/core/fleet/presenceLoop.ts
@@ -123,8 +123,8 @@
 }
 
 /**
- * At the leader: submits servers that were not seen for too long as missed. A new leader starts without times, so that
- * it waits for `missMs` first.
+ * At the leader: submits the servers that were not seen for too long as missed. A new leader first clears the recorded
+ * times, so that every server has `missMs` to announce itself again.
  */
 async function submitMissedServers (control: FleetControl, now: number): Promise<void> {
   const { node, host, presence } = control
--- a/packages/daemon/src/core/fleet/watching.ts
+++ b/packages/daemon/src/core/fleet/watching.ts
@@ -60,11 +60,11 @@
     try {
       const isFirst = control !== watch.currentControl
       const reply = await watchOnce(watch, control, getWatchTimeout(watch, isFirst))
-      if (isFirst) log(node.logs, 'sync', 'info', 'Watching a control VM.', { peer: control, ageMs: reply.ageMs === null ? undefined : Math.round(reply.ageMs), version: node.config.version })
+      if (isFirst) log(node.logs, 'sync', 'info', 'Watch at a control VM started.', { peer: control, ageMs: reply.ageMs === null ? undefined : Math.round(reply.ageMs), version: node.config.version })
       watch.currentControl = control
       applyWatchReply(watch, control, reply, presentTime())
     } catch (err) {
-      log(node.logs, 'sync', 'warn', 'Watch of a control VM failed.', { peer: control, error: getErrorMessage(err) })
+      log(node.logs, 'sync', 'warn', 'Watch at a control VM failed.', { peer: control, error: getErrorMessage(err) })
       avoidControl(watch, control, presentTime())
       await delay(retryDelayMs)
     }
@@ -72,7 +72,7 @@
 }
 
 /**
- * Returns how long a watch may stay open. The first watch of a control VM returns immediately, which shows whether that
+ * Returns how long a watch may stay open. The first watch at a control VM returns immediately, which shows whether that
  * VM knows the current state. A VM that has no state yet waits for one.
  */
 function getWatchTimeout ({ node }: StateWatch, isFirst: boolean): Millis {
