--- a/packages/daemon/__tests__/announcing.test.ts
+++ b/packages/daemon/__tests__/announcementQueue.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import { brandId } from '@lynxcourse/base'
 import type { ServerId } from '@lynxcourse/base'
-import { presentTime, takeAnnouncement } from '@lynxcourse/daemon'
+import { presentTime, handleAnnouncement } from '@lynxcourse/daemon'
 import { listItems } from '@lynxcourse/state'
 import type { BackendAnnouncement } from '@lynxcourse/state'
 import { controlOf, replaceOrder, routeTo, startRig, startServer, submit, until } from './support/fleetRig.js'
@@ -21,10 +21,10 @@
   await submit(fixture, replaceOrder('one', 0, 1, [routeTo('read')]))
   await using known = await startServer('s1', (_req, res) => res.end())
   const control = controlOf(fixture, 1)
-  await until(async () => await takeAnnouncement(control, known.facts, presentTime()).then(() => true, () => false))
+  await until(async () => await handleAnnouncement(control, known.facts, presentTime()).then(() => true, () => false))
   const versionBefore = control.host.machine.config.version
   const announcements = Array.from({ length: serverCount }, (_, index): BackendAnnouncement => ({ ...known.facts, id: brandId<ServerId>(`many-${index}`), address: `127.0.0.1:${20_000 + index}` }))
-  await Promise.all(announcements.map(async facts => await takeAnnouncement(control, facts, presentTime())))
+  await Promise.all(announcements.map(async facts => await handleAnnouncement(control, facts, presentTime())))
   await until(() => listItems(control.host.machine.config, 'backend').length === serverCount + 1)
   const changes = control.host.machine.config.version - versionBefore
   assert.ok(changes <= serverCount / 20, `${changes} state changes for ${serverCount} servers`)
--- a/packages/daemon/__tests__/presence.test.ts
+++ b/packages/daemon/__tests__/presence.test.ts
@@ -1,7 +1,7 @@
 /** Presence of entry VMs and servers, and which servers the leader marks as lost while control VMs are partitioned. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { createPresence, hasRecentExchange, findMissedServers, recordEntry, recordReported, recordWatchingEntry, presentTime, listUnreportedEntries, takeAnnouncement, applyPresenceReport } from '@lynxcourse/daemon'
+import { createPresence, hasRecentExchange, findMissedServers, recordEntry, recordReported, recordWatchingEntry, presentTime, listUnreportedEntries, handleAnnouncement, applyPresenceReport } from '@lynxcourse/daemon'
 import type { PresenceReport } from '@lynxcourse/daemon'
 import { createLoadBoard, storeLoadUpdate } from '@lynxcourse/placement'
 import type { EntryPresence, LoadDigest, LoadUpdate } from '@lynxcourse/placement'
@@ -37,12 +37,12 @@
   await using known = await startServer('s1', (_req, res) => res.end())
   await submit(fixture, { type: 'announce', facts: known.facts })
   const control = controlOf(fixture, 2)
-  await until(async () => await takeAnnouncement(control, known.facts, presentTime()).then(() => true, () => false))
+  await until(async () => await handleAnnouncement(control, known.facts, presentTime()).then(() => true, () => false))
   for (const index of [0, 1]) {
     await fixture.daemons[index]?.[Symbol.asyncDispose]()
     fixture.daemons[index] = undefined
   }
-  await until(async () => await takeAnnouncement(control, known.facts, presentTime()).then(() => false, err => isLynxError(err, 'notLeader')))
+  await until(async () => await handleAnnouncement(control, known.facts, presentTime()).then(() => false, err => isLynxError(err, 'notLeader')))
 })
 
 test('a VM counts as connected to the leader until several consecutive exchanges have failed', () => {
--- a/packages/daemon/__tests__/stateCopy.test.ts
+++ b/packages/daemon/__tests__/stateCompression.test.ts
@@ -5,7 +5,7 @@
 import { request } from 'undici'
 import { brandId } from '@lynxcourse/base'
 import type { ServerId } from '@lynxcourse/base'
-import { presentTime, takeAnnouncement } from '@lynxcourse/daemon'
+import { presentTime, handleAnnouncement } from '@lynxcourse/daemon'
 import { controlOf, publish, routeTo, startRig, startServer, until } from './support/fleetRig.js'
 
 /** Number of servers of a large deployment. */
@@ -26,7 +26,7 @@
   for (let index = 1; index < serverCount; index++) {
     const id = brandId<ServerId>(`i-${(index * 2_654_435_761 % 2 ** 32).toString(16)}`)
     const address = `10.${index % 9}.64.${index % 250}:${8000 + index}`
-    await until(async () => await takeAnnouncement(controlOf(fixture, 0), { ...server.facts, id, address }, presentTime()).then(() => true, () => false))
+    await until(async () => await handleAnnouncement(controlOf(fixture, 0), { ...server.facts, id, address }, presentTime()).then(() => true, () => false))
   }
   const self = { name: 'asking', address: '127.0.0.1:1', failureDomain: 'kochi-a', region: 'kochi', isReady: false }
   const watch = { jsonrpc: '2.0', id: 1, method: 'fleet.watch', params: { version: 0, waitMs: 0, weights: 0, self } }
--- a/packages/daemon/src/core/fleet/fleetControl.ts
+++ b/packages/daemon/src/core/fleet/fleetControl.ts
@@ -12,8 +12,8 @@
 import { initCluster, isBlank } from '../control/membership.js'
 import { confirmRead, submitHere } from '../control/proposing.js'
 import { callPeer } from '../rpc/rpcClient.js'
-import { enqueueAnnouncement, createAnnouncementQueue } from './announcing.js'
-import type { AnnouncementQueue } from './announcing.js'
+import { enqueueAnnouncement, createAnnouncementQueue } from './announcementQueue.js'
+import type { AnnouncementQueue } from './announcementQueue.js'
 import { listControlAddresses } from './fleetNode.js'
 import type { FleetNode } from './fleetNode.js'
 import { createLoadBoard, createLoadAggregate } from '@lynxcourse/placement'
@@ -34,7 +34,7 @@
 }
 
 /** Result of a linearizable read of the routes. */
-export interface RoutesRead {
+export interface RoutesReadResult {
   readonly routesVersion: number
   readonly set: RouteSet | undefined
 }
@@ -150,7 +150,7 @@
  * @param isRelayed whether another control VM forwarded the read; it is not forwarded again
  * @throws LynxError if no quorum confirms that they are the latest
  */
-export async function readRoutes (control: FleetControl, isRelayed = false): Promise<RoutesRead> {
+export async function readRoutes (control: FleetControl, isRelayed = false): Promise<RoutesReadResult> {
   const { host, node } = control
   if (leads(host)) {
     await confirmRead(host)
@@ -158,7 +158,7 @@
   }
   const leader = getLeaderAddress(control)
   if (leader === undefined || leader === node.cfg.rpc || isRelayed) throw new LynxError('notLeader', 'no leader is known', { step: 'read' })
-  return await callPeer<RoutesRead>(node.client, leader, 'fleet.read', {}, submitTimeoutMs)
+  return await callPeer<RoutesReadResult>(node.client, leader, 'fleet.read', {}, submitTimeoutMs)
 }
 
 /**
@@ -171,7 +171,7 @@
  *
  * @throws LynxError if the leader can't be reached, or if the failure domain is unknown
  */
-export async function takeAnnouncement (control: FleetControl, facts: BackendAnnouncement, now: Millis): Promise<void> {
+export async function handleAnnouncement (control: FleetControl, facts: BackendAnnouncement, now: Millis): Promise<void> {
   if (!control.node.cfg.regions.has(facts.failureDomain)) {
     throw new LynxError('badRequest', `failureDomain: '${facts.failureDomain}' is not known`, { step: 'announce', field: 'failureDomain' })
   }
@@ -196,13 +196,13 @@
 }
 
 /** Returns how long ago the local copy was last known to be the current state. */
-export function stateAge (control: FleetControl, now: Millis): Millis {
+export function getStateAge (control: FleetControl, now: Millis): Millis {
   const { replica, appliedFreshAt } = control.host
   if (replica === undefined) return Infinity
   return now - (leads(control.host) ? replica.quorumConfirmedAt : appliedFreshAt)
 }
 
 /** Whether a call that failed with this error may succeed at another VM. */
-export function isElsewhere (err: unknown): boolean {
+export function isRetryableElsewhere (err: unknown): boolean {
   return isLynxError(err, 'notLeader') || isLynxError(err, 'noQuorum') || isLynxError(err, 'peerFailed') || isLynxError(err, 'overCapacity')
 }
--- a/packages/daemon/src/core/fleet/fleetDaemon.ts
+++ b/packages/daemon/src/core/fleet/fleetDaemon.ts
@@ -22,14 +22,14 @@
 import { delay, repeat } from '../node/timers.js'
 import { createRpcServer, listenRpc } from '../rpc/rpcServer.js'
 import type { RpcServer } from '../rpc/rpcServer.js'
-import { openFleetControl, stateAge } from './fleetControl.js'
+import { openFleetControl, getStateAge } from './fleetControl.js'
 import type { FleetControl } from './fleetControl.js'
 import { addFleetMethods } from './fleetMethods.js'
 import { createFleetNode, isReadyForCallers } from './fleetNode.js'
 import type { FleetDeps, FleetNode } from './fleetNode.js'
-import { startPresenceExchange } from './presenceLoop.js'
-import { startStateWatch, publishPresence } from './watching.js'
-import type { StateWatch } from './watching.js'
+import { startPresenceExchange } from './presenceExchange.js'
+import { startStateWatch, publishPresence } from './stateWatch.js'
+import type { StateWatch } from './stateWatch.js'
 
 /** The protocols that this VM uses with callers and with backend servers. */
 export interface Dialects {
@@ -101,7 +101,7 @@
     refreshGateway(gateway, presentTime())
     applyLimits(gateway, server)
   })
-  node.onLoadUpdate.push(() => applyLoadUpdate(gateway, node.loadNews, node.cfg.region, presentTime()))
+  node.onLoadUpdate.push(() => applyLoadUpdate(gateway, node.loadUpdate, node.cfg.region, presentTime()))
   gateway.pool.onConnect = (address, startedAt) => noteConnected(gateway, address, presentTime() - startedAt)
   own(stack, repeat(sweepIntervalMs, () => sweepConnections(gateway.pool, presentTime()), () => undefined))
   ownServer(stack, server)
@@ -125,7 +125,7 @@
 function isServing (node: FleetNode, control: FleetControl | undefined): boolean {
   if (node.isLeaving) return false
   if (node.cfg.roles.includes('entry')) return isReadyForCallers(node)
-  return control !== undefined && stateAge(control, presentTime()) < node.cfg.times.staleMs
+  return control !== undefined && getStateAge(control, presentTime()) < node.cfg.times.staleMs
 }
 
 /** Whether callers may be sent to this VM. */
--- a/packages/daemon/src/core/fleet/fleetMethods.ts
+++ b/packages/daemon/src/core/fleet/fleetMethods.ts
@@ -13,12 +13,12 @@
 import { addMethod } from '../rpc/rpcServer.js'
 import { delay } from '../node/timers.js'
 import type { RpcCall, RpcServer } from '../rpc/rpcServer.js'
-import { dismissServer, readRoutes, stateAge, submitRouteCommand, takeAnnouncement } from './fleetControl.js'
+import { dismissServer, readRoutes, getStateAge, submitRouteCommand, handleAnnouncement } from './fleetControl.js'
 import type { FleetControl } from './fleetControl.js'
 import type { ControlEndpoint } from './fleetNode.js'
 import { recordWatchingEntry, applyPresenceReport } from './presence.js'
 import type { PresenceReply, PresenceReport } from './presence.js'
-import type { PresenceExchange } from './presenceLoop.js'
+import type { PresenceExchange } from './presenceExchange.js'
 
 /** A request of an entry VM for changes after a version; the call stays open until there is one. */
 export interface WatchRequest {
@@ -101,7 +101,7 @@
   })
   addMethod(rpc, 'fleet.presence', ['vm'], reportSchema, params => handlePresence(control, params as unknown as PresenceReport))
   addMethod(rpc, 'fleet.announce', ['server'], announceSchema, async ({ facts }) => {
-    await takeAnnouncement(control, facts as unknown as BackendAnnouncement, presentTime())
+    await handleAnnouncement(control, facts as unknown as BackendAnnouncement, presentTime())
     return {}
   })
   addMethod(rpc, 'fleet.dismiss', ['server', 'operator'], dismissSchema, async ({ server, bornAt }) => {
@@ -109,14 +109,14 @@
     return {}
   })
   addMethod(rpc, 'fleet.lookup', ['vm', 'operator', 'server'], lookupSchema, ({ region }) =>
-    lookUp(control, region === undefined ? undefined : brandId<RegionId>(region), presentTime()))
+    lookUpEntries(control, region === undefined ? undefined : brandId<RegionId>(region), presentTime()))
 }
 
 /**
  * Selects the entry VMs that a caller should use: ready ones, of its region if there are any. Returns none while the
  * control VM still discovers entry VMs after its start.
  */
-export function lookUp (control: FleetControl, region: RegionId | undefined, now: Millis): FleetLookup {
+export function lookUpEntries (control: FleetControl, region: RegionId | undefined, now: Millis): FleetLookup {
   const { times } = control.node.cfg
   const { entries, discovery } = control.presence
   const addresses = isDiscovering(discovery, now) ? [] : selectEntries([...entries.values()], region, times.presenceStaleMs, now, control.node.random)
@@ -164,7 +164,7 @@
   if (call.gone.aborted) throw new LynxError('cancelled', 'the caller closed the connection', { step: 'fleet.watch', peer: call.address })
   if (request.version > 0 && control.host.machine.config.version > request.version) await delay(changeDelayMs)
   const { config } = control.host.machine
-  const stateAgeMs = stateAge(control, presentTime())
+  const stateAgeMs = getStateAge(control, presentTime())
   return {
     delta: config.version > request.version ? getDeltaSince(config, request.version) : undefined,
     ageMs: Number.isFinite(stateAgeMs) ? stateAgeMs : null,
@@ -188,7 +188,7 @@
  * known.
  */
 async function waitUntilCurrent (control: FleetControl, waitMs: Millis, signal: Cancel): Promise<void> {
-  const isCurrent = (): boolean => stateAge(control, presentTime()) < control.node.cfg.times.staleMs
+  const isCurrent = (): boolean => getStateAge(control, presentTime()) < control.node.cfg.times.staleMs
   // A VM with an empty disk first receives the state from the leader, which takes seconds; another VM can answer
   // sooner.
   if (control.host.replica !== undefined && !isCurrent()) await waitForProgress(control, waitMs, signal, isCurrent)
--- a/packages/daemon/src/core/fleet/fleetNode.ts
+++ b/packages/daemon/src/core/fleet/fleetNode.ts
@@ -36,12 +36,12 @@
   /** Names of the recently seen entry VMs, including this one. */
   entryNames: readonly string[]
   /** Time at which the copy was last known to be the current state; -Infinity before the first time. */
-  freshAt: Millis
+  upToDateAt: Millis
   isLeaving: boolean
   /** Load observations of this VM since its last report. */
   readonly load: LoadObservations
   /** Latest load update, aggregated from the observations of all VMs. */
-  loadNews: LoadUpdate
+  loadUpdate: LoadUpdate
   /** Called when the copy has changed. */
   readonly onChange: Array<() => void>
   /** Called when a load update has arrived. */
@@ -69,10 +69,10 @@
     config: createConfig(),
     controls: [],
     entryNames: cfg.roles.includes('entry') ? [cfg.name] : [],
-    freshAt: -Infinity,
+    upToDateAt: -Infinity,
     isLeaving: false,
     load: createLoadObservations(now),
-    loadNews: { full: [], plans: [], silent: [] },
+    loadUpdate: { full: [], plans: [], silent: [] },
     onChange: [],
     onLoadUpdate: []
   }
@@ -80,7 +80,7 @@
 
 /** Whether callers may be sent to this VM: it has received the current state and is not stopping. */
 export function isReadyForCallers (node: FleetNode): boolean {
-  return node.freshAt > -Infinity && !node.isLeaving
+  return node.upToDateAt > -Infinity && !node.isLeaving
 }
 
 /** Lists the RPC addresses of other control VMs: the known ones first, then the seeds. */
@@ -90,7 +90,7 @@
 }
 
 /** Applies the settings that may change while the process runs: seeds, times, the retry budget and the log settings. */
-export function reloadFleet (node: FleetNode, settings: FleetSettings): void {
+export function reloadFleetSettings (node: FleetNode, settings: FleetSettings): void {
   const { seeds, times, retryBudget, log } = settings
   node.cfg = { ...node.cfg, seeds, times, retryBudget, log }
 }
--- a/packages/daemon/src/core/fleet/watching.ts
+++ b/packages/daemon/src/core/fleet/stateWatch.ts
@@ -77,7 +77,7 @@
  */
 function getWatchTimeout ({ node }: StateWatch, isFirst: boolean): Millis {
   if (!isFirst) return node.cfg.times.watchMs
-  return node.freshAt === -Infinity ? firstWatchTimeoutMs : 0
+  return node.upToDateAt === -Infinity ? firstWatchTimeoutMs : 0
 }
 
 /** Sends a change of this VM's presence to one control VM immediately. */
@@ -90,7 +90,7 @@
 async function watchOnce (watch: StateWatch, control: string, waitMs: Millis): Promise<WatchReply> {
   const { node } = watch
   const load = flushLoadReport(node.load, presentTime())
-  const request: WatchRequest = { version: node.config.version, waitMs, self: watch.self(), weights: node.loadNews.weights?.version ?? 0, ...(load === undefined ? {} : { load }) }
+  const request: WatchRequest = { version: node.config.version, waitMs, self: watch.self(), weights: node.loadUpdate.weights?.version ?? 0, ...(load === undefined ? {} : { load }) }
   return await callPeer<WatchReply>(node.client, control, 'fleet.watch', request, waitMs + node.cfg.times.rpcTimeoutMs)
 }
 
@@ -113,10 +113,10 @@
 function applyWatchReply (watch: StateWatch, control: string, reply: WatchReply, now: Millis): void {
   const { node } = watch
   if (reply.controls.length > 0) node.controls = reply.controls
-  const weights = reply.news.weights ?? node.loadNews.weights
+  const weights = reply.news.weights ?? node.loadUpdate.weights
   // A control VM that has just started knows no plans yet; the previous plans of this VM stay valid until it does.
-  const plans = reply.news.plans.length > 0 ? reply.news.plans : node.loadNews.plans
-  node.loadNews = { ...reply.news, plans, ...(weights === undefined ? {} : { weights }) }
+  const plans = reply.news.plans.length > 0 ? reply.news.plans : node.loadUpdate.plans
+  node.loadUpdate = { ...reply.news, plans, ...(weights === undefined ? {} : { weights }) }
   for (const listener of node.onLoadUpdate) listener()
   for (const name of reply.entries) watch.entryNamesSeenAt.set(name, now)
   for (const [name, at] of watch.entryNamesSeenAt) if (now - at > entryNameTtlMs) watch.entryNamesSeenAt.delete(name)
@@ -124,14 +124,14 @@
   const isStale = reply.ageMs === null || reply.ageMs > node.cfg.times.staleMs
   // A control VM that was partitioned or has just started may have a stale state. A VM that already has a state can
   // apply it safely, since versions only increase, but it must not be the first state of a VM.
-  if (isStale && node.freshAt === -Infinity) {
+  if (isStale && node.upToDateAt === -Infinity) {
     avoidControl(watch, control, now)
     return
   }
   const previousVersion = node.config.version
   const isComplete = reply.delta === undefined || applyDelta(node.config, reply.delta)
   if (isStale) avoidControl(watch, control, now)
-  else if (isComplete) node.freshAt = now - (reply.ageMs ?? 0)
+  else if (isComplete) node.upToDateAt = now - (reply.ageMs ?? 0)
   if (node.config.version !== previousVersion) {
     log(node.logs, 'sync', 'info', 'State applied.', { version: node.config.version, from: previousVersion, items: reply.delta?.items.length, peer: control })
     notifyFleetChange(node)
--- a/packages/daemon/src/core/gateway/fleetView.ts
+++ b/packages/daemon/src/core/gateway/fleetView.ts
@@ -39,7 +39,7 @@
     forgetServer(fleet.warmth, id)
   }
   groupServersByService(fleet)
-  applyWeights(fleet, node.loadNews.weights)
+  applyWeights(fleet, node.loadUpdate.weights)
 }
 
 /** The least time to open a connection counts, and creeps up by this part with each, so that a longer way shows. */
--- a/packages/daemon/src/core/gateway/stateWait.ts
+++ b/packages/daemon/src/core/gateway/stateWait.ts
@@ -17,7 +17,7 @@
 
 /** Whether requests can be judged here: the present state was read, and it has routes. */
 export function knowsRoutes (gateway: Gateway): boolean {
-  return gateway.node.freshAt > -Infinity && gateway.table.size > 0
+  return gateway.node.upToDateAt > -Infinity && gateway.table.size > 0
 }
 
 /** Holds a request until the routes are known, its caller is gone, or the time is over. */
--- a/packages/daemon/src/core/rpc/rpcClient.ts
+++ b/packages/daemon/src/core/rpc/rpcClient.ts
@@ -9,7 +9,7 @@
 import type { ErrorCode, Millis } from '@lynxcourse/base'
 import type { Metrics } from '../../utils/metrics.js'
 import { resetUnanswered } from '../../utils/resetUnanswered.js'
-import { supportedEncoding, decompressText } from './packing.js'
+import { supportedEncoding, decompressText } from './compression.js'
 
 /** Configuration of an RPC client. */
 export interface RpcClientCfg {
--- a/packages/daemon/src/core/rpc/rpcServer.ts
+++ b/packages/daemon/src/core/rpc/rpcServer.ts
@@ -15,7 +15,7 @@
 import type { RateLimit } from '../../utils/rateLimit.js'
 import { lookAtSender } from '../../utils/senderLook.js'
 import type { TlsFiles } from '../../plugins/tlsFiles.js'
-import { shouldCompress, compressText, supportedEncoding } from './packing.js'
+import { shouldCompress, compressText, supportedEncoding } from './compression.js'
 
 /**
  * The sender of a call, identified by the common name of its certificate: `vm:NAME`, `operator:NAME` or `server:NAME`.
