--- a/packages/daemon/src/core/gateway/call.ts
+++ b/packages/daemon/src/core/gateway/call.ts
@@ -1,4 +1,4 @@
-/** One caller's request on its way through the gateway, and its final answer. */
+/** A caller's request and its final answer. */
 import type { Millis, ServiceId } from '@lynxcourse/base'
 import type { CallerLiveness } from '@lynxcourse/placement'
 import type { Route } from '@lynxcourse/state'
@@ -6,39 +6,43 @@
 import type { Cancel } from '../../utils/cancel.js'
 import type { CallFacts } from './dialects.js'
 
+/** A caller's request that has a route and a service. */
 export interface Call {
   readonly facts: CallFacts
   readonly route: Route
   readonly service: ServiceId
   readonly method: string
   readonly path: string
-  /** Headers that are passed on. */
+  /** Headers that are forwarded to the server. */
   readonly headers: HeaderMap
   readonly body: Buffer | null
-  /** Since when it can have lain at this VM; times are counted from then, as the caller does. */
+  /**
+   * Earliest time at which the request can have reached this VM; the deadline counts from here, as it does for the
+   * caller.
+   */
   readonly arrivedAt: Millis
-  /** When this VM got to it. */
+  /** When this VM read the request. */
   readonly readAt: Millis
-  /** By the caller's own time limit or the route's, whichever ends first. */
+  /** End of the caller's timeout or of the route's, whichever is earlier. */
   readonly deadline: Millis
   /** Aborted when the caller has closed its connection. */
   readonly gone: Cancel
-  /** Until when a close of its connection would have been seen. */
-  readonly caller: CallerLiveness
-  /** For how long that close can have lain unread; undefined before it is read. */
+  /** Time up to which a close of the caller's connection would have been noticed. */
+  readonly liveness: CallerLiveness
+  /** Returns the upper bound of the read delay of the caller's close; undefined until the close is read. */
   readonly closeUnreadMs: () => Millis | undefined
 }
 
-/** What the caller is told. */
+/** The answer to a caller. */
 export interface CallAnswer {
   readonly status: number
   readonly headers: HeaderMap
   readonly body: Buffer
-  /** Whether the caller should go on over another connection, to another VM. */
+  /** Whether to close the connection, so that the caller reconnects, possibly to another VM. */
   readonly endsConnection?: boolean
 }
 
-/** Objects of different routes are different, although their keys may be alike. */
-export function objectOf (call: Call): string {
+/** Returns a key for the object of a request; it has the name of the route, since two routes may use the same keys. */
+export function createObjectKey (call: Call): string {
   return `${call.route.name}|${call.facts.object}`
 }
--- a/packages/daemon/src/core/gateway/callBody.ts
+++ b/packages/daemon/src/core/gateway/callBody.ts
@@ -1,86 +1,92 @@
 /**
- * Bodies of callers' requests, read while the requests wait to be taken up.
+ * Reads the bodies of callers' requests while the requests wait to be started.
  *
- * What can go wrong: a body that nobody reads stops the reading of its connection, and the caller's close behind it is not seen. It
- * shows as requests that are held, and begun at servers, for callers that left.
+ * If a body is not consumed, Node stops reading from its connection, and the VM does not notice that the caller closes
+ * the connection. The symptom is requests that are held, and sent to servers, for callers that have disconnected.
  */
 import type { IncomingMessage } from 'node:http'
 import type { Millis } from '@lynxcourse/base'
 import { presentTime } from '../../utils/clock.js'
 import type { Gateway } from './gateway.js'
 
-/** Bodies held at once; beyond it requests with a body are turned away, since memory over the VM's limit ends the process. */
-const maxHeldBytes = 67_108_864
+/**
+ * Bytes of bodies that are held at once. When more are held, requests with a body are rejected, since a process that
+ * exceeds the memory limit of its VM is killed.
+ */
+const maxBufferedBytes = 67_108_864
 
-/** How the reading of a body ended. */
-export type BodyEnd =
+/** How reading a body ended. */
+export type BodyResult =
   | { readonly type: 'whole', readonly body: Buffer, readonly at: Millis }
   | { readonly type: 'tooMany' | 'tooLarge' | 'gone' }
   | { readonly type: 'failed', readonly err: unknown }
 
 export interface CallBody {
-  readonly end: Promise<BodyEnd>
-  /** Has a body be judged by the present limits; one over them is not read on before. */
-  readonly judge: () => void
-  /** Gives its bytes up; what still comes is dropped. */
+  readonly end: Promise<BodyResult>
+  /** Confirms that the current limits apply; until then, reading of a body over the limit is suspended. */
+  readonly confirmLimits: () => void
+  /** Releases the memory of the body; later chunks are discarded. */
   readonly release: () => void
 }
 
-interface Reading {
+interface BodyReader {
   readonly gateway: Gateway
   readonly req: IncomingMessage
-  readonly judged: Promise<void>
-  heldBytes: number
+  readonly limitsConfirmed: Promise<void>
+  bufferedBytes: number
   isReleased: boolean
 }
 
-/** Begins to read a body; call `judge` once the limits are known, and `release` in the end. */
-export function startBody (gateway: Gateway, req: IncomingMessage): CallBody {
-  let judge = (): void => undefined
-  const judged = new Promise<void>(resolve => { judge = resolve })
-  const reading: Reading = { gateway, req, judged, heldBytes: 0, isReleased: false }
+/**
+ * Starts to read a body. The caller of this function calls `confirmLimits` once the limits are known, and `release` at
+ * the end.
+ */
+export function startReadingBody (gateway: Gateway, req: IncomingMessage): CallBody {
+  let confirmLimits = (): void => undefined
+  const limitsConfirmed = new Promise<void>(resolve => { confirmLimits = resolve })
+  const reader: BodyReader = { gateway, req, limitsConfirmed, bufferedBytes: 0, isReleased: false }
   const release = (): void => {
-    reading.isReleased = true
-    gateway.heldBytes -= reading.heldBytes
-    reading.heldBytes = 0
+    reader.isReleased = true
+    gateway.bufferedBodyBytes -= reader.bufferedBytes
+    reader.bufferedBytes = 0
   }
-  return { end: readToEnd(reading), judge, release }
+  return { end: readToEnd(reader), confirmLimits, release }
 }
 
-async function readToEnd (reading: Reading): Promise<BodyEnd> {
-  const { req } = reading
+async function readToEnd (reader: BodyReader): Promise<BodyResult> {
+  const { req } = reader
   const { 'content-length': length, 'transfer-encoding': encoding } = req.headers
   if (length === undefined && encoding === undefined) return { type: 'whole', body: Buffer.alloc(0), at: presentTime() }
   try {
-    const end = await readChunks(reading)
-    // What is not held is dropped: left unread, it would stop the reading as well.
-    if (end.type !== 'whole') req.resume()
-    return end
+    const result = await readChunks(reader)
+    // The rest of the body is discarded: if it were not consumed, reading from the connection would stop too.
+    if (result.type !== 'whole') req.resume()
+    return result
   } catch (err) {
     return req.destroyed ? { type: 'gone' } : { type: 'failed', err }
   }
 }
 
-async function readChunks (reading: Reading): Promise<BodyEnd> {
-  const { gateway, req } = reading
+async function readChunks (reader: BodyReader): Promise<BodyResult> {
+  const { gateway, req } = reader
   const chunks: Buffer[] = []
-  // Left undestroyed: a destroyed request takes its connection, and the answer, with it.
+  // Destroying the request on an early return would destroy its connection, and the answer with it.
   for await (const chunk of req.iterator({ destroyOnReturn: false }) as AsyncIterable<Buffer>) {
-    if (gateway.heldBytes > maxHeldBytes) return { type: 'tooMany' }
-    if (isTooLarge(reading, chunk)) await reading.judged
-    if (isTooLarge(reading, chunk)) return { type: 'tooLarge' }
-    if (reading.isReleased) return { type: 'gone' }
-    hold(reading, chunk)
+    if (gateway.bufferedBodyBytes > maxBufferedBytes) return { type: 'tooMany' }
+    if (exceedsLimit(reader, chunk)) await reader.limitsConfirmed
+    if (exceedsLimit(reader, chunk)) return { type: 'tooLarge' }
+    if (reader.isReleased) return { type: 'gone' }
+    countBytes(reader, chunk)
     chunks.push(chunk)
   }
   return { type: 'whole', body: Buffer.concat(chunks), at: presentTime() }
 }
 
-function isTooLarge ({ gateway, heldBytes }: Reading, chunk: Buffer): boolean {
-  return heldBytes + chunk.length > gateway.limits.maxBodyBytes
+function exceedsLimit ({ gateway, bufferedBytes }: BodyReader, chunk: Buffer): boolean {
+  return bufferedBytes + chunk.length > gateway.limits.maxBodyBytes
 }
 
-function hold (reading: Reading, chunk: Buffer): void {
-  reading.heldBytes += chunk.length
-  reading.gateway.heldBytes += chunk.length
+function countBytes (reader: BodyReader, chunk: Buffer): void {
+  reader.bufferedBytes += chunk.length
+  reader.gateway.bufferedBodyBytes += chunk.length
 }
--- a/packages/daemon/src/core/gateway/callerFront.ts
+++ b/packages/daemon/src/core/gateway/callerFront.ts
@@ -1,4 +1,4 @@
-/** The HTTP server that callers reach: reads requests, has them served, writes answers. */
+/** The HTTP server for callers: reads requests, serves them and writes their answers. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
@@ -15,156 +15,165 @@
 import { arrivalTime, noteAccepted, watchClose } from '../../utils/loopWatch.js'
 import { nextLook } from '../../utils/socketLooks.js'
 import type { Call, CallAnswer } from './call.js'
-import { startBody } from './callBody.js'
-import type { BodyEnd, CallBody } from './callBody.js'
+import { startReadingBody } from './callBody.js'
+import type { BodyResult, CallBody } from './callBody.js'
 import type { Gateway } from './gateway.js'
-import { joinPipeline, leavePipeline, tryClosing, waitForTurn } from './pipeline.js'
+import { joinPipeline, leavePipeline, tryMarkClosing, waitForEarlierAnswers } from './pipeline.js'
 import type { PipelinedRequest } from './pipeline.js'
-import { logRefusal, timeFields } from './requestLog.js'
+import { logRefusal, getTimeFields } from './requestLog.js'
 import type { RefusedCall } from './requestLog.js'
 import { serveCall } from './serving.js'
-import { knowsRoutes, waitForRoutes } from './stateWait.js'
+import { hasRoutes, waitForRoutes } from './stateWait.js'
 
-/** Largest head that the parser takes; the routes' own limit may be lower. */
+/** Largest head of a request that the parser accepts; a route may have a lower limit. */
 const maxHeaderBytes = 65_536
-/** Idle connections stay open this much longer than promised, so that a request just in time finds them open. */
+/**
+ * Idle connections stay open this long after the announced timeout, so that a request sent just before the timeout
+ * still finds its connection open.
+ */
 const idleSlackMs: Millis = 2000
-/** When to come back where this VM has no processor time, spread over twice that: soon, as other VMs have time, but not all at once. */
+/**
+ * Shortest retry time for callers of an overloaded VM. Retry times are spread between this and twice this: other VMs
+ * have capacity now, but not for all callers at the same moment.
+ */
 const overloadedRetryMs: Millis = 150
-/** When to come back to a VM that does not know the present state yet, after it was waited for. */
+/** Retry time for callers of a VM that still doesn't have the current state after `waitForRoutes`. */
 const notReadyRetryMs: Millis = 500
 
-/** Makes the server; it does not listen yet. */
+/** Creates the server; it does not listen yet. */
 export function createCallerFront (gateway: Gateway): Server {
   const server = createServer({ maxHeaderSize: maxHeaderBytes, requestTimeout: 0 }, (req, res) => {
     answerCall(gateway, req, res).catch((err: unknown) => {
-      log(gateway.node.logs, 'route', 'error', 'Request not served.', { error: getErrorMessage(err) })
+      log(gateway.node.logs, 'route', 'error', 'Serving a request failed.', { error: getErrorMessage(err) })
       res.destroy()
     })
   })
   server.on('connection', (socket: Socket) => {
     noteAccepted(gateway.loop, socket, presentTime())
-    watchClose(gateway.loop, socket, unreadMs => {
-      const isWaiting = (gateway.pipelines.get(socket)?.requests.length ?? 0) > 0
-      if (isWaiting) gateway.node.metrics.closeUnreadSeconds.observe(unreadMs / 1000)
+    watchClose(gateway.loop, socket, readDelayMs => {
+      const hasRequests = (gateway.pipelines.get(socket)?.requests.length ?? 0) > 0
+      if (hasRequests) gateway.node.metrics.closeUnreadSeconds.observe(readDelayMs / 1000)
     })
   })
   return server
 }
 
-/** Takes changed limits over. */
+/** Applies the gateway's current limits to the server. */
 export function applyLimits (gateway: Gateway, server: Server): void {
   server.keepAliveTimeout = gateway.limits.idleTimeoutMs + idleSlackMs
   server.headersTimeout = gateway.limits.headerTimeoutMs + idleSlackMs
 }
 
 async function answerCall (gateway: Gateway, req: IncomingMessage, res: ServerResponse): Promise<void> {
-  const read = arrivalOf(gateway, req, presentTime())
-  const { arrivedAt } = read
+  const arrival = recordArrival(gateway, req, presentTime())
+  const { arrivedAt } = arrival
   const { metrics } = gateway.node
-  metrics.unreadSeconds.observe((read.readAt - arrivedAt) / 1000)
+  metrics.unreadSeconds.observe((arrival.readAt - arrivedAt) / 1000)
   gateway.open += 1
   metrics.inFlight.set(gateway.open)
-  const body = startBody(gateway, req)
-  const place = await joinPipeline(gateway.pipelines, req.socket)
-  const { gone } = place
+  const body = startReadingBody(gateway, req)
+  const pipelined = await joinPipeline(gateway.pipelines, req.socket)
+  const { gone } = pipelined
   try {
-    const { service, answer } = await takeUp(gateway, { req, body, gone, arrival: read })
+    const { service, answer } = await processCall(gateway, { req, body, gone, arrival })
     metrics.requests.inc({ service, outcome: answer === undefined ? 'gone' : String(answer.status) })
     metrics.requestSeconds.observe({ service }, (presentTime() - arrivedAt) / 1000)
-    if (answer !== undefined && await waitForTurn(place, answer.body.length)) writeAnswer(gateway, res, answer, place)
+    if (answer !== undefined && await waitForEarlierAnswers(pipelined, answer.body.length)) writeAnswer(gateway, res, answer, pipelined)
   } finally {
     body.release()
-    if (!res.writableEnded) leavePipeline(place)
-    whenOut(res, () => {
+    if (!res.writableEnded) leavePipeline(pipelined)
+    afterAnswerSent(res, () => {
       gateway.open -= 1
       metrics.inFlight.set(gateway.open)
     })
   }
 }
 
-/** A request that was read. */
-interface Taken {
+/** A request whose head was read. */
+interface IncomingCall {
   readonly req: IncomingMessage
   readonly body: CallBody
   readonly gone: Cancel
   readonly arrival: Arrival
 }
 
-/** What became of a request; without an answer its caller has left. */
-interface Served {
+/** The answer to a request; undefined if the caller has disconnected. */
+interface CallOutcome {
   readonly service: ServiceId | 'none'
   readonly answer: CallAnswer | undefined
 }
 
-/** Serves a request once its caller is known to be there, and the routes are known. */
-async function takeUp (gateway: Gateway, read: Taken): Promise<Served> {
-  const { req, body, gone } = read
-  const arrival = await lookBehind(gateway, read.arrival)
-  if (!knowsRoutes(gateway)) {
+/** Serves a request once the routes are available and a poll has shown that the caller is still connected. */
+async function processCall (gateway: Gateway, incoming: IncomingCall): Promise<CallOutcome> {
+  const { req, body, gone } = incoming
+  const arrival = await pollForClose(gateway, incoming.arrival)
+  if (!hasRoutes(gateway)) {
     await waitForRoutes(gateway, gone)
-    arrival.workFrom = presentTime()
+    arrival.workStartedAt = presentTime()
   }
-  body.judge()
+  body.confirmLimits()
   if (gone.aborted) {
-    log(gateway.node.logs, 'route', 'info', 'Caller left before its request was taken up.', { path: req.url, ...timeFields(arrival) })
+    log(gateway.node.logs, 'route', 'info', 'Caller disconnected before its request was started.', { path: req.url, ...getTimeFields(arrival) })
     return { service: 'none', answer: undefined }
   }
-  const target = targetOf(gateway, req)
-  if (target === undefined) return { service: 'none', answer: noRoute(gateway, req) }
-  return { service: target.service, answer: await serveRequest(gateway, { req, body, gone, arrival }, target) }
+  const target = selectTarget(gateway, req)
+  if (target === undefined) return { service: 'none', answer: answerNoRoute(gateway, req) }
+  return { service: target.service, answer: await serveRoutedCall(gateway, { req, body, gone, arrival }, target) }
 }
 
-/** Calls back once an answer is out, or can't get out any more; at once where there is none. A VM that stops waits for that. */
-function whenOut (res: ServerResponse, done: () => void): void {
+/**
+ * Calls `done` once the answer is sent or its connection has closed; at once if there is no answer. A VM that stops
+ * waits for its requests until then.
+ */
+function afterAnswerSent (res: ServerResponse, done: () => void): void {
   if (!res.writableEnded || res.writableFinished || res.destroyed) done()
   else res.once('close', done)
 }
 
-interface Arrival extends Pick<Call, 'arrivedAt' | 'readAt' | 'caller'> {
-  /** How far the turn was in which it was read. */
-  readonly readTurn: IterationTime
-  /** When the VM began with the requests that it takes up together with this one. */
-  workFrom: Millis
+interface Arrival extends Pick<Call, 'arrivedAt' | 'readAt' | 'liveness'> {
+  /** Time spent in the event loop iteration in which the request was read, up to that point. */
+  readonly readIteration: IterationTime
+  /** When the VM started to process the requests that were read together with this one. */
+  workStartedAt: Millis
 }
 
-function arrivalOf ({ loop }: Gateway, req: IncomingMessage, now: Millis): Arrival {
+function recordArrival ({ loop }: Gateway, req: IncomingMessage, now: Millis): Arrival {
   const arrivedAt = arrivalTime(loop, req.socket, now)
-  const turn = getIterationTime(loop.turns, now)
-  return { arrivedAt, readAt: now, caller: createCallerLiveness(), readTurn: turn, workFrom: now }
+  const iteration = getIterationTime(loop.turns, now)
+  return { arrivedAt, readAt: now, liveness: createCallerLiveness(), readIteration: iteration, workStartedAt: now }
 }
 
-/** Reads what lies behind a request: its caller may have closed the connection while it lay unread. */
-async function lookBehind ({ loop }: Gateway, arrival: Arrival): Promise<Arrival> {
-  const { caller, readAt, arrivedAt, readTurn } = arrival
-  // A loop that slept until the request came has read all there was, and accepted all who waited.
-  if (readTurn.wasIdle && arrivedAt === readAt) {
-    recordPoll(caller, readAt)
+/** Polls the sockets after a request was read: the caller's close may have arrived before the request was read. */
+async function pollForClose ({ loop }: Gateway, arrival: Arrival): Promise<Arrival> {
+  const { liveness, readAt, arrivedAt, readIteration } = arrival
+  // A loop that was idle until the request arrived has read all available data and accepted all waiting connections.
+  if (readIteration.wasIdle && arrivedAt === readAt) {
+    recordPoll(liveness, readAt)
     return arrival
   }
-  const look = await nextLook(loop.looks)
-  recordPoll(caller, look.beganAt)
-  return { ...arrival, workFrom: look.endedAt }
+  const poll = await nextLook(loop.looks)
+  recordPoll(liveness, poll.beganAt)
+  return { ...arrival, workStartedAt: poll.endedAt }
 }
 
-/** The route of a request, and the service that its split gives it; undefined without a route. */
-function targetOf (gateway: Gateway, req: IncomingMessage): RoutedService | undefined {
+/** Returns the route of a request and the service that the route's split selects; undefined if no route matches. */
+function selectTarget (gateway: Gateway, req: IncomingMessage): RoutedService | undefined {
   const route = matchRoute(gateway.table, req.headers.host ?? '', req.url ?? '/')
   return route === undefined ? undefined : { route, service: selectService(gateway.splits, route) }
 }
 
-async function serveRequest (gateway: Gateway, { req, body: coming, gone, arrival }: Taken, { route, service }: RoutedService): Promise<CallAnswer | undefined> {
-  const { arrivedAt, readAt, caller, readTurn, workFrom } = arrival
+async function serveRoutedCall (gateway: Gateway, { req, body: callBody, gone, arrival }: IncomingCall, { route, service }: RoutedService): Promise<CallAnswer | undefined> {
+  const { arrivedAt, readAt, liveness, readIteration, workStartedAt } = arrival
   const facts = gateway.callers.readCall(req.headers)
   const deadline = arrivedAt + Math.min(facts.remainingMs ?? Infinity, route.timeoutMs)
-  const refused: RefusedCall = { facts, route, service, arrivedAt, readAt, deadline }
-  if (!fitsIterationBudget(readTurn, route.rank)) return refuseOverloaded(gateway, req, refused)
-  const end = await coming.end
-  if (end.type !== 'whole') return noBody(gateway, end)
-  if (end.at > caller.polledAt) invalidateLiveness(caller)
-  // Asked right before the work, which counts for those that are asked after this one.
-  const spentMs = presentTime() - Math.max(workFrom, end.at)
-  if (!fitsIterationBudget({ ...readTurn, elapsedMs: spentMs }, route.rank)) return refuseOverloaded(gateway, req, refused)
+  const refusedCall: RefusedCall = { facts, route, service, arrivedAt, readAt, deadline }
+  if (!fitsIterationBudget(readIteration, route.rank)) return refuseOverloaded(gateway, req, refusedCall)
+  const end = await callBody.end
+  if (end.type !== 'whole') return answerBodyFailure(gateway, end)
+  if (end.at > liveness.polledAt) invalidateLiveness(liveness)
+  // Checked immediately before the work, so that later requests of this iteration include the time of that work.
+  const elapsedMs = presentTime() - Math.max(workStartedAt, end.at)
+  if (!fitsIterationBudget({ ...readIteration, elapsedMs }, route.rank)) return refuseOverloaded(gateway, req, refusedCall)
   const { body } = end
   const call: Call = {
     facts,
@@ -172,75 +181,76 @@
     service,
     method: req.method ?? 'GET',
     path: req.url ?? '/',
-    headers: forwardedHeaders(gateway, req),
+    headers: getForwardedHeaders(gateway, req),
     body: body.length === 0 ? null : body,
     arrivedAt,
     readAt,
     deadline,
     gone,
-    caller,
+    liveness,
     closeUnreadMs: () => gateway.loop.closesUnread.get(req.socket)
   }
   try {
     return await serveCall(gateway, call)
   } finally {
-    coming.release()
+    callBody.release()
   }
 }
 
 /**
- * Refuses a request for which this VM has no processor time, and ends its connection: kept open, it would bring the caller's next
- * requests here as well.
+ * Refuses a request for lack of processor time and closes its connection, which would otherwise bring the caller's next
+ * requests to this VM as well.
  */
 function refuseOverloaded (gateway: Gateway, req: IncomingMessage, call: RefusedCall): CallAnswer {
   req.resume()
   const retryAfterMs = overloadedRetryMs * (1 + gateway.node.random())
   logRefusal(gateway, call, 0, { type: 'refuse', reason: 'overloaded', retryAfterMs })
-  // A connection that is closed before its request was read whole is reset, and the answer is lost with it.
-  return { ...refusal(gateway, 'this VM is overloaded', retryAfterMs), endsConnection: req.complete }
+  // Closing a connection before its request was read completely resets the connection, and the answer is lost.
+  return { ...createRefusal(gateway, 'this VM is overloaded', retryAfterMs), endsConnection: req.complete }
 }
 
-function noRoute (gateway: Gateway, req: IncomingMessage): CallAnswer {
+function answerNoRoute (gateway: Gateway, req: IncomingMessage): CallAnswer {
   req.resume()
-  // A VM that does not know the present routes can't say that there is none.
-  if (!knowsRoutes(gateway)) return refusal(gateway, 'the routes are not known yet', notReadyRetryMs)
+  // Without the current routes, the VM doesn't know whether a route exists.
+  if (!hasRoutes(gateway)) return createRefusal(gateway, 'the routes are not known yet', notReadyRetryMs)
   log(gateway.node.logs, 'route', 'info', 'No route.', { host: req.headers.host, path: req.url, stateVersion: gateway.node.config.version })
-  return ownAnswer(404, 'no route')
+  return createTextAnswer(404, 'no route')
 }
 
-function refusal (gateway: Gateway, detail: string, retryAfterMs: Millis): CallAnswer {
+function createRefusal (gateway: Gateway, detail: string, retryAfterMs: Millis): CallAnswer {
   return { status: 503, headers: gateway.callers.refusalHeaders(retryAfterMs), body: Buffer.from(`not run: ${detail}\n`) }
 }
 
-function ownAnswer (status: number, detail: string): CallAnswer {
+function createTextAnswer (status: number, detail: string): CallAnswer {
   return { status, headers: {}, body: Buffer.from(`${detail}\n`) }
 }
 
-/** What a caller is told whose body can't be taken; undefined if it went away. */
-function noBody (gateway: Gateway, end: Exclude<BodyEnd, { type: 'whole' }>): CallAnswer | undefined {
+/** Returns the answer to a request whose body can't be read or held; undefined if the caller has disconnected. */
+function answerBodyFailure (gateway: Gateway, end: Exclude<BodyResult, { type: 'whole' }>): CallAnswer | undefined {
   switch (end.type) {
-    case 'tooMany': return refusal(gateway, 'too many bodies are held', notReadyRetryMs)
-    case 'tooLarge': return ownAnswer(413, `body over ${gateway.limits.maxBodyBytes} bytes`)
+    case 'tooMany': return createRefusal(gateway, 'too many bodies are held', notReadyRetryMs)
+    case 'tooLarge': return createTextAnswer(413, `body over ${gateway.limits.maxBodyBytes} bytes`)
     case 'failed': throw new LynxError('badRequest', getErrorMessage(end.err), { step: 'read body', cause: end.err })
     case 'gone': return undefined
   }
 }
 
-function forwardedHeaders (gateway: Gateway, req: IncomingMessage): HeaderMap {
-  const listed = new Set(String(req.headers.connection ?? '').toLowerCase().split(',').map(name => name.trim()))
+function getForwardedHeaders (gateway: Gateway, req: IncomingMessage): HeaderMap {
+  const connectionHeaders = new Set(String(req.headers.connection ?? '').toLowerCase().split(',').map(name => name.trim()))
   const headers: HeaderMap = {}
   for (const [name, value] of Object.entries(req.headers)) {
-    if (value !== undefined && !isHopByHop(name) && !listed.has(name) && !gateway.callers.ownHeaders.has(name)) headers[name] = value
+    if (value !== undefined && !isHopByHop(name) && !connectionHeaders.has(name) && !gateway.callers.ownHeaders.has(name)) headers[name] = value
   }
   return headers
 }
 
-function writeAnswer (gateway: Gateway, res: ServerResponse, answer: CallAnswer, place: PipelinedRequest): void {
+function writeAnswer (gateway: Gateway, res: ServerResponse, answer: CallAnswer, pipelined: PipelinedRequest): void {
   const headers: HeaderMap = { ...answer.headers, 'content-length': String(answer.body.length) }
-  // A VM that leaves says so, so that the caller's next request goes elsewhere instead of crossing the close.
+  // A VM that is leaving announces the close, so that the caller's next request goes to another VM and doesn't arrive
+  // after the close.
   const isClosing = gateway.node.isLeaving || answer.endsConnection === true
-  if (isClosing && tryClosing(place)) headers.connection = 'close'
-  res.once('finish', () => leavePipeline(place))
+  if (isClosing && tryMarkClosing(pipelined)) headers.connection = 'close'
+  res.once('finish', () => leavePipeline(pipelined))
   res.writeHead(answer.status, headers)
   res.end(answer.body)
 }
--- a/packages/daemon/src/core/gateway/dialects.ts
+++ b/packages/daemon/src/core/gateway/dialects.ts
@@ -1,81 +1,85 @@
 /**
- * How callers and backend servers say what the gateway needs to know. The gateway decides on these
- * terms alone, so that another platform's headers need another dialect and nothing else.
+ * The headers by which the gateway exchanges information with callers and backend servers. The gateway reads and writes
+ * such headers through a dialect only, so another platform's headers need no more than another dialect.
  */
 import type { IncomingHttpHeaders } from 'node:http'
 import type { Millis, ServerId } from '@lynxcourse/base'
 import { deadlineHeader, loadHeader, notStartedHeader, requestIdHeader } from '../../types/answers.js'
 import type { HeaderMap } from '../../types/answers.js'
 
-/** What a caller's request says besides method, path and body. */
+/** Information from the headers of a caller's request. */
 export interface CallFacts {
-  /** The caller's id of this attempt; empty if it gave none. */
+  /** The caller's id of this attempt; empty if the caller sent none. */
   readonly id: string
-  /** How long the caller will wait; undefined if it did not say. */
+  /** Time that the caller will still wait; undefined if the caller sent none. */
   readonly remainingMs: Millis | undefined
-  /** The object that the request concerns; empty if it did not say. */
+  /** The object that the request concerns; empty if the caller sent none. */
   readonly object: string
 }
 
-/** What callers and this system say to each other. */
+/** Headers between callers and this system. */
 export abstract class CallerDialect {
   abstract readCall (headers: IncomingHttpHeaders): CallFacts
 
-  /** Names of headers that this system sets itself: those that callers send are not passed on. */
+  /** Names of headers that only this system sets; they are removed from callers' requests. */
   abstract readonly ownHeaders: ReadonlySet<string>
 
-  /** Headers of a refusal that tells when to come back. */
+  /** Returns the headers of a refusal, with the time after which the caller may retry. */
   refusalHeaders (retryAfterMs: Millis): HeaderMap {
     return { 'retry-after': (retryAfterMs / 1000).toFixed(3) }
   }
 }
 
-/** How sound a server's answer is. */
+/**
+ * Class of a server's answer: `answered` for a valid answer, `notRun` if the server did not start the request,
+ * `elsewhere` if another server answered, `spoiled` for an answer that belongs to another request or is not the
+ * server's own.
+ */
 export type AnswerKind = 'answered' | 'notRun' | 'elsewhere' | 'spoiled'
 
-/** What this system and backend servers say to each other. */
+/** Headers between this system and backend servers. */
 export abstract class ServerDialect {
-  /** Headers added for a server. */
-  abstract requestHeaders (call: CallFacts, server: ServerId, leftMs: Millis): HeaderMap
+  /** Returns the headers to add to a request for a server. */
+  abstract requestHeaders (call: CallFacts, server: ServerId, remainingMs: Millis): HeaderMap
 
-  /** Requests running and waiting at the server; undefined if it did not say. */
+  /** Returns the number of requests running and waiting at the server; undefined if the server did not report it. */
   abstract readAhead (headers: HeaderMap): number | undefined
 
-  /** Whether an answer's head belongs to the request, and whether the request ran. */
+  /** Checks by an answer's head whether it belongs to the request, and whether the request ran. */
   abstract judge (call: CallFacts, status: number, headers: HeaderMap): AnswerKind
 }
 
 const statusMisdirected = 421
 
-/** The product's own caller side. */
+/** The default headers on the callers' side. */
 export class OwnCallerDialect extends CallerDialect {
   override readonly ownHeaders = new Set([deadlineHeader, 'lynx-expect-server'])
 
   override readCall (headers: IncomingHttpHeaders): CallFacts {
-    const remaining = Number(headers[deadlineHeader])
+    const remainingMs = Number(headers[deadlineHeader])
     return {
       id: String(headers[requestIdHeader] ?? ''),
-      remainingMs: Number.isFinite(remaining) && remaining > 0 ? remaining : undefined,
+      remainingMs: Number.isFinite(remainingMs) && remainingMs > 0 ? remainingMs : undefined,
       object: String(headers['lynx-object'] ?? '')
     }
   }
 }
 
-/** The product's own server side. */
+/** The default headers on the servers' side. */
 export class OwnServerDialect extends ServerDialect {
-  override requestHeaders (_call: CallFacts, server: ServerId, leftMs: Millis): HeaderMap {
-    return { [deadlineHeader]: String(leftMs), 'lynx-expect-server': server }
+  override requestHeaders (_call: CallFacts, server: ServerId, remainingMs: Millis): HeaderMap {
+    return { [deadlineHeader]: String(remainingMs), 'lynx-expect-server': server }
   }
 
   override readAhead (headers: HeaderMap): number | undefined {
-    const load = Number(headers[loadHeader])
-    return headers[loadHeader] !== undefined && Number.isFinite(load) && load >= 0 ? load : undefined
+    const queueDepth = Number(headers[loadHeader])
+    return headers[loadHeader] !== undefined && Number.isFinite(queueDepth) && queueDepth >= 0 ? queueDepth : undefined
   }
 
   override judge (call: CallFacts, status: number, headers: HeaderMap): AnswerKind {
-    const echoed = headers[requestIdHeader]
-    // A server may send an answer twice or late, so that it stands where the next request's answer is due.
-    if (echoed !== undefined && echoed !== call.id) return 'spoiled'
+    const echoedId = headers[requestIdHeader]
+    // A server may send an answer twice or late; the next request on the connection then receives it.
+    if (echoedId !== undefined && echoedId !== call.id) return 'spoiled'
     if (status === statusMisdirected) return 'elsewhere'
     return headers[notStartedHeader] === undefined ? 'answered' : 'notRun'
   }
--- a/packages/daemon/src/core/gateway/exchange.ts
+++ b/packages/daemon/src/core/gateway/exchange.ts
@@ -1,6 +1,6 @@
 /**
- * One request and its whole answer over one connection, by `undici`'s handler interface: its promise interface makes a
- * stream, an iterator and a signal for each request, which cost more than reading the answer does.
+ * Sends one request over one connection and reads its whole answer, by the handler interface of `undici`. The promise
+ * interface creates a stream, an iterator and a signal for each request, which cost more than reading the answer.
  */
 import type { Client, Dispatcher } from 'undici'
 import { LynxError } from '@lynxcourse/base'
@@ -8,49 +8,49 @@
 import type { HeaderMap } from '../../types/answers.js'
 import { presentTime } from '../../utils/clock.js'
 
-/** Largest answer that is held in memory; whole answers are checked before a caller gets any of them. */
+/** Answers are held in memory up to this size, since a caller gets an answer only after the whole of it was checked. */
 const maxAnswerBytes = 16_777_216
 const firstFinalStatus = 200
 
 /** A server's whole answer. */
-export interface Received {
+export interface ReceivedAnswer {
   readonly status: number
   readonly headers: HeaderMap
-  /** Undefined for one that is too large to be held. */
+  /** Undefined if the body exceeds the size limit. */
   readonly body: Buffer | undefined
 }
 
-/** An exchange under way. */
+/** An exchange in progress. */
 export interface Exchange {
-  /** Rejects when the connection fails, or by `abort`. */
-  readonly answer: Promise<Received>
-  /** When the request began to be written; undefined until the connection was open for it. */
+  /** Rejects when the connection fails or `abort` is called. */
+  readonly answer: Promise<ReceivedAnswer>
+  /** When writing of the request began; undefined before. */
   startedAt: Millis | undefined
-  /** Ends it now; a request that was not begun is never written. */
+  /** Ends the exchange at once; a request that is not being written yet is never written. */
   readonly abort: () => void
 }
 
 /**
  * Starts an exchange.
  *
- * @param writeBy when its connection opens later than this, the request is not written: the VM stood still meanwhile, and what was
- * decided may have changed
- * @param onProgress called when the head of the answer came
+ * @param writeDeadline the request is not written if the connection opens after this time, since the VM was suspended
+ * meanwhile and the choice of the server may be outdated
+ * @param onProgress called when the head of the final answer is received
  */
-export function startExchange (client: Client, options: Dispatcher.DispatchOptions, writeBy: Millis, onProgress: () => void): Exchange {
+export function startExchange (client: Client, options: Dispatcher.DispatchOptions, writeDeadline: Millis, onProgress: () => void): Exchange {
   let controller: Dispatcher.DispatchController | undefined
   let isAborted = false
-  let fail: (err: Error) => void = () => undefined
-  const answer = new Promise<Received>((resolve, reject) => {
-    fail = reject
+  let rejectAnswer: (err: Error) => void = () => undefined
+  const answer = new Promise<ReceivedAnswer>((resolve, reject) => {
+    rejectAnswer = reject
     client.dispatch(options, {
-      onRequestStart: started => {
-        controller = started
+      onRequestStart: requestController => {
+        controller = requestController
         const now = presentTime()
-        if (isAborted || now > writeBy) started.abort(cancelled())
+        if (isAborted || now > writeDeadline) requestController.abort(createCancelledError())
         else exchange.startedAt = now
       },
-      ...collecting(resolve, onProgress),
+      ...createAnswerCollector(resolve, onProgress),
       onResponseError: (_controller, err) => reject(err)
     })
   })
@@ -59,22 +59,22 @@
     startedAt: undefined,
     abort: () => {
       isAborted = true
-      controller?.abort(cancelled())
-      fail(cancelled())
+      controller?.abort(createCancelledError())
+      rejectAnswer(createCancelledError())
     }
   }
   return exchange
 }
 
-function cancelled (): LynxError {
-  return new LynxError('cancelled', 'the exchange was ended', { step: 'send' })
+function createCancelledError (): LynxError {
+  return new LynxError('cancelled', 'the exchange with the server was cancelled', { step: 'send' })
 }
 
-type Collecting = Pick<Dispatcher.DispatchHandler, 'onResponseStart' | 'onResponseData' | 'onResponseEnd'>
+type AnswerCollector = Pick<Dispatcher.DispatchHandler, 'onResponseStart' | 'onResponseData' | 'onResponseEnd'>
 
-function collecting (resolve: (received: Received) => void, onProgress: () => void): Collecting {
+function createAnswerCollector (resolve: (received: ReceivedAnswer) => void, onProgress: () => void): AnswerCollector {
   const chunks: Buffer[] = []
-  let head: Omit<Received, 'body'> | undefined
+  let head: Omit<ReceivedAnswer, 'body'> | undefined
   let size = 0
   return {
     onResponseStart: (_controller, status, headers) => {
--- a/packages/daemon/src/core/gateway/fleetView.ts
+++ b/packages/daemon/src/core/gateway/fleetView.ts
@@ -1,4 +1,4 @@
-/** Keeps the gateway's routes and servers up to date with the VM's copy of the state. */
+/** Updates the gateway's routes and servers from the VM's copy of the state. */
 import type { Millis, ServiceId } from '@lynxcourse/base'
 import { createFleetServer, forgetServer, groupServersByService, applyWeights } from '@lynxcourse/placement'
 import type { Fleet, FleetServer, ServerFacts } from '@lynxcourse/placement'
@@ -8,33 +8,33 @@
 import type { FleetNode } from '../fleet/fleetNode.js'
 import type { Gateway } from './gateway.js'
 
-/** A server whose failure domain takes work again may have become cold while it had none. */
+/** Warm-up time for a server that may have become cold while its failure domain received no requests. */
 const defaultWarmupMs = 3000
 
-/** Takes the present state over. */
+/** Applies the current state to the gateway. */
 export function refreshGateway (gateway: Gateway, now: Millis): void {
   const { node, fleet } = gateway
-  const set = findRouteSet(node.config)
-  gateway.table = buildRouteTable(set?.routes ?? [])
-  if (set !== undefined) {
-    gateway.limits = set.limits
-    for (const upstream of set.upstreams) fleet.coldRequestRates.set(upstream.name, upstream.warmupPerSecond)
+  const routeSet = findRouteSet(node.config)
+  gateway.table = buildRouteTable(routeSet?.routes ?? [])
+  if (routeSet !== undefined) {
+    gateway.limits = routeSet.limits
+    for (const upstream of routeSet.upstreams) fleet.coldRequestRates.set(upstream.name, upstream.warmupPerSecond)
   }
   fleet.vms = node.entryNames
-  refreshServers(fleet, node, set, now)
+  refreshServers(fleet, node, routeSet, now)
 }
 
-function refreshServers (fleet: Fleet, node: FleetNode, set: RouteSet | undefined, now: Millis): void {
-  const warmups = new Map<ServiceId, Millis>(set?.upstreams.map(upstream => [upstream.name, upstream.warmupMs]))
-  const evacuated = evacuatedDomains(node.config)
-  const present = new Set<string>()
+function refreshServers (fleet: Fleet, node: FleetNode, routeSet: RouteSet | undefined, now: Millis): void {
+  const warmupTimes = new Map<ServiceId, Millis>(routeSet?.upstreams.map(upstream => [upstream.name, upstream.warmupMs]))
+  const evacuatedDomains = getEvacuatedDomains(node.config)
+  const presentIds = new Set<string>()
   for (const item of listItems(node.config, 'backend')) {
     if (item.state === 'gone') continue
-    present.add(item.key)
-    refreshServer(fleet, node, item, evacuated.has(item.facts.failureDomain), warmups, now)
+    presentIds.add(item.key)
+    refreshServer(fleet, node, item, evacuatedDomains.has(item.facts.failureDomain), warmupTimes, now)
   }
   for (const id of fleet.byId.keys()) {
-    if (present.has(id)) continue
+    if (presentIds.has(id)) continue
     fleet.byId.delete(id)
     forgetServer(fleet.warmth, id)
   }
@@ -42,26 +42,26 @@
   applyWeights(fleet, node.loadNews.weights)
 }
 
-/** The least time to open a connection counts, and creeps up by this part with each, so that a longer way shows. */
-const travelCreep = 1.01
+/** The minimum connect time grows by this factor with each connection, so that it adapts to a longer network path. */
+const minConnectTimeGrowth = 1.01
 
-/** Learns the way to a region from how long a connection to one of its servers took to open. */
-export function noteConnected (gateway: Gateway, address: string, tookMs: Millis): void {
+/** Updates the round-trip time to a server's region by the time that opening a connection to the server took. */
+export function noteConnected (gateway: Gateway, address: string, connectMs: Millis): void {
   const { fleet } = gateway
   const region = [...fleet.byId.values()].find(server => server.facts.address === address)?.facts.region
   if (region === undefined) return
-  const held = fleet.roundTripTimes.get(region)
-  fleet.roundTripTimes.set(region, held === undefined ? tookMs : Math.min(tookMs, held * travelCreep))
+  const roundTripMs = fleet.roundTripTimes.get(region)
+  fleet.roundTripTimes.set(region, roundTripMs === undefined ? connectMs : Math.min(connectMs, roundTripMs * minConnectTimeGrowth))
 }
 
-function evacuatedDomains (config: Config): Set<string> {
+function getEvacuatedDomains (config: Config): Set<string> {
   return new Set(listItems(config, 'evacuation').filter(item => item.isActive).map(item => item.key))
 }
 
-function refreshServer (fleet: Fleet, node: FleetNode, item: BackendItem, isEvacuated: boolean, warmups: ReadonlyMap<ServiceId, Millis>, now: Millis): void {
+function refreshServer (fleet: Fleet, node: FleetNode, item: BackendItem, isEvacuated: boolean, warmupTimes: ReadonlyMap<ServiceId, Millis>, now: Millis): void {
   const { facts, key } = item
-  const warmupMs = warmups.get(facts.service) ?? defaultWarmupMs
-  const next: ServerFacts = {
+  const warmupMs = warmupTimes.get(facts.service) ?? defaultWarmupMs
+  const newFacts: ServerFacts = {
     id: key,
     service: facts.service,
     address: facts.address,
@@ -72,23 +72,24 @@
     isClosed: item.state !== 'serving' || isEvacuated
   }
   const known = fleet.byId.get(key)
-  // A server that started again under its id holds nothing of before: what was learned of its former start is wrong.
-  const isNextStart = known !== undefined && known.facts.bornAt !== facts.bornAt
-  if (isNextStart) forgetServer(fleet.warmth, key)
-  const held = isNextStart ? undefined : known
-  if (held === undefined) {
-    // A server tells how long it stays cold; one that says nothing is warm. A VM that started anew and took all
-    // servers for cold would refuse nearly all requests for the length of a warm-up.
-    fleet.byId.set(key, createFleetServer(next, facts.coldMs > 0 ? now + facts.coldMs : -Infinity))
+  // A server that restarted under its id has lost its caches, and what was learned about the previous process doesn't
+  // apply.
+  const hasRestarted = known !== undefined && known.facts.bornAt !== facts.bornAt
+  if (hasRestarted) forgetServer(fleet.warmth, key)
+  const current = hasRestarted ? undefined : known
+  if (current === undefined) {
+    // A server announces how long it stays cold; without an announced time it counts as warm. If a VM that has just
+    // started counted all servers as cold, it would refuse nearly all requests for the length of a warm-up.
+    fleet.byId.set(key, createFleetServer(newFacts, facts.coldMs > 0 ? now + facts.coldMs : -Infinity))
     return
   }
-  const isBack = held.facts.isClosed && !next.isClosed
-  const turnedCold = facts.coldMs > 0 && held.coldUntil < now
-  if (isBack || turnedCold) makeCold(fleet, held, now + Math.max(warmupMs, facts.coldMs))
-  held.facts = next
+  const hasReopened = current.facts.isClosed && !newFacts.isClosed
+  const hasBecomeCold = facts.coldMs > 0 && current.coldUntil < now
+  if (hasReopened || hasBecomeCold) markCold(fleet, current, now + Math.max(warmupMs, facts.coldMs))
+  current.facts = newFacts
 }
 
-function makeCold (fleet: Fleet, server: FleetServer, until: Millis): void {
+function markCold (fleet: Fleet, server: FleetServer, until: Millis): void {
   server.coldUntil = until
   server.consecutiveFailures = 0
   forgetServer(fleet.warmth, server.facts.id)
--- a/packages/daemon/src/core/gateway/gateway.ts
+++ b/packages/daemon/src/core/gateway/gateway.ts
@@ -1,4 +1,4 @@
-/** State of the gateway: the entry part of a fleet's VM, which forwards requests by route. */
+/** State of the gateway: the part of an entry VM that forwards callers' requests by route. */
 import { loadChart } from '@lynxcourse/base'
 import { createFleet } from '@lynxcourse/placement'
 import type { EntryState, Mechanism } from '@lynxcourse/placement'
@@ -19,18 +19,18 @@
   readonly servers: ServerDialect
   readonly pool: ConnectionPool
   readonly splits: SplitStates
-  /** For the bound on how long requests lay unread. */
+  /** Bounds the read delay of requests. */
   readonly loop: LoopWatch
   table: RouteTable
   limits: CallerLimits
-  /** Requests in this VM. */
+  /** Number of requests in progress in this VM. */
   open: number
-  /** Requests that are not answered yet, by the callers' connections. */
+  /** Unanswered requests by caller connection. */
   readonly pipelines: Pipelines
-  /** Requests that wait for the first state. */
+  /** Number of requests that wait until the VM has the current state. */
   waiting: number
-  /** Bytes of request bodies held. */
-  heldBytes: number
+  /** Bytes of request bodies in memory. */
+  bufferedBodyBytes: number
 }
 
 export function createGateway (node: FleetNode, callers: CallerDialect, servers: ServerDialect): Gateway {
@@ -53,6 +53,6 @@
     open: 0,
     waitingForCapacity: new Map(),
     waiting: 0,
-    heldBytes: 0
+    bufferedBodyBytes: 0
   }
 }
--- a/packages/daemon/src/core/gateway/pipeline.ts
+++ b/packages/daemon/src/core/gateway/pipeline.ts
@@ -1,99 +1,104 @@
 /**
- * Requests that a caller sends over one connection before the first of them is answered. Answers go out in the order of the
- * requests, which the HTTP server sees to; here it is decided which of them are worked on, and which are not any more.
+ * HTTP pipelining: a caller sends requests over one connection before the first of them is answered. The HTTP server
+ * writes the answers in the order of the requests; this module decides which requests are processed, and cancels those
+ * that are not needed any more.
  *
- * What can go wrong: requests behind an answer that closes the connection count as not read and come again: what servers did for
- * them is lost, and a VM that stops cuts answers that were nearly there. And a caller that sends thousands at once has each of
- * their answers held in memory until its turn. It shows as requests that end with a closed connection while a VM stops, as work
- * at servers that nobody waits for, and as a VM that ends for lack of memory.
+ * An answer that closes the connection makes the caller repeat all later requests on it: the work that servers did for
+ * them is wasted, and a VM that stops cuts off answers that were almost complete. A caller that pipelines thousands of
+ * requests makes the VM hold all later answers in memory. The symptoms are requests that end with a closed connection
+ * while a VM stops, unneeded work at servers, and a VM that runs out of memory.
  */
 import type { Socket } from 'node:net'
 import { Cancel } from '../../utils/cancel.js'
 
-/** Requests of one connection that are worked on at once; the next ones wait, so that at most so many answers are held for their turn. */
-const mostAtOnce = 8
-/** Bytes of one connection's answers that wait for their turn; with more, no further request of it begins. */
-const mostHeldBytes = 1_048_576
+/** Maximum number of requests of one connection in progress, which also bounds the number of answers that are held. */
+const maxConcurrentRequests = 8
+/** When more bytes of a connection's answers are held, no further request of the connection is started. */
+const maxBufferedAnswerBytes = 1_048_576
 
-/** One request's place on its connection. */
+/** One request in the pipeline of its connection. */
 export interface PipelinedRequest {
   readonly pipeline: Pipeline
-  /** Aborted when the caller closed the connection, or an answer before this one closes it. */
+  /** Aborted when the caller closes the connection, or when an earlier answer is going to close it. */
   readonly gone: Cancel
-  /** Bytes of its answer while that waits for its turn. */
-  heldBytes: number
-  /** Called when what it waits for may be there. */
+  /** Size of its answer while the answer is held back by earlier ones; otherwise 0. */
+  bufferedAnswerBytes: number
+  /** Checks again the condition that the request waits for. */
   wake: () => void
 }
 
-/** Requests of one connection whose answers are not written out yet, in the order in which they came. */
+/** Requests of one connection whose answers are not fully written, in the order of their arrival. */
 export interface Pipeline {
   requests: PipelinedRequest[]
-  /** An answer that closes the connection was decided: what comes behind it counts as not read. */
+  /** Whether an answer is going to close the connection; later requests on it count as not received. */
   isClosing: boolean
 }
 
-/** By connection. */
+/** Pipelines by connection. */
 export type Pipelines = WeakMap<Socket, Pipeline>
 
-function pipelineOf (pipelines: Pipelines, socket: Socket): Pipeline {
+function getOrCreatePipeline (pipelines: Pipelines, socket: Socket): Pipeline {
   const known = pipelines.get(socket)
   if (known !== undefined) return known
   const pipeline: Pipeline = { requests: [], isClosing: false }
   pipelines.set(socket, pipeline)
-  const leave = (): void => { for (const request of pipeline.requests) cancel(request) }
-  // The end of what the caller sends is read a turn of the event loop before the connection counts as closed.
-  socket.once('end', leave)
-  socket.once('close', leave)
+  const cancelAll = (): void => { for (const request of pipeline.requests) cancel(request) }
+  // The end of the caller's data is read one event loop iteration before the socket emits `close`.
+  socket.once('end', cancelAll)
+  socket.once('close', cancelAll)
   return pipeline
 }
 
-/** Takes a request's place, and waits until it may be worked on or is cancelled. */
+/** Adds a request to the pipeline of its connection, and waits until the request may start or is cancelled. */
 export async function joinPipeline (pipelines: Pipelines, socket: Socket): Promise<PipelinedRequest> {
-  const pipeline = pipelineOf(pipelines, socket)
-  const request: PipelinedRequest = { pipeline, gone: new Cancel(), heldBytes: 0, wake: () => undefined }
+  const pipeline = getOrCreatePipeline(pipelines, socket)
+  const request: PipelinedRequest = { pipeline, gone: new Cancel(), bufferedAnswerBytes: 0, wake: () => undefined }
   pipeline.requests.push(request)
   if (socket.destroyed || pipeline.isClosing) cancel(request)
-  await waitUntil(request, mayBegin)
+  await waitUntil(request, mayStart)
   return request
 }
 
 /**
- * Holds an answer until those before it are written out; false if its caller is gone by then.
+ * Holds an answer until all earlier answers are written. Returns false if the request is cancelled by then.
  *
- * The HTTP server would hold it as well, but stops reading when it holds many bytes: a close is then not seen.
+ * The HTTP server could hold the answer too, but stops reading from the connection once it holds many bytes; the VM
+ * would then not notice that the caller closes the connection.
  */
-export async function waitForTurn (request: PipelinedRequest, bytes: number): Promise<boolean> {
-  request.heldBytes = bytes
+export async function waitForEarlierAnswers (request: PipelinedRequest, answerBytes: number): Promise<boolean> {
+  request.bufferedAnswerBytes = answerBytes
   await waitUntil(request, isFirst)
-  request.heldBytes = 0
+  request.bufferedAnswerBytes = 0
   return !request.gone.aborted
 }
 
-/** Gives a request's place up, once its answer is written out or there is none, and lets the next ones go on. */
+/** Removes a request whose answer is written, or which gets none, and lets the next requests continue. */
 export function leavePipeline (request: PipelinedRequest): void {
   const { pipeline } = request
   pipeline.requests = pipeline.requests.filter(other => other !== request)
-  for (const next of pipeline.requests.slice(0, mostAtOnce)) next.wake()
+  for (const next of pipeline.requests.slice(0, maxConcurrentRequests)) next.wake()
 }
 
 function isFirst (request: PipelinedRequest): boolean {
   return request.pipeline.requests[0] === request
 }
 
-function mayBegin (request: PipelinedRequest): boolean {
+function mayStart (request: PipelinedRequest): boolean {
   if (isFirst(request)) return true
-  const ahead = request.pipeline.requests.slice(0, mostAtOnce)
-  const heldBytes = ahead.reduce((sum, other) => sum + other.heldBytes, 0)
-  return ahead.includes(request) && heldBytes <= mostHeldBytes
+  const candidates = request.pipeline.requests.slice(0, maxConcurrentRequests)
+  const bufferedBytes = candidates.reduce((sum, other) => sum + other.bufferedAnswerBytes, 0)
+  return candidates.includes(request) && bufferedBytes <= maxBufferedAnswerBytes
 }
 
-async function waitUntil (request: PipelinedRequest, isDue: (request: PipelinedRequest) => boolean): Promise<void> {
-  while (!request.gone.aborted && !isDue(request)) await new Promise<void>(resolve => { request.wake = resolve })
+async function waitUntil (request: PipelinedRequest, isReady: (request: PipelinedRequest) => boolean): Promise<void> {
+  while (!request.gone.aborted && !isReady(request)) await new Promise<void>(resolve => { request.wake = resolve })
 }
 
-/** Whether the answer to a request may close its connection: no other one is due on it. From then on nothing behind it is worked on. */
-export function tryClosing (request: PipelinedRequest): boolean {
+/**
+ * Marks the connection of a request as closing and returns true, if no later request is pending on the connection;
+ * otherwise returns false. Requests that arrive on a closing connection are cancelled.
+ */
+export function tryMarkClosing (request: PipelinedRequest): boolean {
   const { pipeline } = request
   if (pipeline.isClosing || pipeline.requests.at(-1) !== request) return false
   pipeline.isClosing = true
--- a/packages/daemon/src/core/gateway/requestLog.ts
+++ b/packages/daemon/src/core/gateway/requestLog.ts
@@ -1,4 +1,4 @@
-/** The log's lines for decisions on one request. */
+/** Log lines for the decisions on one request. */
 import type { Millis, ServiceId } from '@lynxcourse/base'
 import { estimateQueueDepth, getConcurrency, isServerError } from '@lynxcourse/placement'
 import type { Placement, Refusal } from '@lynxcourse/placement'
@@ -9,21 +9,21 @@
 import type { Gateway } from './gateway.js'
 import type { SendReport } from './sending.js'
 
-/** What the line for a refusal needs of a request, which may not have been read whole. */
+/** The members of a request that the log line of a refusal needs; the body of the request may not have been read. */
 export type RefusedCall = Pick<Call, 'facts' | 'route' | 'service' | 'arrivedAt' | 'readAt' | 'deadline'>
 
-/** A refusal by this VM's own processor time, before any placement. */
-export interface Overloaded {
+/** A refusal for lack of processor time on this VM, before any placement. */
+export interface OverloadRefusal {
   readonly type: 'refuse'
   readonly reason: 'overloaded'
   readonly retryAfterMs: Millis
 }
 
-/** Writes the line for a send, with what decided it and how it ended. */
-export function logSend (gateway: Gateway, call: Call, sends: number, placed: Placement, report: SendReport, startedAt: Millis, now: Millis): void {
+/** Logs a send with the values that its placement was based on, and its outcome. */
+export function logSend (gateway: Gateway, call: Call, sends: number, placement: Placement, report: SendReport, startedAt: Millis, now: Millis): void {
   const { result, writtenAt, restedMs } = report
-  const { facts, reportedAt } = placed.server
-  const reportAge = now - reportedAt
+  const { facts, reportedAt } = placement.server
+  const reportAgeMs = now - reportedAt
   const outcome = result.type === 'answered' ? String(result.status) : result.reason
   gateway.node.metrics.attempts.inc({ end: outcome })
   const level = result.type === 'answered' && !isServerError(result.status) ? 'info' : 'warn'
@@ -33,63 +33,71 @@
     service: call.service,
     server: facts.id,
     region: facts.region,
-    ahead: Math.round(estimateQueueDepth(placed.server, now) * 10) / 10,
+    ahead: Math.round(estimateQueueDepth(placement.server, now) * 10) / 10,
     try: sends,
     object: call.facts.object,
-    place: placed.place,
-    cold: placed.isCold,
-    warm: placed.wasWarm,
-    expectedMs: Math.round(placed.roundTripMs + placed.waitMs + placed.workMs),
-    waitMs: Math.round(placed.waitMs),
-    reportAgeMs: Number.isFinite(reportAge) ? Math.round(reportAge) : undefined,
-    ...stateFields(gateway),
+    place: placement.place,
+    cold: placement.isCold,
+    warm: placement.wasWarm,
+    expectedMs: Math.round(placement.roundTripMs + placement.waitMs + placement.workMs),
+    waitMs: Math.round(placement.waitMs),
+    reportAgeMs: Number.isFinite(reportAgeMs) ? Math.round(reportAgeMs) : undefined,
+    ...getStateFields(gateway),
     leftMs: Math.round(call.deadline - now),
     outcome,
     tookMs: Math.round(now - startedAt),
     writtenAfterMs: writtenAt === undefined ? undefined : Math.round(writtenAt - startedAt),
     restedMs: restedMs === undefined ? undefined : Math.round(restedMs),
-    ...timeFields(call),
-    ...closeFields(call)
+    ...getTimeFields(call),
+    ...getCloseFields(call)
   })
 }
 
-/** Tells a close that lay unread when the request was sent from one that came later. */
-function closeFields ({ closeUnreadMs }: Call): LogFields {
-  const unreadMs = closeUnreadMs()
-  return { closeUnreadMs: unreadMs === undefined ? undefined : Math.round(unreadMs) }
+/**
+ * Returns the read delay of the caller's close, which shows whether the close may have arrived before the request was
+ * sent.
+ */
+function getCloseFields ({ closeUnreadMs }: Call): LogFields {
+  const readDelayMs = closeUnreadMs()
+  return { closeUnreadMs: readDelayMs === undefined ? undefined : Math.round(readDelayMs) }
 }
 
-/** What this VM has under way, its bound, and how full all VMs together saw the service. */
-function loadFields ({ fleet }: Gateway, service: ServiceId): LogFields {
-  const { underWay, limit, meanSlowdown: meanRatio } = getConcurrency(fleet, service)
-  return { underWay, limit: Math.round(limit * 10) / 10, slowRatio: Math.round(meanRatio * 100) / 100, fill: fleet.sharedUtilization.get(service) }
+/**
+ * Returns this VM's requests in flight to a service, their limit, their slowdown, and the utilization of the service
+ * over all VMs.
+ */
+function getLoadFields ({ fleet }: Gateway, service: ServiceId): LogFields {
+  const { underWay, limit, meanSlowdown } = getConcurrency(fleet, service)
+  return { underWay, limit: Math.round(limit * 10) / 10, slowRatio: Math.round(meanSlowdown * 100) / 100, fill: fleet.sharedUtilization.get(service) }
 }
 
-/** Version of the state that decided, and how long ago it was known to be the present one. */
-function stateFields (gateway: Gateway): LogFields {
+/**
+ * Returns the version of the state used for the decision, and the time since that state was last confirmed as current.
+ */
+function getStateFields (gateway: Gateway): LogFields {
   const { node } = gateway
   return { stateVersion: node.config.version, stateAgeMs: Math.round(presentTime() - node.freshAt) }
 }
 
-/** For how long a request can have lain unread, and since when it is in this VM. */
-export function timeFields ({ readAt, arrivedAt }: Pick<Call, 'readAt' | 'arrivedAt'>): LogFields {
+/** Returns the upper bound of a request's read delay, and the time since the request was read. */
+export function getTimeFields ({ readAt, arrivedAt }: Pick<Call, 'readAt' | 'arrivedAt'>): LogFields {
   return { unreadMs: Math.round(readAt - arrivedAt), inVmMs: Math.round(presentTime() - readAt) }
 }
 
-/** Writes the line for a request that is refused. */
-export function logRefusal (gateway: Gateway, call: RefusedCall, sends: number, refused: Refusal | Overloaded): void {
-  gateway.node.metrics.refusals.inc({ reason: refused.reason })
+/** Logs a refusal of a request. */
+export function logRefusal (gateway: Gateway, call: RefusedCall, sends: number, refusal: Refusal | OverloadRefusal): void {
+  gateway.node.metrics.refusals.inc({ reason: refusal.reason })
   log(gateway.node.logs, 'route', 'info', 'Refused.', {
     id: call.facts.id,
     route: call.route.name,
     service: call.service,
-    reason: refused.reason,
+    reason: refusal.reason,
     object: call.facts.object,
-    retryAfterMs: Math.round(refused.retryAfterMs),
-    ...loadFields(gateway, call.service),
+    retryAfterMs: Math.round(refusal.retryAfterMs),
+    ...getLoadFields(gateway, call.service),
     sends,
     leftMs: Math.round(call.deadline - presentTime()),
-    ...timeFields(call),
-    ...stateFields(gateway)
+    ...getTimeFields(call),
+    ...getStateFields(gateway)
   })
 }
--- a/packages/daemon/src/core/gateway/sending.ts
+++ b/packages/daemon/src/core/gateway/sending.ts
@@ -13,119 +13,127 @@
 import type { Connection } from '../entry/connectionPool.js'
 import type { Call } from './call.js'
 import { startExchange } from './exchange.js'
-import type { Exchange, Received } from './exchange.js'
+import type { Exchange, ReceivedAnswer } from './exchange.js'
 import type { Gateway } from './gateway.js'
 
-/** How sending ended, with what came. */
+/** The outcome of a send, with the answer or the details of the failure. */
 export type SendResult =
   | Extract<SendOutcome, { type: 'answered' }> & { readonly headers: HeaderMap, readonly body: Buffer }
   | Extract<SendOutcome, { type: 'notRun' }> & { readonly status: number | undefined }
   | Extract<SendOutcome, { type: 'lost' }> & { readonly detail: string }
 
-/** How a send went, with what tells later when its bytes left and over which connection. */
+/** The result of a send, with the time of writing and the idle time of the connection for the log. */
 export interface SendReport {
   readonly result: SendResult
-  /** When the request began to be written; undefined if it never was. */
+  /** When writing of the request began; undefined if the request was never written. */
   readonly writtenAt: Millis | undefined
-  /** How long its connection had rested; undefined for a new one. */
+  /** Idle time of the connection before the request; undefined for a new connection. */
   readonly restedMs: Millis | undefined
 }
 
-/** A reset that comes within the way there and back and this much more answers the request itself, not work that it began. */
-const soonMs: Millis = 30
+/**
+ * A reset that arrives within the round-trip time plus this time is a reaction to the request itself, not a failure of
+ * the work that the request started.
+ */
+const promptResetMs: Millis = 30
 
-/** A connection that opens this much after its time-out opened while the VM stood still; its request is placed anew. */
-const openSlackMs: Millis = 650
+/**
+ * If a connection opens later than its timeout plus this time, the VM was suspended meanwhile, and the request is placed
+ * again.
+ */
+const lateConnectionMs: Millis = 650
 
-/** How long to wait for one server while the caller still waits. */
-export interface Patience {
-  /** When to ask once whether another server takes it over; undefined for never. */
-  readonly leaveAt: Millis | undefined
-  /** Asked then; work goes on at the server unless this is so. */
-  readonly mayLeave: () => boolean
-  /** From when on to ask, again and again, whether it is stranded. */
+/** When to give up one server while the caller still waits. */
+export interface SendTimeouts {
+  /** When to call `mayFailOver`, once; undefined for never. */
+  readonly failoverAt: Millis | undefined
+  /** Returns whether another server may take over the request; otherwise the request stays at its server. */
+  readonly mayFailOver: () => boolean
+  /** Time from which `isUnresponsive` is called periodically. */
   readonly overdueAt: Millis
-  readonly isStranded: () => boolean
+  readonly isUnresponsive: () => boolean
 }
 
-/** How often an overdue request is looked at. */
-const strandedCheckMs: Millis = 250
+/** Interval of the checks whether the server of an overdue request is unresponsive. */
+const unresponsiveCheckMs: Millis = 250
 
 /**
- * Sends a request.
+ * Sends a request to the server of its placement. Failures of the connection or the server are part of the report; they
+ * are not thrown.
  *
- * @param patience when to stop waiting although the caller still waits
+ * @param timeouts when to give up the server while the caller still waits
  */
-export async function sendOnce (gateway: Gateway, call: Call, placed: Placement, patience: Patience): Promise<SendReport> {
+export async function sendOnce (gateway: Gateway, call: Call, placement: Placement, timeouts: SendTimeouts): Promise<SendReport> {
   const now = presentTime()
-  const { facts } = placed.server
+  const { facts } = placement.server
   const connection = takeConnection(gateway.pool, facts.address, !call.route.isIdempotent, now)
   const restedMs = connection.reused ? connection.restedMs : undefined
-  const leftMs = Math.max(1, Math.floor(call.deadline - now))
-  const headers = { ...call.headers, ...gateway.servers.requestHeaders(call.facts, facts.id, leftMs) }
+  const remainingMs = Math.max(1, Math.floor(call.deadline - now))
+  const headers = { ...call.headers, ...gateway.servers.requestHeaders(call.facts, facts.id, remainingMs) }
   const options: Dispatcher.DispatchOptions = { method: call.method as Dispatcher.HttpMethod, path: call.path, headers, body: call.body }
-  const exchange = startExchange(connection.client, options, now + gateway.pool.connectTimeoutMs + openSlackMs, () => {
+  const exchange = startExchange(connection.client, options, now + gateway.pool.connectTimeoutMs + lateConnectionMs, () => {
     noteTurn(gateway.loop)
     progressConnection(gateway.pool, connection, presentTime())
   })
-  const result = await endOf(gateway, call, placed, { connection, exchange, startedAt: now, patience })
+  const result = await awaitResult(gateway, call, placement, { connection, exchange, startedAt: now, timeouts })
   return { result, writtenAt: exchange.startedAt, restedMs }
 }
 
-/** A send that is under way over a connection. */
-interface OpenSend {
+/** A send in flight over a connection. */
+interface ActiveSend {
   readonly connection: Connection
   readonly exchange: Exchange
   readonly startedAt: Millis
-  readonly patience: Patience
+  readonly timeouts: SendTimeouts
 }
 
-async function endOf (gateway: Gateway, call: Call, placed: Placement, { connection, exchange, startedAt, patience }: OpenSend): Promise<SendResult> {
-  const { facts } = placed.server
-  const stop = watchSend(gateway, call, patience, startedAt, exchange.abort)
+async function awaitResult (gateway: Gateway, call: Call, placement: Placement, { connection, exchange, startedAt, timeouts }: ActiveSend): Promise<SendResult> {
+  const { facts } = placement.server
+  const watch = watchSend(gateway, call, timeouts, startedAt, exchange.abort)
   try {
     const received = await exchange.answer
-    return takeAnswer(gateway, call, placed, connection, received, (exchange.startedAt ?? startedAt) - startedAt)
+    return handleAnswer(gateway, call, placement, connection, received, (exchange.startedAt ?? startedAt) - startedAt)
   } catch (err) {
     const now = presentTime()
-    const wentSilent = connection.reused && silentEnds.has(stop.reason())
-    if (wentSilent) dropSilent(gateway.pool, connection, startedAt, now)
+    const wasSilent = connection.reused && silentReasons.has(watch.reason())
+    if (wasSilent) dropSilent(gateway.pool, connection, startedAt, now)
     else dropConnection(gateway.pool, connection, 'close')
-    const isSoon = now - startedAt < soonMs + estimateRoundTrip(gateway.fleet, facts.region)
-    if (stop.reason() === 'failed' && isSoon) noteUnanswered(gateway.pool, connection, now)
-    if (stop.reason() === 'gone') return { type: 'lost', reason: 'gone', detail: getErrorMessage(err) }
-    // What was never begun to be written can't have run.
+    const isPrompt = now - startedAt < promptResetMs + estimateRoundTrip(gateway.fleet, facts.region)
+    if (watch.reason() === 'failed' && isPrompt) noteUnanswered(gateway.pool, connection, now)
+    if (watch.reason() === 'gone') return { type: 'lost', reason: 'gone', detail: getErrorMessage(err) }
+    // A request that was never written can't have run.
     if (exchange.startedAt === undefined) return { type: 'notRun', reason: 'unreached', status: undefined }
-    return { type: 'lost', reason: stop.reason(), detail: getErrorMessage(err) }
+    return { type: 'lost', reason: watch.reason(), detail: getErrorMessage(err) }
   } finally {
-    stop.end()
+    watch.end()
   }
 }
 
-function takeAnswer (gateway: Gateway, call: Call, placed: Placement, connection: Connection, received: Received, openMs: Millis): SendResult {
-  const { status, headers: raw, body } = received
-  const kind = gateway.servers.judge(call.facts, status, raw)
-  const isCut = connection.wasReset && !isFramed(raw)
-  if (body === undefined || isCut || kind === 'spoiled') {
-    // An answer to another request, or one that is not the server's own: what follows on this connection can't be trusted either.
+function handleAnswer (gateway: Gateway, call: Call, placement: Placement, connection: Connection, received: ReceivedAnswer, connectMs: Millis): SendResult {
+  const { status, headers: rawHeaders, body } = received
+  const kind = gateway.servers.judge(call.facts, status, rawHeaders)
+  const isTruncated = connection.wasReset && !hasBodyFraming(rawHeaders)
+  if (body === undefined || isTruncated || kind === 'spoiled') {
+    // The answer is incomplete, belongs to another request or is not the server's own, so the rest of this connection
+    // can't be trusted.
     dropConnection(gateway.pool, connection, 'close')
-    return { type: 'lost', reason: 'spoiled', detail: body === undefined ? 'answer is too large' : isCut ? 'connection was reset in the body' : 'answer does not belong to the request' }
+    return { type: 'lost', reason: 'spoiled', detail: body === undefined ? 'the answer exceeds the size limit' : isTruncated ? 'the connection was reset while the body was read' : 'the answer does not belong to the request' }
   }
   releaseConnection(gateway.pool, connection, presentTime())
-  // It comes from another server and is no sign of life of the one that was asked.
+  // Another server sent this answer, so it doesn't show that the intended server is alive.
   if (kind === 'elsewhere') return { type: 'notRun', reason: 'elsewhere', status }
-  recordReply(gateway, placed.server, gateway.servers.readAhead(raw), presentTime())
+  recordReply(gateway, placement.server, gateway.servers.readAhead(rawHeaders), presentTime())
   if (kind === 'notRun') return { type: 'notRun', reason: 'full', status }
-  return { type: 'answered', status, headers: passedHeaders(raw), body, connectMs: openMs }
+  return { type: 'answered', status, headers: passedHeaders(rawHeaders), body, connectMs }
 }
 
-/** Whether the head tells where the body ends. */
-function isFramed (headers: HeaderMap): boolean {
+/** Returns whether the head defines where the body ends; otherwise the end of the connection ends the body. */
+function hasBodyFraming (headers: HeaderMap): boolean {
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined
 }
 
-/** Ends of a send in which nothing was heard of its server. */
-const silentEnds = new Set<LostReason>(['slow', 'stranded', 'deadline'])
+/** Reasons for ending a send to which the server has sent no answer. */
+const silentReasons = new Set<LostReason>(['slow', 'stranded', 'deadline'])
 
 interface SendWatch {
   readonly reason: () => LostReason
@@ -133,36 +141,36 @@
 }
 
 /**
- * Ends sending at the deadline, when the caller goes, or when it is time to try elsewhere. Timers run before sockets are read, so
- * what a timer decides waits for a look: the answer may lie unread.
+ * Ends a send at the deadline, when the caller disconnects, or when another server should take over. Timers run before
+ * sockets are read, so a timer's decision waits for a poll: the answer may already be in the kernel.
  */
-function watchSend ({ loop: { looks } }: Gateway, call: Call, patience: Patience, now: Millis, abort: () => void): SendWatch {
+function watchSend ({ loop: { looks } }: Gateway, call: Call, timeouts: SendTimeouts, now: Millis, abort: () => void): SendWatch {
   let reason: LostReason = 'failed'
-  let isOver = false
-  const stop = (why: typeof reason): void => {
-    if (isOver) return
-    reason = why
+  let hasEnded = false
+  const stop = (stopReason: typeof reason): void => {
+    if (hasEnded) return
+    reason = stopReason
     abort()
   }
   const onGone = (): void => stop('gone')
   call.gone.on('abort', onGone)
   if (call.gone.aborted) onGone()
   const deadlineTimer = setTimeout(afterLook(looks, () => stop('deadline')), Math.max(1, call.deadline - now))
-  const leave = afterLook(looks, () => { if (!isOver && patience.mayLeave()) stop('slow') })
-  const patienceTimer = patience.leaveAt === undefined ? undefined : setTimeout(leave, Math.max(1, patience.leaveAt - now))
-  const lookAgain = afterLook(looks, () => {
-    if (isOver) return
-    if (patience.isStranded()) stop('stranded')
-    else strandedTimer = setTimeout(lookAgain, strandedCheckMs)
+  const tryFailover = afterLook(looks, () => { if (!hasEnded && timeouts.mayFailOver()) stop('slow') })
+  const failoverTimer = timeouts.failoverAt === undefined ? undefined : setTimeout(tryFailover, Math.max(1, timeouts.failoverAt - now))
+  const checkUnresponsive = afterLook(looks, () => {
+    if (hasEnded) return
+    if (timeouts.isUnresponsive()) stop('stranded')
+    else unresponsiveTimer = setTimeout(checkUnresponsive, unresponsiveCheckMs)
   })
-  let strandedTimer = setTimeout(lookAgain, Math.max(1, patience.overdueAt - now))
+  let unresponsiveTimer = setTimeout(checkUnresponsive, Math.max(1, timeouts.overdueAt - now))
   return {
     reason: () => reason,
     end: () => {
-      isOver = true
+      hasEnded = true
       clearTimeout(deadlineTimer)
-      clearTimeout(patienceTimer)
-      clearTimeout(strandedTimer)
+      clearTimeout(failoverTimer)
+      clearTimeout(unresponsiveTimer)
       call.gone.off('abort', onGone)
     }
   }
--- a/packages/daemon/src/core/gateway/serving.ts
+++ b/packages/daemon/src/core/gateway/serving.ts
@@ -1,4 +1,4 @@
-/** Serves one request: does what its run asks for, until there is a final answer. */
+/** Serves one request: carries out the steps that placement decides on, until there is a final answer. */
 import type { Millis } from '@lynxcourse/base'
 import { beginSend, endSend, isServerUnresponsive, mayFailOver, decideNextStep, recordPoll, updateWaitingCount, startRequest } from '@lynxcourse/placement'
 import type { DecisionConditions, Placement, PlacementRequest, Refusal, RequestState, RequestStep } from '@lynxcourse/placement'
@@ -6,92 +6,92 @@
 import { log } from '../../utils/logging.js'
 import { nextLook } from '../../utils/socketLooks.js'
 import { delay } from '../node/timers.js'
-import { objectOf } from './call.js'
+import { createObjectKey } from './call.js'
 import type { Call, CallAnswer } from './call.js'
 import type { Gateway } from './gateway.js'
-import { logRefusal, logSend, timeFields } from './requestLog.js'
+import { logRefusal, logSend, getTimeFields } from './requestLog.js'
 import { sendOnce } from './sending.js'
-import type { Patience, SendResult } from './sending.js'
+import type { SendTimeouts, SendResult } from './sending.js'
 
 const statusUnavailable = 503
 
-type Failure = Extract<RequestStep, { type: 'fail' }>['reason']
+type FailureReason = Extract<RequestStep, { type: 'fail' }>['reason']
 
-/** What a caller is told of a request that some server may have run. */
-const failures: Record<Failure, { readonly status: number, readonly detail: string }> = {
+/** Answers to requests that some server may have run. */
+const failureAnswers: Record<FailureReason, { readonly status: number, readonly detail: string }> = {
   deadline: { status: 504, detail: 'deadline passed' },
   unanswered: { status: 504, detail: 'no answer before the deadline' },
   serverFailed: { status: 502, detail: 'the server failed' }
 }
 
-/** Serves a request to its final answer; undefined when the caller is gone. */
+/** Serves a request until its final answer; returns undefined if the caller disconnects. */
 export async function serveCall (gateway: Gateway, call: Call): Promise<CallAnswer | undefined> {
-  const run = startRequest(gateway, requestOf(call), call.caller, termsOf(gateway), presentTime())
-  let last: SendResult | undefined
+  const state = startRequest(gateway, buildPlacementRequest(call), call.liveness, getConditions(gateway), presentTime())
+  let lastResult: SendResult | undefined
   for (;;) {
     if (call.gone.aborted) return undefined
-    const step = decideNextStep(gateway, run, termsOf(gateway), presentTime())
+    const step = decideNextStep(gateway, state, getConditions(gateway), presentTime())
     switch (step.type) {
       case 'send':
-        last = await sendPlaced(gateway, call, run, step.placement)
+        lastResult = await sendToServer(gateway, call, state, step.placement)
         break
       case 'look':
-        recordPoll(call.caller, (await nextLook(gateway.loop.looks)).beganAt)
+        recordPoll(call.liveness, (await nextLook(gateway.loop.looks)).beganAt)
         break
       case 'wait':
-        await waitForRoom(gateway, run, step.pauseMs)
+        await waitForCapacity(gateway, state, step.pauseMs)
         break
-      case 'answer': return answerOf(last)
-      case 'refuse': return refuse(gateway, call, run, step.refused)
-      case 'fail': return fail(gateway, call, run, step.reason)
+      case 'answer': return buildAnswer(lastResult)
+      case 'refuse': return refuse(gateway, call, state, step.refused)
+      case 'fail': return fail(gateway, call, state, step.reason)
       case 'gone': return undefined
     }
   }
 }
 
-function requestOf (call: Call): Omit<PlacementRequest, 'tried'> {
+function buildPlacementRequest (call: Call): Omit<PlacementRequest, 'tried'> {
   const { route, service, facts, arrivedAt, deadline } = call
-  return { route, service, object: facts.object === '' ? '' : objectOf(call), arrivedAt, deadline }
+  return { route, service, object: facts.object === '' ? '' : createObjectKey(call), arrivedAt, deadline }
 }
 
-function termsOf ({ node }: Gateway): DecisionConditions {
+function getConditions ({ node }: Gateway): DecisionConditions {
   return { retryBudget: node.cfg.retryBudget, isStopping: node.isLeaving }
 }
 
-async function waitForRoom (gateway: Gateway, run: RequestState, pauseMs: Millis): Promise<void> {
-  updateWaitingCount(gateway, run, 1)
+async function waitForCapacity (gateway: Gateway, state: RequestState, pauseMs: Millis): Promise<void> {
+  updateWaitingCount(gateway, state, 1)
   await delay(pauseMs)
-  updateWaitingCount(gateway, run, -1)
+  updateWaitingCount(gateway, state, -1)
 }
 
-async function sendPlaced (gateway: Gateway, call: Call, run: RequestState, placed: Placement): Promise<SendResult> {
-  const sending = beginSend(gateway, run, placed, presentTime())
-  const { startedAt, failoverAt: leaveAt, overdueAt } = sending
-  const patience: Patience = {
-    leaveAt,
-    mayLeave: () => mayFailOver(gateway, run, termsOf(gateway), presentTime()),
+async function sendToServer (gateway: Gateway, call: Call, state: RequestState, placement: Placement): Promise<SendResult> {
+  const sending = beginSend(gateway, state, placement, presentTime())
+  const { startedAt, failoverAt, overdueAt } = sending
+  const timeouts: SendTimeouts = {
+    failoverAt,
+    mayFailOver: () => mayFailOver(gateway, state, getConditions(gateway), presentTime()),
     overdueAt,
-    isStranded: () => isServerUnresponsive(gateway, sending, termsOf(gateway), presentTime())
+    isUnresponsive: () => isServerUnresponsive(gateway, sending, getConditions(gateway), presentTime())
   }
-  const report = await sendOnce(gateway, call, placed, patience)
+  const report = await sendOnce(gateway, call, placement, timeouts)
   const { result } = report
   const now = presentTime()
-  endSend(gateway, run, sending, result, now)
-  logSend(gateway, call, run.sends, placed, report, startedAt, now)
+  endSend(gateway, state, sending, result, now)
+  logSend(gateway, call, state.sends, placement, report, startedAt, now)
   return result
 }
 
-function answerOf (last: SendResult | undefined): CallAnswer | undefined {
-  return last?.type === 'answered' ? { status: last.status, headers: last.headers, body: last.body } : undefined
+function buildAnswer (lastResult: SendResult | undefined): CallAnswer | undefined {
+  return lastResult?.type === 'answered' ? { status: lastResult.status, headers: lastResult.headers, body: lastResult.body } : undefined
 }
 
-function refuse (gateway: Gateway, call: Call, run: RequestState, refused: Refusal): CallAnswer {
-  logRefusal(gateway, call, run.sends, refused)
-  return { status: statusUnavailable, headers: gateway.callers.refusalHeaders(refused.retryAfterMs), body: Buffer.from(`not run: ${refused.reason}\n`) }
+function refuse (gateway: Gateway, call: Call, state: RequestState, refusal: Refusal): CallAnswer {
+  logRefusal(gateway, call, state.sends, refusal)
+  return { status: statusUnavailable, headers: gateway.callers.refusalHeaders(refusal.retryAfterMs), body: Buffer.from(`not run: ${refusal.reason}\n`) }
 }
 
-function fail (gateway: Gateway, call: Call, run: RequestState, reason: Failure): CallAnswer {
-  const { status, detail } = failures[reason]
-  log(gateway.node.logs, 'route', 'warn', 'Failed.', { id: call.facts.id, route: call.route.name, status, detail, sends: run.sends, ...timeFields(call) })
+function fail (gateway: Gateway, call: Call, state: RequestState, reason: FailureReason): CallAnswer {
+  const { status, detail } = failureAnswers[reason]
+  log(gateway.node.logs, 'route', 'warn', 'Failed.', { id: call.facts.id, route: call.route.name, status, detail, sends: state.sends, ...getTimeFields(call) })
   return { status, headers: {}, body: Buffer.from(`${detail}\n`) }
 }
--- a/packages/daemon/src/core/gateway/stateWait.ts
+++ b/packages/daemon/src/core/gateway/stateWait.ts
@@ -1,41 +1,45 @@
 /**
- * Requests that come to a VM which has just started and does not know the present state yet.
+ * Holds requests that reach a VM which has just started and does not have the current state yet.
  *
- * What can go wrong: all VMs start at one moment, and the state is there within half a second. A caller that is refused
- * meanwhile is told to come back, finds the VM in the same state and has no retry left. It shows as callers that are refused
- * twice, and as the largest loss of the seconds after such a start. Held for that long, they are served.
+ * After all VMs start at once, the state is available within half a second. A caller that is refused in that time and
+ * retries finds the VM still without the state and has no retry left. The symptoms are callers that are refused twice,
+ * and the largest share of lost requests in the seconds after the start. Requests that are held until the state is
+ * available are served.
  */
 import type { Millis } from '@lynxcourse/base'
 import type { Cancel } from '../../utils/cancel.js'
 import { afterLook } from '../../utils/socketLooks.js'
 import type { Gateway } from './gateway.js'
 
-/** A caller that has waited longer is told to come back. */
-const longestWaitMs: Millis = 1000
-/** Requests held at most; a few kilobytes each. */
-const mostWaiting = 500
+/** A request that waits longer is refused with a retry time. */
+const maxWaitMs: Millis = 1000
+/** Requests that wait at once; each takes a few kilobytes. */
+const maxWaitingRequests = 500
 
-/** Whether requests can be judged here: the present state was read, and it has routes. */
-export function knowsRoutes (gateway: Gateway): boolean {
+/** Returns whether this VM can route requests: it has read the current state, and the state has routes. */
+export function hasRoutes (gateway: Gateway): boolean {
   return gateway.node.freshAt > -Infinity && gateway.table.size > 0
 }
 
-/** Holds a request until the routes are known, its caller is gone, or the time is over. */
+/**
+ * Waits until the routes are available, the caller disconnects or the maximum wait has passed. Returns at once if too
+ * many requests wait already.
+ */
 export async function waitForRoutes (gateway: Gateway, gone: Cancel): Promise<void> {
-  if (knowsRoutes(gateway) || gateway.waiting >= mostWaiting) return
+  if (hasRoutes(gateway) || gateway.waiting >= maxWaitingRequests) return
   const { onChange } = gateway.node
   gateway.waiting += 1
   await new Promise<void>(resolve => {
     const finish = (): void => {
       clearTimeout(timer)
       gone.off('abort', finish)
-      const place = onChange.indexOf(check)
-      if (place >= 0) onChange.splice(place, 1)
+      const index = onChange.indexOf(check)
+      if (index >= 0) onChange.splice(index, 1)
       resolve()
     }
-    // The change is still being taken over when listeners hear of it, so the request goes on after it.
-    const check = (): void => queueMicrotask(() => { if (knowsRoutes(gateway)) finish() })
-    const timer = setTimeout(afterLook(gateway.loop.looks, finish), longestWaitMs)
+    // Listeners run while the state change is still being applied; the request continues after that.
+    const check = (): void => queueMicrotask(() => { if (hasRoutes(gateway)) finish() })
+    const timer = setTimeout(afterLook(gateway.loop.looks, finish), maxWaitMs)
     gone.on('abort', finish)
     onChange.push(check)
   })
