--- a/packages/daemon/__tests__/accepting.test.ts
+++ b/packages/daemon/__tests__/accepting.test.ts
@@ -1,37 +1,40 @@
-/** Callers that wait for their connections to be accepted while the VM is behind. */
+/** Callers whose connections wait to be accepted while the VM's event loop is saturated. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { OwnServerDialect } from '@lynxcourse/daemon'
 import { publish, routeTo, startRig, startServer } from './support/fleetRig.js'
 import { connectThreadCallers } from './support/threadCallers.js'
 
-const callers = 40
+const callerCount = 40
 const blockedMs = 300
-/** Of a send; far more in all than a turn may take up. */
-const workMs = 40
+/** Processor time of one send; the sends of all callers exceed the budget of one event loop iteration several times. */
+const sendWorkMs = 40
 
-/** Has each send take processor time. */
+/** Makes each send take processor time. */
 class BusyDialect extends OwnServerDialect {
   override requestHeaders (...args: Parameters<OwnServerDialect['requestHeaders']>): ReturnType<OwnServerDialect['requestHeaders']> {
-    const until = performance.now() + workMs
+    const until = performance.now() + sendWorkMs
     while (performance.now() < until) { /* the loop works */ }
     return super.requestHeaders(...args)
   }
 }
 
-/** Guards against this failure: callers wait unseen to be accepted, one in each turn of the loop, while the VM works for those before them. */
-test('a VM that is behind sees all callers that connected, and refuses at once those for whom it has no time', async () => {
-  await using rig = await startRig(1)
+/**
+ * Guards against callers that wait in the kernel to be accepted: the event loop accepts one connection in each
+ * iteration, and the VM starts work for accepted callers before it has accepted the others.
+ */
+test('a saturated VM accepts all callers that have connected, and refuses at once those that exceed its processor time', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read', { timeoutMs: 20_000 })])
-  const gateway = rig.daemons.at(-1)?.gateway
+  await publish(fixture, [server], [routeTo('read', { timeoutMs: 20_000 })])
+  const gateway = fixture.daemons.at(-1)?.gateway
   assert.ok(gateway !== undefined)
-  await using crowd = await connectThreadCallers(rig.settings.at(-1)?.callers ?? '', '/read/1', callers)
+  await using threadCallers = await connectThreadCallers(fixture.settings.at(-1)?.callers ?? '', '/read/1', callerCount)
   Object.assign(gateway, { servers: new BusyDialect() })
-  crowd.connectAndSendWhileBlocked(blockedMs)
-  const statuses = await crowd.statuses
-  const served = statuses.filter(status => status === '200').length
-  assert.ok(served > 0)
-  assert.ok(served < callers, `all ${served} were worked for, one after the other`)
+  threadCallers.connectAndSendWhileBlocked(blockedMs)
+  const statuses = await threadCallers.statuses
+  const servedCount = statuses.filter(status => status === '200').length
+  assert.ok(servedCount > 0)
+  assert.ok(servedCount < callerCount, `all ${servedCount} requests were served, one after the other`)
   assert.ok(statuses.every(status => status === '200' || status === '503'))
 })
--- a/packages/daemon/__tests__/callerLeft.test.ts
+++ b/packages/daemon/__tests__/callerLeft.test.ts
@@ -1,4 +1,4 @@
-/** Requests whose callers closed their connections while the VM's event loop stood still. */
+/** Requests whose callers closed their connections while the VM's event loop was blocked. */
 import assert from 'node:assert/strict'
 import { once } from 'node:events'
 import { connect, createServer } from 'node:net'
@@ -11,7 +11,7 @@
 import { getConcurrency } from '@lynxcourse/placement'
 import { ask, desk, publish, routeTo, startRig, startServer, until } from './support/fleetRig.js'
 import type { FakeServer, FleetRig } from './support/fleetRig.js'
-import { startBackend, startRig as startServiceRig } from './support/rig.js'
+import { startBackend, startRig as startServiceFixture } from './support/rig.js'
 import type { Backend, Rig } from './support/rig.js'
 import { connectThreadCaller, postOf } from './support/threadCaller.js'
 import type { ThreadCaller } from './support/threadCaller.js'
@@ -23,119 +23,139 @@
 
 type Gateway = NonNullable<NonNullable<FleetRig['daemons'][number]>['gateway']>
 
-function gatewayOf (rig: FleetRig): Gateway {
-  return rig.daemons.at(-1)?.gateway as Gateway
+function getGateway (fixture: FleetRig): Gateway {
+  return fixture.daemons.at(-1)?.gateway as Gateway
 }
 
-async function connectCaller (rig: FleetRig, isOld: boolean): Promise<ThreadCaller> {
-  return await connectThreadCaller(rig.settings.at(-1)?.callers ?? '', path, isOld)
+async function connectCaller (fixture: FleetRig, isOld: boolean): Promise<ThreadCaller> {
+  return await connectThreadCaller(fixture.settings.at(-1)?.callers ?? '', path, isOld)
 }
 
-/** What a histogram has counted, over all labels. */
-async function countOf (histogram: Histogram<string>): Promise<number> {
+/** Returns the number of observations in a histogram, over all labels. */
+async function getCount (histogram: Histogram<string>): Promise<number> {
   const { values } = await histogram.get()
   return values.filter(({ metricName }) => metricName?.endsWith('_count') === true).reduce((sum, { value }) => sum + value, 0)
 }
 
-/** Waits until the event loop runs timers next, and reads sockets after them. */
-async function beforeTimers (): Promise<void> {
+/**
+ * Waits for the point in an event loop iteration after which timers run next, and sockets are read after the timers.
+ */
+async function waitForTimersPhase (): Promise<void> {
   await new Promise(resolve => setImmediate(resolve))
 }
 
-/** Has a caller send and leave while the VM stands still, and waits until the VM is done with its request. */
-async function sendAndLeave (rig: FleetRig, caller: ThreadCaller): Promise<void> {
-  const gateway = gatewayOf(rig)
+/**
+ * Makes a caller send a request and disconnect while the VM is blocked, and waits until the VM has finished the
+ * request.
+ */
+async function sendAndDisconnect (fixture: FleetRig, caller: ThreadCaller): Promise<void> {
+  const gateway = getGateway(fixture)
   const { unreadSeconds } = gateway.node.metrics
-  const before = await countOf(unreadSeconds)
+  const before = await getCount(unreadSeconds)
   caller.sendAndLeaveWhileBlocked(blockedMs)
-  await until(async () => await countOf(unreadSeconds) > before && gateway.open === 0)
+  await until(async () => await getCount(unreadSeconds) > before && gateway.open === 0)
 }
 
-/** Requests that a server got, apart from those that a caller waited for, once nothing is under way any more. */
-async function leftAt (rig: FleetRig, server: FakeServer, answered: number): Promise<number> {
-  await until(() => gatewayOf(rig).open === 0)
-  assert.equal((await ask(rig, '/read/after')).status, 200)
+/**
+ * Returns, once no request is in progress, the number of the caller's requests that reached a server, without the
+ * `answered` ones.
+ */
+async function countSends (fixture: FleetRig, server: FakeServer, answered: number): Promise<number> {
+  await until(() => getGateway(fixture).open === 0)
+  assert.equal((await ask(fixture, '/read/after')).status, 200)
   return server.requests.filter(({ url }) => url === path).length - answered
 }
 
 for (const isOld of [true, false]) {
-  /** Guards against this failure: servers run requests whose callers left while their VM was busy. */
-  test(`a request whose caller left before it was read reaches no server, on ${isOld ? 'an old' : 'a new'} connection`, async () => {
-    await using rig = await startRig(1)
+  /** Guards against this failure: servers run requests whose callers disconnected while the VM was busy. */
+  test(`a request whose caller disconnected before the request was read reaches no server, on ${isOld ? 'an old' : 'a new'} connection`, async () => {
+    await using fixture = await startRig(1)
     await using server = await startServer('s1', (_req, res) => res.end('ok'))
-    await publish(rig, [server], [routeTo('read', { timeoutMs })])
-    assert.equal((await ask(rig, '/read/before')).status, 200)
-    await using caller = await connectCaller(rig, isOld)
-    await sendAndLeave(rig, caller)
-    assert.equal(await leftAt(rig, server, isOld ? 1 : 0), 0)
+    await publish(fixture, [server], [routeTo('read', { timeoutMs })])
+    assert.equal((await ask(fixture, '/read/before')).status, 200)
+    await using caller = await connectCaller(fixture, isOld)
+    await sendAndDisconnect(fixture, caller)
+    assert.equal(await countSends(fixture, server, isOld ? 1 : 0), 0)
   })
 }
 
-/** Guards against this failure: a body that is read over several turns hides the close behind it from a look that began with its head. */
-test('a request with a large body whose caller left before it was read reaches no server', async () => {
-  await using rig = await startRig(1)
+/**
+ * Guards against this failure: a body is read over several event loop iterations, and a poll that began when the head
+ * was read misses the close after the body.
+ */
+test('a request with a large body whose caller disconnected before the request was read reaches no server', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read', { timeoutMs })])
-  const gateway = gatewayOf(rig)
+  await publish(fixture, [server], [routeTo('read', { timeoutMs })])
+  const gateway = getGateway(fixture)
   gateway.limits = { ...gateway.limits, maxBodyBytes: 2 * largeBytes }
-  assert.equal((await ask(rig, '/read/before')).status, 200)
-  await using caller = await connectThreadCaller(rig.settings.at(-1)?.callers ?? '', path, false, postOf(path, 'x'.repeat(largeBytes)))
-  await sendAndLeave(rig, caller)
-  assert.equal(await leftAt(rig, server, 0), 0)
+  assert.equal((await ask(fixture, '/read/before')).status, 200)
+  await using caller = await connectThreadCaller(fixture.settings.at(-1)?.callers ?? '', path, false, postOf(path, 'x'.repeat(largeBytes)))
+  await sendAndDisconnect(fixture, caller)
+  assert.equal(await countSends(fixture, server, 0), 0)
 })
 
-/** Guards against this failure: nothing tells a close that lay unread when its request was sent from one that came later. */
-test('a close that lay unread while the VM stood still is counted with that time', async () => {
-  await using rig = await startRig(1)
+/**
+ * Guards against this failure: metrics don't distinguish a close that was pending when its request was sent from a
+ * later one.
+ */
+test('the read delay of a close that arrives while the VM is blocked is recorded', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read', { timeoutMs })])
-  const { closeUnreadSeconds } = gatewayOf(rig).node.metrics
+  await publish(fixture, [server], [routeTo('read', { timeoutMs })])
+  const { closeUnreadSeconds } = getGateway(fixture).node.metrics
   for (const isOld of [true, false]) {
     closeUnreadSeconds.reset()
-    await using caller = await connectCaller(rig, isOld)
-    await sendAndLeave(rig, caller)
+    await using caller = await connectCaller(fixture, isOld)
+    await sendAndDisconnect(fixture, caller)
     const { values } = await closeUnreadSeconds.get()
     const sum = values.find(({ metricName }) => metricName === 'lynxcourse_close_unread_seconds_sum')?.value ?? 0
     assert.ok(sum >= blockedMs / 1000, `${sum} s`)
   }
 })
 
-/** Guards against this failure: a wait's timer, which runs before sockets are read, sends a request whose caller has left. */
-test('a request that waits for room is not sent once its caller has left', async () => {
-  await using rig = await startRig(1)
+/**
+ * Guards against this failure: the timer of a wait runs before sockets are read, and the VM sends a request whose
+ * caller has disconnected.
+ */
+test('a request that waits for capacity is not sent once its caller has disconnected', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read', { timeoutMs })])
-  await using caller = await connectCaller(rig, true)
-  const gateway = gatewayOf(rig)
+  await publish(fixture, [server], [routeTo('read', { timeoutMs })])
+  await using caller = await connectCaller(fixture, true)
+  const gateway = getGateway(fixture)
   const concurrency = getConcurrency(gateway.fleet, desk)
   concurrency.underWay += concurrency.limit
   caller.send()
   await until(() => gateway.waitingForCapacity.get(desk) === 1)
-  await beforeTimers()
+  await waitForTimersPhase()
   concurrency.underWay -= concurrency.limit
   caller.leaveWhileBlocked(blockedMs)
-  assert.equal(await leftAt(rig, server, 1), 0)
+  assert.equal(await countSends(fixture, server, 1), 0)
 })
 
-/** Calls back once the connection of a send has begun to open, before the event loop reads sockets again. */
+/** Calls `onSend` once the connection of a send has begun to open, before the event loop reads sockets again. */
 class HookedDialect extends OwnServerDialect {
   constructor (private readonly onSend: () => void) { super() }
 
   override requestHeaders (...args: Parameters<OwnServerDialect['requestHeaders']>): ReturnType<OwnServerDialect['requestHeaders']> {
-    // A connection to an address begins to open in the next tick.
+    // `connect` to an IP address starts in the next tick.
     process.nextTick(() => process.nextTick(this.onSend))
     return super.requestHeaders(...args)
   }
 }
 
-/** Guards against this failure: a connection to a server that opens in the turn in which the caller's close is read carries the request. */
-test('a request is not written to a connection that opens once its caller has left', async () => {
-  await using rig = await startRig(1)
+/**
+ * Guards against this failure: a connection to a server opens in the event loop iteration in which the caller's close
+ * is read, and the request is written to it.
+ */
+test('a request is not written to a connection that opens once its caller has disconnected', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read', { timeoutMs })])
-  const gateway = gatewayOf(rig)
-  await using caller = await connectCaller(rig, false)
-  const left = new Promise<void>(resolve => {
+  await publish(fixture, [server], [routeTo('read', { timeoutMs })])
+  const gateway = getGateway(fixture)
+  await using caller = await connectCaller(fixture, false)
+  const disconnected = new Promise<void>(resolve => {
     const hooked = new HookedDialect(() => {
       Object.assign(gateway, { servers: new OwnServerDialect() })
       caller.leaveWhileBlocked(blockedMs)
@@ -144,25 +164,25 @@
     Object.assign(gateway, { servers: hooked })
   })
   caller.send()
-  await left
-  assert.equal(await leftAt(rig, server, 0), 0)
+  await disconnected
+  assert.equal(await countSends(fixture, server, 0), 0)
 })
 
-/** A socket that is read, once it is rung, before those that become ready later. */
-interface Bell extends AsyncDisposable {
-  readonly ring: () => void
-  readonly rung: Promise<unknown>
+/** A socket that becomes readable on `trigger`, and is read before sockets that become readable later. */
+interface SocketTrigger extends AsyncDisposable {
+  readonly trigger: () => void
+  readonly triggered: Promise<unknown>
 }
 
-async function startBell (): Promise<Bell> {
+async function startSocketTrigger (): Promise<SocketTrigger> {
   const server = createServer().listen(0, '127.0.0.1')
   await once(server, 'listening')
   const far = connect((server.address() as AddressInfo).port, '127.0.0.1')
   const [near] = await once(server, 'connection') as [Socket]
   await once(far, 'connect')
   return {
-    ring: () => far.write('ring'),
-    rung: once(near, 'data'),
+    trigger: () => far.write('trigger'),
+    triggered: once(near, 'data'),
     [Symbol.asyncDispose]: async () => {
       far.destroy()
       near.destroy()
@@ -171,45 +191,54 @@
   }
 }
 
-/** Has a connection to a server open, then its caller leave, in one stall; undefined where the connection was read before the stall began. */
-async function sendsInStall (): Promise<number | undefined> {
-  await using rig = await startRig(1)
+/**
+ * Opens a connection to a server, then makes the caller disconnect, both while the event loop is blocked. Returns the
+ * number of sends; undefined if the VM noticed the open connection before the loop was blocked.
+ */
+async function countSendsWhileBlocked (): Promise<number | undefined> {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await using bell = await startBell()
-  await publish(rig, [server], [routeTo('read', { timeoutMs })])
-  const gateway = gatewayOf(rig)
-  await using caller = await connectCaller(rig, false)
-  let hasRung = false
+  await using socketTrigger = await startSocketTrigger()
+  await publish(fixture, [server], [routeTo('read', { timeoutMs })])
+  const gateway = getGateway(fixture)
+  await using caller = await connectCaller(fixture, false)
+  let hasTriggered = false
   let isConclusive = false
-  gateway.pool.onConnect = () => { isConclusive = hasRung }
+  gateway.pool.onConnect = () => { isConclusive = hasTriggered }
   const hooked = new HookedDialect(() => {
     Object.assign(gateway, { servers: new OwnServerDialect() })
-    bell.ring()
+    socketTrigger.trigger()
   })
   Object.assign(gateway, { servers: hooked })
   caller.send()
-  await bell.rung.then(() => {
-    hasRung = true
+  await socketTrigger.triggered.then(() => {
+    hasTriggered = true
     caller.leaveWhileBlocked(blockedMs)
   })
-  const sends = await leftAt(rig, server, 0)
+  const sends = await countSends(fixture, server, 0)
   return isConclusive ? sends : undefined
 }
 
-/** The system does not promise the order in which two sockets become ready. */
-const mostTries = 10
+/** The operating system doesn't guarantee the order in which two sockets become ready. */
+const maxTries = 10
 
-/** Guards against this failure: a connection that opened in a stall is read before the caller's close in the same stall, and carries the request. */
-test('a request is not written to a connection that opened before its caller left, in one stall', async () => {
+/**
+ * Guards against this failure: a connection opens while the event loop is blocked, is handled before the caller's close
+ * of the same time, and the request is written to it.
+ */
+test('a request is not written to a connection that opened before its caller disconnected, both while the event loop was blocked', async () => {
   let sends: number | undefined
-  for (let tries = 0; tries < mostTries && sends === undefined; tries++) sends = await sendsInStall()
+  for (let tries = 0; tries < maxTries && sends === undefined; tries++) sends = await countSendsWhileBlocked()
   assert.equal(sends, 0)
 })
 
-/** Guards against this failure: a server's refusal that is read before the caller's close sends the request to the next server. */
-test('a request that a server refused is not sent to another once its caller has left', async () => {
-  await using rig = await startRig(1)
-  await using caller = await connectCaller(rig, false)
+/**
+ * Guards against this failure: a server's refusal is read before the caller's close, and the request is sent to the
+ * next server.
+ */
+test('a request that a server refused is not sent to another server once its caller has disconnected', async () => {
+  await using fixture = await startRig(1)
+  await using caller = await connectCaller(fixture, false)
   const refuseOnce = (req: IncomingMessage, res: ServerResponse): void => {
     const isFirst = req.url === path && first.requests.concat(second.requests).filter(({ url }) => url === path).length === 1
     if (isFirst) res.writeHead(503, { 'lynx-not-started': 'true' })
@@ -218,25 +247,25 @@
   }
   await using first = await startServer('s1', refuseOnce)
   await using second = await startServer('s2', refuseOnce)
-  await publish(rig, [first, second], [routeTo('read', { timeoutMs })])
-  // Both servers have a connection at rest, over which a second send is written at once.
+  await publish(fixture, [first, second], [routeTo('read', { timeoutMs })])
+  // Both servers get an idle connection, to which a second send would be written at once.
   await until(async () => {
-    await Promise.all(Array.from({ length: 4 }, async () => await ask(rig, '/read/before')))
-    return gatewayOf(rig).pool.byAddress.size === 2
+    await Promise.all(Array.from({ length: 4 }, async () => await ask(fixture, '/read/before')))
+    return getGateway(fixture).pool.byAddress.size === 2
   })
   caller.send()
   await until(() => first.requests.concat(second.requests).some(({ url }) => url === path))
-  assert.equal(await leftAt(rig, first, 0) + await leftAt(rig, second, 0), 1)
+  assert.equal(await countSends(fixture, first, 0) + await countSends(fixture, second, 0), 1)
 })
 
 const servicePath = '/s/offers/left'
 
-async function connectServiceCaller (rig: Rig, isOld: boolean): Promise<ThreadCaller> {
-  return await connectThreadCaller(rig.http.replace('http://', ''), servicePath, isOld)
+async function connectServiceCaller (fixture: Rig, isOld: boolean): Promise<ThreadCaller> {
+  return await connectThreadCaller(fixture.http.replace('http://', ''), servicePath, isOld)
 }
 
-/** Has a server count the requests of the caller. */
-function countLeft (backend: Backend): { runs: number } {
+/** Counts the caller's requests that reach a server. */
+function countCallerRequests (backend: Backend): { runs: number } {
   const count = { runs: 0 }
   backend.handler = (req, res) => {
     if (req.url === '/left') count.runs += 1
@@ -245,46 +274,51 @@
   return count
 }
 
-async function untilServed (rig: Rig): Promise<void> {
-  await until(() => rig.daemon.entry?.open === 0)
-  const res = await fetch(`${rig.http}/s/offers/after`)
+async function waitUntilServing (fixture: Rig): Promise<void> {
+  await until(() => fixture.daemon.entry?.open === 0)
+  const res = await fetch(`${fixture.http}/s/offers/after`)
   assert.equal(res.status, 200)
 }
 
 for (const isOld of [true, false]) {
-  /** Guards against this failure: servers of a service run requests whose callers left while their VM was busy. */
-  test(`a request to a service whose caller left before it was read reaches no server, on ${isOld ? 'an old' : 'a new'} connection`, async () => {
-    await using rig = await startServiceRig({}, { deadlineMs: timeoutMs })
-    await using backend = await startBackend(rig)
-    const count = countLeft(backend)
-    await untilServed(rig)
-    await using caller = await connectServiceCaller(rig, isOld)
+  /**
+   * Guards against this failure: servers of a service run requests whose callers disconnected while the VM was busy.
+   */
+  test(`a request to a service whose caller disconnected before the request was read reaches no server, on ${isOld ? 'an old' : 'a new'} connection`, async () => {
+    await using fixture = await startServiceFixture({}, { deadlineMs: timeoutMs })
+    await using backend = await startBackend(fixture)
+    const count = countCallerRequests(backend)
+    await waitUntilServing(fixture)
+    await using caller = await connectServiceCaller(fixture, isOld)
     const before = count.runs
-    const { requestSeconds } = rig.daemon.entry?.node.metrics as Metrics
-    const served = await countOf(requestSeconds)
+    const { requestSeconds } = fixture.daemon.entry?.node.metrics as Metrics
+    const served = await getCount(requestSeconds)
     caller.sendAndLeaveWhileBlocked(blockedMs)
-    await until(async () => await countOf(requestSeconds) > served)
-    await untilServed(rig)
+    await until(async () => await getCount(requestSeconds) > served)
+    await waitUntilServing(fixture)
     assert.equal(count.runs, before)
   })
 }
 
-/** Guards against this failure: the end of a server's pause sends a request whose caller has left. */
-test('a request to a service that waits for a slot is not sent once its caller has left', async () => {
-  await using rig = await startServiceRig({}, { deadlineMs: timeoutMs })
-  await using backend = await startBackend(rig)
+/**
+ * Guards against this failure: a server's retry time ends, and a waiting request is sent although its caller has
+ * disconnected.
+ */
+test('a request to a service that waits for a slot is not sent once its caller has disconnected', async () => {
+  await using fixture = await startServiceFixture({}, { deadlineMs: timeoutMs })
+  await using backend = await startBackend(fixture)
   const paths: string[] = []
   backend.handler = (req, res) => {
     if (req.url === '/left' && !paths.includes('/left')) res.writeHead(503, { 'lynx-not-started': 'true', 'retry-after': '0.2' })
     paths.push(req.url ?? '')
     res.end('ok')
   }
-  await untilServed(rig)
-  await using caller = await connectServiceCaller(rig, false)
+  await waitUntilServing(fixture)
+  await using caller = await connectServiceCaller(fixture, false)
   caller.send()
-  await until(() => [...rig.daemon.entry?.queues.values() ?? []].some(({ queue }) => queue.heap.length === 1))
-  await beforeTimers()
+  await until(() => [...fixture.daemon.entry?.queues.values() ?? []].some(({ queue }) => queue.heap.length === 1))
+  await waitForTimersPhase()
   caller.leaveWhileBlocked(blockedMs)
-  await untilServed(rig)
+  await waitUntilServing(fixture)
   assert.equal(paths.filter(each => each === '/left').length, 1)
 })
--- a/packages/daemon/__tests__/closeSeen.test.ts
+++ b/packages/daemon/__tests__/closeSeen.test.ts
@@ -1,4 +1,4 @@
-/** Closes of callers' connections while the VM's event loop is calm. */
+/** Closes of callers' connections while the VM's event loop is not saturated. */
 import assert from 'node:assert/strict'
 import { once } from 'node:events'
 import { connect } from 'node:net'
@@ -8,17 +8,17 @@
 import { buildRouteTable } from '@lynxcourse/routing'
 import { ask, publish, routeTo, startRig, startServer, until } from './support/fleetRig.js'
 import type { FleetRig } from './support/fleetRig.js'
-import { startBackend, startRig as startServiceRig } from './support/rig.js'
+import { startBackend, startRig as startServiceFixture } from './support/rig.js'
 
-/** Longer than `until` waits, so that no deadline ends what a close is to end. */
+/** Longer than `until` waits, so that a request ends by the close and not by its deadline. */
 const timeoutMs = 60_000
 /** Requests that a server of a service runs at once. */
 const slots = 3
 
 type Gateway = NonNullable<NonNullable<FleetRig['daemons'][number]>['gateway']>
 
-function gatewayOf (rig: FleetRig): Gateway {
-  return rig.daemons.at(-1)?.gateway as Gateway
+function getGateway (fixture: FleetRig): Gateway {
+  return fixture.daemons.at(-1)?.gateway as Gateway
 }
 
 interface Caller extends Disposable {
@@ -37,167 +37,184 @@
   return { socket, leave, [Symbol.dispose]: () => { socket.destroy() } }
 }
 
-function get (path: string): string {
+function buildGet (path: string): string {
   return `GET ${path} HTTP/1.1\r\nHost: a.example\r\n\r\n`
 }
 
-/** How many sends have ended with a server's answer. */
-async function answersOf (rig: FleetRig): Promise<number> {
-  const { values } = await gatewayOf(rig).node.metrics.attempts.get()
+/** Returns the number of sends that have ended with status 200. */
+async function countAnswers (fixture: FleetRig): Promise<number> {
+  const { values } = await getGateway(fixture).node.metrics.attempts.get()
   return values.find(({ labels }) => labels.end === '200')?.value ?? 0
 }
 
-/** Guards against this failure: answers that wait behind a slow one stop the reading, and servers work on for a caller that left. */
-test('a close is seen while large answers wait behind a slow one', async () => {
-  await using rig = await startRig(1)
+/**
+ * Guards against this failure: answers that are held behind a slow one stop the reading of the connection, and servers
+ * continue to work for a caller that has disconnected.
+ */
+test('a close is noticed while large answers are held behind a slow one', async () => {
+  await using fixture = await startRig(1)
   const answer = Buffer.alloc(40_000)
   await using server = await startServer('s1', (req, res) => { if (req.url === '/read/large') res.end(answer) })
-  await publish(rig, [server], [routeTo('read', { timeoutMs })])
-  using caller = await connectCaller(rig.settings.at(-1)?.callers ?? '')
-  caller.socket.write(get('/read/slow') + get('/read/large') + get('/read/large'))
-  await until(async () => await answersOf(rig) === 2)
-  caller.socket.write(get('/read/slow'))
+  await publish(fixture, [server], [routeTo('read', { timeoutMs })])
+  using caller = await connectCaller(fixture.settings.at(-1)?.callers ?? '')
+  caller.socket.write(buildGet('/read/slow') + buildGet('/read/large') + buildGet('/read/large'))
+  await until(async () => await countAnswers(fixture) === 2)
+  caller.socket.write(buildGet('/read/slow'))
   await until(() => server.requests.length === 4)
   await caller.leave()
-  await until(() => gatewayOf(rig).open === 0)
+  await until(() => getGateway(fixture).open === 0)
 })
 
-/** Guards against this failure: a connection's answers that wait for their turn take a VM's memory. */
-test('no further request of a connection begins while many bytes of its answers wait', async () => {
-  await using rig = await startRig(1)
+/**
+ * Guards against this failure: the answers of one connection that are held behind a slow one exhaust the VM's memory.
+ */
+test('no further request of a connection is started while many bytes of its answers are held', async () => {
+  await using fixture = await startRig(1)
   const answer = Buffer.alloc(1_000_000)
-  const held: ServerResponse[] = []
+  const slowResponses: ServerResponse[] = []
   await using server = await startServer('s1', (req, res) => {
-    if (req.url === '/read/slow') held.push(res)
+    if (req.url === '/read/slow') slowResponses.push(res)
     else res.end(answer)
   })
-  await publish(rig, [server], [routeTo('read', { timeoutMs })])
-  using caller = await connectCaller(rig.settings.at(-1)?.callers ?? '')
-  const sent = (): number => server.requests.filter(({ url }) => url === '/read/large').length
+  await publish(fixture, [server], [routeTo('read', { timeoutMs })])
+  using caller = await connectCaller(fixture.settings.at(-1)?.callers ?? '')
+  const countLargeSends = (): number => server.requests.filter(({ url }) => url === '/read/large').length
   let size = 0
   caller.socket.on('data', (chunk: Buffer) => { size += chunk.length })
-  caller.socket.write(get('/read/slow') + get('/read/large') + get('/read/large'))
-  await until(async () => await answersOf(rig) === 2)
-  caller.socket.write(get('/read/large'))
-  await until(() => gatewayOf(rig).open === 4)
-  assert.equal((await ask(rig, '/read/other')).status, 200)
-  assert.equal(sent(), 2)
-  held[0]?.end()
-  await until(() => sent() === 3 && size > 3 * answer.length)
+  caller.socket.write(buildGet('/read/slow') + buildGet('/read/large') + buildGet('/read/large'))
+  await until(async () => await countAnswers(fixture) === 2)
+  caller.socket.write(buildGet('/read/large'))
+  await until(() => getGateway(fixture).open === 4)
+  assert.equal((await ask(fixture, '/read/other')).status, 200)
+  assert.equal(countLargeSends(), 2)
+  slowResponses[0]?.end()
+  await until(() => countLargeSends() === 3 && size > 3 * answer.length)
 })
 
-function post (path: string, bytes: number): string {
+function buildPost (path: string, bytes: number): string {
   return `POST ${path} HTTP/1.1\r\nHost: a.example\r\nContent-Length: ${bytes}\r\n\r\n${'b'.repeat(bytes)}`
 }
 
-/** Lets the event loop look at its sockets, so often that all that lies there was read. */
-async function lookAround (): Promise<void> {
-  for (let look = 0; look < 50; look++) await new Promise(resolve => setImmediate(resolve))
+/** Waits for enough event loop iterations to read all data that has arrived. */
+async function waitForPolls (): Promise<void> {
+  for (let iteration = 0; iteration < 50; iteration++) await new Promise(resolve => setImmediate(resolve))
 }
 
-/** Takes the routes away from a VM, as before its first state; the function gives them back. */
-function withoutRoutes (gateway: Gateway): () => void {
+/** Removes the routes from a VM, as before its first state. Returns a function that restores them. */
+function removeRoutes (gateway: Gateway): () => void {
   const { table } = gateway
   gateway.table = buildRouteTable([])
   return () => {
     gateway.table = table
-    for (const listen of [...gateway.node.onChange]) listen()
+    for (const listener of [...gateway.node.onChange]) listener()
   }
 }
 
-/** Guards against this failure: a body that is not read stops the reading, and a request is held and taken up for a caller that left. */
-test('a close is seen while a request with a large body waits for the first state', async () => {
-  await using rig = await startRig(1)
+/**
+ * Guards against this failure: a body that is not consumed stops the reading of its connection, and a request is held
+ * and started for a caller that has disconnected.
+ */
+test('a close is noticed while a request with a large body waits for the first state', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read', { timeoutMs })])
-  const gateway = gatewayOf(rig)
-  using caller = await connectCaller(rig.settings.at(-1)?.callers ?? '')
-  const giveBack = withoutRoutes(gateway)
-  caller.socket.write(post('/read/left', 90_000))
+  await publish(fixture, [server], [routeTo('read', { timeoutMs })])
+  const gateway = getGateway(fixture)
+  using caller = await connectCaller(fixture.settings.at(-1)?.callers ?? '')
+  const restoreRoutes = removeRoutes(gateway)
+  caller.socket.write(buildPost('/read/left', 90_000))
   await until(() => gateway.waiting === 1)
-  await lookAround()
+  await waitForPolls()
   await caller.leave()
-  await lookAround()
+  await waitForPolls()
   const { waiting } = gateway
-  giveBack()
+  restoreRoutes()
   await until(() => gateway.open === 0)
   assert.equal(waiting, 0)
   assert.equal(server.requests.length, 0)
 })
 
-/** Guards against this failure: a body behind requests that are worked on stops the reading, and servers work on for a caller that left. */
-test('a close is seen while a request with a large body waits for those before it', async () => {
-  await using rig = await startRig(1)
+/**
+ * Guards against this failure: a body behind requests in progress stops the reading of their connection, and servers
+ * continue to work for a caller that has disconnected.
+ */
+test('a close is noticed while a request with a large body waits for earlier requests', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', () => undefined)
-  await publish(rig, [{ ...server, facts: { ...server.facts, slots: 16 } }], [routeTo('read', { timeoutMs })])
-  const gateway = gatewayOf(rig)
-  using caller = await connectCaller(rig.settings.at(-1)?.callers ?? '')
-  caller.socket.write(get('/read/slow').repeat(8) + post('/read/left', 90_000))
+  await publish(fixture, [{ ...server, facts: { ...server.facts, slots: 16 } }], [routeTo('read', { timeoutMs })])
+  const gateway = getGateway(fixture)
+  using caller = await connectCaller(fixture.settings.at(-1)?.callers ?? '')
+  caller.socket.write(buildGet('/read/slow').repeat(8) + buildPost('/read/left', 90_000))
   await until(() => gateway.open === 9 && server.requests.length === 8)
   await caller.leave()
-  await lookAround()
+  await waitForPolls()
   assert.equal(gateway.open, 0)
   assert.equal(server.requests.length, 8)
 })
 
-/** Guards against this failure: a body over the limit of a VM without its first state is refused although the state allows it. */
-test('a body that only the first state allows is served once that is there', async () => {
-  await using rig = await startRig(1)
+/**
+ * Guards against this failure: a VM without its first state refuses a body that exceeds the default limit, although the
+ * state allows it.
+ */
+test('a request whose body only the first state allows is served once the VM has that state', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (req, res) => {
     req.resume()
     req.once('end', () => res.end('ok'))
   })
-  await publish(rig, [server], [routeTo('read', { timeoutMs })])
-  const gateway = gatewayOf(rig)
+  await publish(fixture, [server], [routeTo('read', { timeoutMs })])
+  const gateway = getGateway(fixture)
   const { limits } = gateway
-  using caller = await connectCaller(rig.settings.at(-1)?.callers ?? '')
-  const giveBack = withoutRoutes(gateway)
+  using caller = await connectCaller(fixture.settings.at(-1)?.callers ?? '')
+  const restoreRoutes = removeRoutes(gateway)
   gateway.limits = { ...limits, maxBodyBytes: 1000 }
   const answer = once(caller.socket, 'data')
-  caller.socket.write(post('/read/large', 90_000))
+  caller.socket.write(buildPost('/read/large', 90_000))
   await until(() => gateway.waiting === 1)
-  await lookAround()
+  await waitForPolls()
   gateway.limits = limits
-  giveBack()
+  restoreRoutes()
   assert.match(String((await answer)[0]), /^HTTP\/1.1 200 /)
 })
 
-/** Guards against this failure: only the first of a service's requests on a connection hears of its close; servers work on, and begin, for the others. */
-test('a close is seen by all requests to a service that were sent behind one another', async () => {
-  await using rig = await startServiceRig({}, { deadlineMs: timeoutMs, maxDeadlineMs: timeoutMs })
-  await using backend = await startBackend(rig)
-  const count = { begun: 0, cut: 0 }
+/**
+ * Guards against this failure: only the first of a connection's requests to a service is cancelled by a close, and
+ * servers continue or start to work for the others.
+ */
+test('a close cancels all pipelined requests to a service', async () => {
+  await using fixture = await startServiceFixture({}, { deadlineMs: timeoutMs, maxDeadlineMs: timeoutMs })
+  await using backend = await startBackend(fixture)
+  const count = { started: 0, closed: 0 }
   backend.handler = (req, res) => {
     if (req.url !== '/left') {
       res.end('ok')
       return
     }
-    count.begun += 1
-    req.socket.once('close', () => { count.cut += 1 })
+    count.started += 1
+    req.socket.once('close', () => { count.closed += 1 })
   }
-  await until(async () => await fetch(`${rig.http}/s/offers/before`).then(res => res.ok))
-  using caller = await connectCaller(rig.http.replace('http://', ''))
-  caller.socket.write(get('/s/offers/left').repeat(6))
-  await until(() => rig.daemon.entry?.open === 6 && count.begun === slots)
+  await until(async () => await fetch(`${fixture.http}/s/offers/before`).then(res => res.ok))
+  using caller = await connectCaller(fixture.http.replace('http://', ''))
+  caller.socket.write(buildGet('/s/offers/left').repeat(6))
+  await until(() => fixture.daemon.entry?.open === 6 && count.started === slots)
   await caller.leave()
-  await until(() => rig.daemon.entry?.open === 0 && count.cut === slots)
-  assert.equal(count.begun, slots)
+  await until(() => fixture.daemon.entry?.open === 0 && count.closed === slots)
+  assert.equal(count.started, slots)
 })
 
-/** Guards against this failure: a caller that sends many requests behind one another has the VM warn of a leak. */
-test('many requests to a service over one connection bring no warning of a leak', async () => {
-  await using rig = await startServiceRig({}, { deadlineMs: timeoutMs, maxDeadlineMs: timeoutMs })
-  await using backend = await startBackend(rig)
+/** Guards against this failure: many pipelined requests of one caller make Node warn of a leak of event listeners. */
+test('many pipelined requests to a service cause no warning of a leak', async () => {
+  await using fixture = await startServiceFixture({}, { deadlineMs: timeoutMs, maxDeadlineMs: timeoutMs })
+  await using backend = await startBackend(fixture)
   backend.handler = (_req, res) => res.end('ok')
   const warnings: string[] = []
-  const note = ({ name }: Error): void => { warnings.push(name) }
-  process.on('warning', note)
-  await until(async () => await fetch(`${rig.http}/s/offers/before`).then(res => res.ok))
-  using caller = await connectCaller(rig.http.replace('http://', ''))
+  const recordWarning = ({ name }: Error): void => { warnings.push(name) }
+  process.on('warning', recordWarning)
+  await until(async () => await fetch(`${fixture.http}/s/offers/before`).then(res => res.ok))
+  using caller = await connectCaller(fixture.http.replace('http://', ''))
   let text = ''
   caller.socket.on('data', (chunk: Buffer) => { text += chunk.toString('latin1') })
-  caller.socket.write(get('/s/offers/x').repeat(16))
+  caller.socket.write(buildGet('/s/offers/x').repeat(16))
   await until(() => text.split('HTTP/1.1 200 ').length - 1 === 16)
-  process.off('warning', note)
+  process.off('warning', recordWarning)
   assert.deepEqual(warnings, [])
 })
--- a/packages/daemon/__tests__/exchange.test.ts
+++ b/packages/daemon/__tests__/exchange.test.ts
@@ -1,4 +1,7 @@
-/** One request over one connection: what was never written did not run, and opening a connection is not the server's time. */
+/**
+ * One request over one connection: a request that was never written did not run, and the time to open a connection
+ * doesn't count as the server's.
+ */
 import assert from 'node:assert/strict'
 import { once } from 'node:events'
 import { test } from 'node:test'
@@ -11,13 +14,13 @@
 const openingMs = 120
 const options = { method: 'POST' as const, path: '/offer', body: 'offer' }
 
-interface Rig extends AsyncDisposable {
+interface Fixture extends AsyncDisposable {
   readonly client: Client
   readonly paths: string[]
 }
 
-/** A server, and a client whose connection takes a while to open. */
-async function startSlowOpening (): Promise<Rig> {
+/** Starts a server, and a client whose connections take `openingMs` to open. */
+async function startSlowOpeningFixture (): Promise<Fixture> {
   const paths: string[] = []
   const server = createServer((req, res) => {
     paths.push(req.url ?? '')
@@ -26,7 +29,7 @@
   await once(server, 'listening')
   const connect = buildConnector({})
   const client = new Client(`http://127.0.0.1:${(server.address() as AddressInfo).port}`, {
-    connect: (opts, callback) => { setTimeout(() => connect(opts, callback), openingMs) }
+    connect: (connectOptions, callback) => { setTimeout(() => connect(connectOptions, callback), openingMs) }
   })
   return {
     client,
@@ -39,32 +42,38 @@
   }
 }
 
-/** Guards against this failure: a caller is told that its offer may have run, although no server saw it. */
-test('an exchange that ends while its connection opens is never written', async () => {
-  await using rig = await startSlowOpening()
-  const exchange = startExchange(rig.client, options, Infinity, () => undefined)
+/**
+ * Guards against this failure: a caller gets the answer that its request may have run, although no server received the
+ * request.
+ */
+test('an exchange that is aborted while its connection opens is never written', async () => {
+  await using fixture = await startSlowOpeningFixture()
+  const exchange = startExchange(fixture.client, options, Infinity, () => undefined)
   exchange.abort()
   await assert.rejects(exchange.answer, err => isLynxError(err, 'cancelled'))
-  const next = startExchange(rig.client, { ...options, path: '/next' }, Infinity, () => undefined)
-  assert.equal((await next.answer).body?.toString(), 'done')
-  assert.deepEqual([exchange.startedAt, rig.paths], [undefined, ['/next']])
+  const nextExchange = startExchange(fixture.client, { ...options, path: '/next' }, Infinity, () => undefined)
+  assert.equal((await nextExchange.answer).body?.toString(), 'done')
+  assert.deepEqual([exchange.startedAt, fixture.paths], [undefined, ['/next']])
 })
 
-test('an exchange tells when it began, after its connection was open', async () => {
-  await using rig = await startSlowOpening()
-  const askedAt = presentTime()
-  const exchange = startExchange(rig.client, options, Infinity, () => undefined)
+test('an exchange records when writing began, after its connection was open', async () => {
+  await using fixture = await startSlowOpeningFixture()
+  const dispatchedAt = presentTime()
+  const exchange = startExchange(fixture.client, options, Infinity, () => undefined)
   const { status, body } = await exchange.answer
   assert.deepEqual([status, body?.toString()], [200, 'done'])
-  assert.ok((exchange.startedAt ?? 0) - askedAt >= openingMs - 5)
+  assert.ok((exchange.startedAt ?? 0) - dispatchedAt >= openingMs - 5)
 })
 
-/** Guards against requests that a VM which was frozen writes on waking, by a decision of before. */
-test('a request whose connection opens after its decision has lapsed is never written', async () => {
-  await using rig = await startSlowOpening()
-  const exchange = startExchange(rig.client, options, presentTime() + openingMs / 2, () => undefined)
+/**
+ * Guards against this failure: a VM that was suspended writes requests after it resumes, although their servers were
+ * chosen before the pause.
+ */
+test('a request whose connection opens after its write deadline is never written', async () => {
+  await using fixture = await startSlowOpeningFixture()
+  const exchange = startExchange(fixture.client, options, presentTime() + openingMs / 2, () => undefined)
   await assert.rejects(exchange.answer, err => isLynxError(err, 'cancelled'))
-  const next = startExchange(rig.client, { ...options, path: '/next' }, Infinity, () => undefined)
-  assert.equal((await next.answer).body?.toString(), 'done')
-  assert.deepEqual([exchange.startedAt, rig.paths], [undefined, ['/next']])
+  const nextExchange = startExchange(fixture.client, { ...options, path: '/next' }, Infinity, () => undefined)
+  assert.equal((await nextExchange.answer).body?.toString(), 'done')
+  assert.deepEqual([exchange.startedAt, fixture.paths], [undefined, ['/next']])
 })
--- a/packages/daemon/__tests__/givenUp.test.ts
+++ b/packages/daemon/__tests__/givenUp.test.ts
@@ -1,4 +1,4 @@
-/** What was given up while the network was cut does not arrive once it has healed. */
+/** Requests that were abandoned during a network partition don't arrive once the partition has healed. */
 import assert from 'node:assert/strict'
 import { once } from 'node:events'
 import { test } from 'node:test'
@@ -10,50 +10,52 @@
 import { startHeldLink } from './support/heldLink.js'
 
 const timeoutMs = 300
-/** How much longer than the time-out a cut lasts. */
-const restOfCutMs = 100
+/** Time by which a partition outlasts the timeout. */
+const extraPartitionMs = 100
 
 /** Guards against this failure: requests reach a failure domain long after it was evacuated. */
-test('a request that was given up during a cut never reaches its server', async () => {
-  await using rig = await startRig(1)
+test('a request that was abandoned during a partition never reaches its server', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
   await using link = await startHeldLink(server.facts.address)
   const facts = { ...server.facts, address: link.address }
-  await publish(rig, [{ ...server, facts }], [routeTo('read', { timeoutMs, maxAttempts: 1 }), routeTo('write', { timeoutMs, isIdempotent: false })])
+  await publish(fixture, [{ ...server, facts }], [routeTo('read', { timeoutMs, maxAttempts: 1 }), routeTo('write', { timeoutMs, isIdempotent: false })])
   for (const [path, method] of [['/read/', 'GET'], ['/write/', 'POST']] as const) {
-    assert.equal((await ask(rig, `${path}before`, method)).status, 200)
+    assert.equal((await ask(fixture, `${path}before`, method)).status, 200)
     link.cut()
-    assert.equal((await ask(rig, `${path}during`, method)).status, 504)
-    await delay(restOfCutMs)
+    assert.equal((await ask(fixture, `${path}during`, method)).status, 504)
+    await delay(extraPartitionMs)
     link.heal()
-    await until(async () => (await ask(rig, `${path}after`, method)).status === 200)
+    await until(async () => (await ask(fixture, `${path}after`, method)).status === 200)
   }
   assert.deepEqual(server.requests.filter(({ url }) => url?.endsWith('during') === true).map(({ url }) => url), [])
 })
 
-/** Longer than a request may take before its server is doubted. */
-const cutMs = 4000
+/** Longer than the time after which the server of an overdue request is checked. */
+const partitionMs = 4000
 
-/** Guards against this failure: a request with a long time limit arrives seconds after its failure domain was evacuated. */
-test('a request written into a cut is ended once its server is closed to work and has not answered anything since', async () => {
-  await using rig = await startRig(1)
+/**
+ * Guards against this failure: a request with a long timeout arrives seconds after its failure domain was evacuated.
+ */
+test('a request written during a partition is ended once its server is evacuated and has sent no answer since', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
   await using link = await startHeldLink(server.facts.address)
   const facts = { ...server.facts, address: link.address }
-  await publish(rig, [{ ...server, facts }], [routeTo('write', { timeoutMs: 3 * cutMs, isIdempotent: false })])
-  assert.equal((await ask(rig, '/write/before', 'POST')).status, 200)
+  await publish(fixture, [{ ...server, facts }], [routeTo('write', { timeoutMs: 3 * partitionMs, isIdempotent: false })])
+  assert.equal((await ask(fixture, '/write/before', 'POST')).status, 200)
   link.cut()
-  const pending = ask(rig, '/write/during', 'POST')
-  await delay(restOfCutMs)
-  await submit(rig, { type: 'evacuate', failureDomain: facts.failureDomain, isActive: true })
-  await Promise.race([pending, delay(cutMs)])
+  const pendingAnswer = ask(fixture, '/write/during', 'POST')
+  await delay(extraPartitionMs)
+  await submit(fixture, { type: 'evacuate', failureDomain: facts.failureDomain, isActive: true })
+  await Promise.race([pendingAnswer, delay(partitionMs)])
   link.heal()
-  assert.equal((await pending).status, 504)
+  assert.equal((await pendingAnswer).status, 504)
   assert.deepEqual(server.requests.map(({ url }) => url), ['/write/before'])
 })
 
-/** A VM that takes every call and notes its method. */
-async function startPeer (): Promise<AsyncDisposable & { readonly address: string, readonly calls: string[] }> {
+/** Starts a VM that accepts every call and records its method. */
+async function startRecordingPeer (): Promise<AsyncDisposable & { readonly address: string, readonly calls: string[] }> {
   const calls: string[] = []
   const server = createServer((req, res) => {
     text(req).then(body => {
@@ -73,15 +75,15 @@
   }
 }
 
-/** Guards against this failure: an old order, given up by the VM that relayed it, undoes a newer one. */
-test('a call to another VM that was given up during a cut is never taken', async () => {
-  await using peer = await startPeer()
+/** Guards against this failure: an old command, abandoned by the VM that forwarded it, overwrites a newer one. */
+test('a call to another VM that was abandoned during a partition is never accepted', async () => {
+  await using peer = await startRecordingPeer()
   await using link = await startHeldLink(peer.address)
   await using client = createRpcClient({ timeoutMs, localAddress: '', tls: () => undefined, metrics: undefined })
   await callPeer(client, link.address, 'before', {})
   link.cut()
   await assert.rejects(callPeer(client, link.address, 'during', {}))
-  await delay(restOfCutMs)
+  await delay(extraPartitionMs)
   link.heal()
   await callPeer(client, link.address, 'after', {})
   assert.deepEqual(peer.calls, ['before', 'after'])
--- a/packages/daemon/__tests__/pipeline.test.ts
+++ b/packages/daemon/__tests__/pipeline.test.ts
@@ -1,4 +1,4 @@
-/** Requests sent behind one another over one connection, by a caller of our own that writes raw bytes. */
+/** HTTP pipelining, by a caller that writes raw bytes. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { connect } from 'node:net'
@@ -11,13 +11,13 @@
 
 interface Caller extends Disposable {
   readonly socket: Socket
-  /** All that came so far. */
+  /** The bytes received so far, as text. */
   readonly text: () => string
   readonly isClosed: () => boolean
 }
 
-function call (rig: FleetRig): Caller {
-  const [host, port] = (rig.settings.at(-1)?.callers ?? '').split(':')
+function connectCaller (fixture: FleetRig): Caller {
+  const [host, port] = (fixture.settings.at(-1)?.callers ?? '').split(':')
   const socket = connect({ host: host ?? '', port: Number(port) })
   let text = ''
   let closed = false
@@ -27,74 +27,74 @@
   return { socket, text: () => text, isClosed: () => closed, [Symbol.dispose]: () => { socket.destroy() } }
 }
 
-function get (path: string): string {
+function buildGet (path: string): string {
   return `GET ${path} HTTP/1.1\r\nHost: a.example\r\n\r\n`
 }
 
-function bodiesOf (text: string): string[] {
+function findBodies (text: string): string[] {
   return [...text.matchAll(/body-[a-z0-9]+/g)].map(match => match[0])
 }
 
-/** Answers with the last part of the path, the first ones later than those behind them. */
-function answerInTurn (req: IncomingMessage, res: ServerResponse): void {
+/** Answers with the last segment of the path; answers to `slow` requests are delayed behind those to later requests. */
+function answerAfterDelay (req: IncomingMessage, res: ServerResponse): void {
   const name = req.url?.split('/').at(-1) ?? ''
   setTimeout(() => res.end(`body-${name}`), name.startsWith('slow') ? 300 : 5)
 }
 
-test('answers to requests sent behind one another come whole and in their order', async () => {
-  await using rig = await startRig(1)
-  await using server = await startServer('s1', answerInTurn)
-  await publish(rig, [server], [routeTo('read')])
-  using caller = call(rig)
-  const names = ['slow1', 'b', 'c', 'slow2', ...Array.from({ length: 12 }, (_, place) => `n${place}`)]
-  caller.socket.write(names.map(name => get(`/read/${name}`)).join(''))
-  await until(() => bodiesOf(caller.text()).length === names.length)
-  assert.deepEqual(bodiesOf(caller.text()), names.map(name => `body-${name}`))
+test('answers to pipelined requests are complete and in the order of the requests', async () => {
+  await using fixture = await startRig(1)
+  await using server = await startServer('s1', answerAfterDelay)
+  await publish(fixture, [server], [routeTo('read')])
+  using caller = connectCaller(fixture)
+  const names = ['slow1', 'b', 'c', 'slow2', ...Array.from({ length: 12 }, (_, index) => `n${index}`)]
+  caller.socket.write(names.map(name => buildGet(`/read/${name}`)).join(''))
+  await until(() => findBodies(caller.text()).length === names.length)
+  assert.deepEqual(findBodies(caller.text()), names.map(name => `body-${name}`))
 })
 
-/** Guards against this failure: servers work on for callers that left. */
+/** Guards against this failure: servers continue to work for callers that have disconnected. */
 test('when a caller closes its connection, servers stop working on all its requests', async () => {
-  await using rig = await startRig(1)
-  let stopped = 0
-  await using server = await startServer('s1', req => { req.socket.once('close', () => { stopped += 1 }) })
-  await publish(rig, [server], [routeTo('read', { timeoutMs: 10_000 })])
-  using caller = call(rig)
-  caller.socket.write([1, 2, 3, 4].map(number => get(`/read/${number}`)).join(''))
+  await using fixture = await startRig(1)
+  let closedCount = 0
+  await using server = await startServer('s1', req => { req.socket.once('close', () => { closedCount += 1 }) })
+  await publish(fixture, [server], [routeTo('read', { timeoutMs: 10_000 })])
+  using caller = connectCaller(fixture)
+  caller.socket.write([1, 2, 3, 4].map(number => buildGet(`/read/${number}`)).join(''))
   await until(() => server.requests.length === 4)
   caller.socket.destroy()
-  await until(() => stopped === 4)
+  await until(() => closedCount === 4)
 })
 
-/** Guards against this failure: a planned stop cuts requests. */
-test('a VM that stops answers all that was sent over a connection before it closes it', async () => {
-  await using rig = await startRig(1)
-  await using server = await startServer('s1', answerInTurn)
-  await publish(rig, [server], [routeTo('read')])
-  using caller = call(rig)
-  caller.socket.write(['slow1', 'slow2', 'slow3'].map(name => get(`/read/${name}`)).join(''))
+/** Guards against this failure: a planned stop loses requests. */
+test('a VM that stops answers all requests that were sent over a connection before it closes the connection', async () => {
+  await using fixture = await startRig(1)
+  await using server = await startServer('s1', answerAfterDelay)
+  await publish(fixture, [server], [routeTo('read')])
+  using caller = connectCaller(fixture)
+  caller.socket.write(['slow1', 'slow2', 'slow3'].map(name => buildGet(`/read/${name}`)).join(''))
   await until(() => server.requests.length === 3)
-  await Promise.all([leaveFleet(rig.daemons.at(-1) as FleetDaemon), until(() => caller.isClosed())])
-  assert.deepEqual(bodiesOf(caller.text()), ['body-slow1', 'body-slow2', 'body-slow3'])
+  await Promise.all([leaveFleet(fixture.daemons.at(-1) as FleetDaemon), until(() => caller.isClosed())])
+  assert.deepEqual(findBodies(caller.text()), ['body-slow1', 'body-slow2', 'body-slow3'])
   assert.equal(caller.text().toLowerCase().split('connection: close').length - 1, 1)
 })
 
-/** Guards against this failure: a VM runs out of memory. */
-test('only some of the requests sent behind one another are at servers at once', async () => {
-  await using rig = await startRig(1)
-  const most = 8
-  let atOnce = 0
-  let mostAtOnce = 0
+/** Guards against this failure: the answers that the VM holds exhaust its memory. */
+test('the number of pipelined requests of one connection that are at servers at once is limited', async () => {
+  await using fixture = await startRig(1)
+  const maxConcurrent = 8
+  let concurrentCount = 0
+  let maxSeen = 0
   await using server = await startServer('s1', (_req, res) => {
-    atOnce += 1
-    mostAtOnce = Math.max(mostAtOnce, atOnce)
+    concurrentCount += 1
+    maxSeen = Math.max(maxSeen, concurrentCount)
     setTimeout(() => {
-      atOnce -= 1
+      concurrentCount -= 1
       res.end('body-x')
     }, 10)
   })
-  await publish(rig, [server], [routeTo('read')])
-  using caller = call(rig)
-  caller.socket.write(Array.from({ length: 60 }, () => get('/read/1')).join(''))
-  await until(() => bodiesOf(caller.text()).length === 60)
-  assert.ok(mostAtOnce <= most, `${mostAtOnce} at once`)
+  await publish(fixture, [server], [routeTo('read')])
+  using caller = connectCaller(fixture)
+  caller.socket.write(Array.from({ length: 60 }, () => buildGet('/read/1')).join(''))
+  await until(() => findBodies(caller.text()).length === 60)
+  assert.ok(maxSeen <= maxConcurrent, `${maxSeen} at once`)
 })
--- a/packages/daemon/__tests__/unread.test.ts
+++ b/packages/daemon/__tests__/unread.test.ts
@@ -1,76 +1,77 @@
-/** Requests that a VM gets to long after their bytes came. */
+/** Requests that a VM reads long after they have arrived in its kernel. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { LoopIterations } from '@lynxcourse/placement'
 import { ask, publish, routeTo, startRig, startServer } from './support/fleetRig.js'
-import { startBackend, startRig as startServiceRig } from './support/rig.js'
+import { startBackend, startRig as startServiceFixture } from './support/rig.js'
 import { connectThreadCaller } from './support/threadCaller.js'
 
 const timeoutMs = 500
 const blockedMs = 800
 
 /*
- * After all VMs had lost power, callers of one region were sent to the one VM that was ready first: 984 connections where the median
- * VM had 114, and 27 % of a core, all that it has, for six seconds. Its event loop got to requests seconds after they had come and
- * counted their deadlines from then, so of 151 requests that reached their route's timeout, 109 had no answer half a second later.
- * One that came at 39.96 s was sent to a server at 44.07 s; one with a timeout of 3 s was refused after 4.15 s.
+ * Guards against deadlines that count from the time of reading. After a power loss of all VMs, the callers of one
+ * region connected to the VM that was ready first. Its 984 connections (median VM: 114) used its whole share of a core
+ * (27 %) for six seconds, and its event loop read requests seconds after their arrival. Of 151 requests that reached
+ * their route's timeout, 109 had no answer half a second later: one that arrived at 39.96 s was sent to a server at
+ * 44.07 s, and one with a timeout of 3 s was refused after 4.15 s.
  */
 for (const isOld of [true, false]) {
-  test(`a request that lay unread past its route's timeout is refused and reaches no server, on ${isOld ? 'an old' : 'a new'} connection`, async () => {
-    await using rig = await startRig(1)
+  test(`a request with a read delay longer than its route's timeout is refused and reaches no server, on ${isOld ? 'an old' : 'a new'} connection`, async () => {
+    await using fixture = await startRig(1)
     await using server = await startServer('s1', (_req, res) => res.end('ok'))
-    await publish(rig, [server], [routeTo('read', { timeoutMs })])
-    await using caller = await connectThreadCaller(rig.settings.at(-1)?.callers ?? '', '/read/1', isOld)
-    const before = server.requests.length
+    await publish(fixture, [server], [routeTo('read', { timeoutMs })])
+    await using caller = await connectThreadCaller(fixture.settings.at(-1)?.callers ?? '', '/read/1', isOld)
+    const requestsBefore = server.requests.length
     caller.sendWhileBlocked(blockedMs)
     const answer = await caller.answer
     assert.match(answer, /^HTTP\/1\.1 503 /)
     assert.match(answer, /retry-after: /i)
-    assert.equal(server.requests.length, before)
+    assert.equal(server.requests.length, requestsBefore)
   })
 }
 
-test('a request that lay unread for less than its route\'s timeout is served', async () => {
-  await using rig = await startRig(1)
+test('a request with a read delay shorter than its route\'s timeout is served', async () => {
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read', { timeoutMs: 20_000 })])
-  await using caller = await connectThreadCaller(rig.settings.at(-1)?.callers ?? '', '/read/1', true)
+  await publish(fixture, [server], [routeTo('read', { timeoutMs: 20_000 })])
+  await using caller = await connectThreadCaller(fixture.settings.at(-1)?.callers ?? '', '/read/1', true)
   caller.sendWhileBlocked(blockedMs)
   assert.match(await caller.answer, /^HTTP\/1\.1 200 /)
 })
 
 /*
- * The VM that had the callers of a region kept their connections for ten seconds, since nothing told them to go: 984 where the median
- * VM had 114 and used a quarter of its processor.
+ * Guards against callers that stay at an overloaded VM: the VM that had the callers of a whole region kept their
+ * connections for ten seconds, 984 of them, while the median VM had 114 and used a quarter of its processor.
  */
 test('a VM without processor time refuses at once and ends the caller\'s connection; the next request is served', async () => {
-  await using rig = await startRig(1)
+  await using fixture = await startRig(1)
   await using server = await startServer('s1', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read')])
-  const turns = rig.daemons.at(-1)?.gateway?.loop.turns as LoopIterations
-  Object.assign(turns, { isOpen: true, notedAt: -Infinity })
-  const refused = await ask(rig, '/read/1')
+  await publish(fixture, [server], [routeTo('read')])
+  const iterations = fixture.daemons.at(-1)?.gateway?.loop.turns as LoopIterations
+  Object.assign(iterations, { isIterationRecorded: true, recordedAt: -Infinity })
+  const refused = await ask(fixture, '/read/1')
   assert.equal(refused.status, 503)
   assert.equal(refused.headers.connection, 'close')
   assert.ok(Number(refused.headers['retry-after']) > 0)
   assert.equal(server.requests.length, 0)
-  turns.isIterationRecorded = false
-  assert.equal((await ask(rig, '/read/1')).status, 200)
+  iterations.isIterationRecorded = false
+  assert.equal((await ask(fixture, '/read/1')).status, 200)
 })
 
 /*
- * The service-addressed path counted a deadline from the same moment, so it held requests in the same way. Found by looking for the cause
- * elsewhere, not by an incident.
+ * Guards against the same failure for requests that are addressed to a service: deadlines that count from the time of
+ * reading.
  */
-test('a request to a service that lay unread past its deadline reaches no server', async () => {
-  await using rig = await startServiceRig({}, { deadlineMs: timeoutMs })
-  await using backend = await startBackend(rig)
+test('a request to a service with a read delay longer than its deadline reaches no server', async () => {
+  await using fixture = await startServiceFixture({}, { deadlineMs: timeoutMs })
+  await using backend = await startBackend(fixture)
   let runs = 0
   backend.handler = (req, res) => {
     if (req.url === '/late') runs += 1
     res.end('ok')
   }
-  await using caller = await connectThreadCaller(rig.http.replace('http://', ''), '/s/offers/late', false)
+  await using caller = await connectThreadCaller(fixture.http.replace('http://', ''), '/s/offers/late', false)
   caller.sendWhileBlocked(blockedMs)
   const answer = await caller.answer
   assert.match(answer, /^HTTP\/1\.1 504 /)
