--- a/packages/daemon/__tests__/closeSeen.test.ts
+++ b/packages/daemon/__tests__/closeSeen.test.ts
@@ -48,10 +48,10 @@
 }
 
 /**
- * Guards against this failure: answers that are held behind a slow one stop the reading of the connection, and servers
- * continue to work for a caller that has disconnected.
+ * Guards against this failure: answers that are buffered behind a slow one stop the reading of the connection, and
+ * servers continue to work for a caller that has disconnected.
  */
-test('a close is noticed while large answers are held behind a slow one', async () => {
+test('a close is noticed while large answers are buffered behind a slow one', async () => {
   await using fixture = await startRig(1)
   const answer = Buffer.alloc(40_000)
   await using server = await startServer('s1', (req, res) => { if (req.url === '/read/large') res.end(answer) })
@@ -66,9 +66,10 @@
 })
 
 /**
- * Guards against this failure: the answers of one connection that are held behind a slow one exhaust the VM's memory.
+ * Guards against this failure: the answers of one connection that are buffered behind a slow one exhaust the VM's
+ * memory.
  */
-test('no further request of a connection is started while many bytes of its answers are held', async () => {
+test('no further request of a connection is started while many bytes of its answers are buffered', async () => {
   await using fixture = await startRig(1)
   const answer = Buffer.alloc(1_000_000)
   const slowResponses: ServerResponse[] = []
--- a/packages/daemon/__tests__/pipeline.test.ts
+++ b/packages/daemon/__tests__/pipeline.test.ts
@@ -78,7 +78,7 @@
   assert.equal(caller.text().toLowerCase().split('connection: close').length - 1, 1)
 })
 
-/** Guards against this failure: the answers that the VM holds exhaust its memory. */
+/** Guards against this failure: the answers that the VM buffers exhaust its memory. */
 test('the number of pipelined requests of one connection that are at servers at once is limited', async () => {
   await using fixture = await startRig(1)
   const maxConcurrent = 8
--- a/packages/daemon/src/core/gateway/callBody.ts
+++ b/packages/daemon/src/core/gateway/callBody.ts
@@ -2,7 +2,7 @@
  * Reads the bodies of callers' requests while the requests wait to be started.
  *
  * If a body is not consumed, Node stops reading from its connection, and the VM does not notice that the caller closes
- * the connection. The symptom is requests that are held, and sent to servers, for callers that have disconnected.
+ * the connection. The symptom is requests that wait, and are sent to servers, for callers that have disconnected.
  */
 import type { IncomingMessage } from 'node:http'
 import type { Millis } from '@lynxcourse/base'
@@ -10,7 +10,7 @@
 import type { Gateway } from './gateway.js'
 
 /**
- * Bytes of bodies that are held at once. When more are held, requests with a body are rejected, since a process that
+ * Bytes of bodies that are buffered at once. Beyond that, requests with a body are rejected, since a process that
  * exceeds the memory limit of its VM is killed.
  */
 const maxBufferedBytes = 67_108_864
--- a/packages/daemon/src/core/gateway/callerFront.ts
+++ b/packages/daemon/src/core/gateway/callerFront.ts
@@ -225,7 +225,7 @@
   return { status, headers: {}, body: Buffer.from(`${detail}\n`) }
 }
 
-/** Returns the answer to a request whose body can't be read or held; undefined if the caller has disconnected. */
+/** Returns the answer to a request whose body can't be read or buffered; undefined if the caller has disconnected. */
 function answerBodyFailure (gateway: Gateway, end: Exclude<BodyResult, { type: 'whole' }>): CallAnswer | undefined {
   switch (end.type) {
     case 'tooMany': return createRefusal(gateway, 'too many bodies are held', notReadyRetryMs)
--- a/packages/daemon/src/core/gateway/exchange.ts
+++ b/packages/daemon/src/core/gateway/exchange.ts
@@ -8,7 +8,7 @@
 import type { HeaderMap } from '../../types/answers.js'
 import { presentTime } from '../../utils/clock.js'
 
-/** Answers are held in memory up to this size, since a caller gets an answer only after the whole of it was checked. */
+/** Maximum size of an answer in memory; a caller gets an answer only after the whole of it was checked. */
 const maxAnswerBytes = 16_777_216
 const firstFinalStatus = 200
 
--- a/packages/daemon/src/core/gateway/pipeline.ts
+++ b/packages/daemon/src/core/gateway/pipeline.ts
@@ -5,23 +5,23 @@
  *
  * An answer that closes the connection makes the caller repeat all later requests on it: the work that servers did for
  * them is wasted, and a VM that stops cuts off answers that were almost complete. A caller that pipelines thousands of
- * requests makes the VM hold all later answers in memory. The symptoms are requests that end with a closed connection
+ * requests makes the VM buffer all later answers. The symptoms are requests that end with a closed connection
  * while a VM stops, unneeded work at servers, and a VM that runs out of memory.
  */
 import type { Socket } from 'node:net'
 import { Cancel } from '../../utils/cancel.js'
 
-/** Maximum number of requests of one connection in progress, which also bounds the number of answers that are held. */
+/** Maximum number of requests of one connection in progress, which also bounds the number of buffered answers. */
 const maxConcurrentRequests = 8
-/** When more bytes of a connection's answers are held, no further request of the connection is started. */
+/** When more bytes of a connection's answers are buffered, no further request of the connection is started. */
 const maxBufferedAnswerBytes = 1_048_576
 
 /** One request in the pipeline of its connection. */
 export interface PipelinedRequest {
   readonly pipeline: Pipeline
-  /** Aborted when the caller closes the connection, or when an earlier answer is going to close it. */
+  /** Aborted when the caller closes the connection, or when an earlier answer will close it. */
   readonly gone: Cancel
-  /** Size of its answer while the answer is held back by earlier ones; otherwise 0. */
+  /** Size of its answer while the answer is buffered behind earlier ones; otherwise 0. */
   bufferedAnswerBytes: number
   /** Checks again the condition that the request waits for. */
   wake: () => void
@@ -30,7 +30,7 @@
 /** Requests of one connection whose answers are not fully written, in the order of their arrival. */
 export interface Pipeline {
   requests: PipelinedRequest[]
-  /** Whether an answer is going to close the connection; later requests on it count as not received. */
+  /** Whether an answer will close the connection; later requests on it count as not received. */
   isClosing: boolean
 }
 
@@ -60,9 +60,9 @@
 }
 
 /**
- * Holds an answer until all earlier answers are written. Returns false if the request is cancelled by then.
+ * Buffers an answer until all earlier answers are written. Returns false if the request is cancelled by then.
  *
- * The HTTP server could hold the answer too, but stops reading from the connection once it holds many bytes; the VM
+ * The HTTP server could buffer the answer too, but stops reading from the connection once it buffers many bytes; the VM
  * would then not notice that the caller closes the connection.
  */
 export async function waitForEarlierAnswers (request: PipelinedRequest, answerBytes: number): Promise<boolean> {
--- a/packages/daemon/src/core/gateway/sending.ts
+++ b/packages/daemon/src/core/gateway/sending.ts
@@ -38,8 +38,8 @@
 const promptResetMs: Millis = 30
 
 /**
- * If a connection opens later than its timeout plus this time, the VM was suspended meanwhile, and the request is placed
- * again.
+ * If a connection opens later than its timeout plus this time, the VM was suspended meanwhile, and the request is
+ * placed again.
  */
 const lateConnectionMs: Millis = 650
 
