--- a/packages/daemon/src/core/fleet/fleetDaemon.ts
+++ b/packages/daemon/src/core/fleet/fleetDaemon.ts
@@ -22,14 +22,14 @@
 import { delay, repeat } from '../node/timers.js'
 import { createRpcServer, listenRpc } from '../rpc/rpcServer.js'
 import type { RpcServer } from '../rpc/rpcServer.js'
-import { openFleetControl, stateAge } from './fleetControl.js'
+import { openFleetControl, getStateAge } from './fleetControl.js'
 import type { FleetControl } from './fleetControl.js'
 import { addFleetMethods } from './fleetMethods.js'
 import { createFleetNode, isReadyForCallers } from './fleetNode.js'
 import type { FleetDeps, FleetNode } from './fleetNode.js'
-import { startPresence } from './presenceLoop.js'
-import { startWatching, tellPresence } from './watching.js'
-import type { Watching } from './watching.js'
+import { startPresence } from './presenceExchange.js'
+import { startWatching, tellPresence } from './stateWatch.js'
+import type { Watching } from './stateWatch.js'
 
 /** How callers and servers speak to this VM. */
 export interface Dialects {
@@ -99,7 +99,7 @@
     refreshGateway(gateway, presentTime())
     applyLimits(gateway, server)
   })
-  node.onLoad.push(() => applyLoadUpdate(gateway, node.loadNews, node.cfg.region, presentTime()))
+  node.onLoad.push(() => applyLoadUpdate(gateway, node.loadUpdate, node.cfg.region, presentTime()))
   gateway.pool.onConnect = (address, startedAt) => noteConnected(gateway, address, presentTime() - startedAt)
   own(stack, repeat(sweepMs, () => sweepConnections(gateway.pool, presentTime()), () => undefined))
   ownServer(stack, server)
@@ -121,7 +121,7 @@
 function isServing (node: FleetNode, control: FleetControl | undefined): boolean {
   if (node.isLeaving) return false
   if (node.cfg.roles.includes('entry')) return isReadyForCallers(node)
-  return control !== undefined && stateAge(control, presentTime()) < node.cfg.times.staleMs
+  return control !== undefined && getStateAge(control, presentTime()) < node.cfg.times.staleMs
 }
 
 /** Whether callers may be sent to this VM. */
--- a/packages/daemon/src/core/gateway/fleetView.ts
+++ b/packages/daemon/src/core/gateway/fleetView.ts
@@ -39,7 +39,7 @@
     forgetServer(fleet.warmth, id)
   }
   groupServersByService(fleet)
-  applyWeights(fleet, node.loadNews.weights)
+  applyWeights(fleet, node.loadUpdate.weights)
 }
 
 /** The minimum connect time grows by this factor with each connection, so that it adapts to a longer network path. */
--- a/packages/daemon/src/core/gateway/requestLog.ts
+++ b/packages/daemon/src/core/gateway/requestLog.ts
@@ -76,7 +76,7 @@
  */
 function getStateFields (gateway: Gateway): LogFields {
   const { node } = gateway
-  return { stateVersion: node.config.version, stateAgeMs: Math.round(presentTime() - node.freshAt) }
+  return { stateVersion: node.config.version, stateAgeMs: Math.round(presentTime() - node.upToDateAt) }
 }
 
 /** Returns the upper bound of a request's read delay, and the time since the request was read. */
--- a/packages/daemon/src/core/gateway/stateWait.ts
+++ b/packages/daemon/src/core/gateway/stateWait.ts
@@ -18,7 +18,7 @@
 
 /** Returns whether this VM can route requests: it has read the current state, and the state has routes. */
 export function hasRoutes (gateway: Gateway): boolean {
-  return gateway.node.freshAt > -Infinity && gateway.table.size > 0
+  return gateway.node.upToDateAt > -Infinity && gateway.table.size > 0
 }
 
 /**
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -6,7 +6,7 @@
 import { leaveGracefully, startDaemon } from './core/daemon.js'
 import { leaveFleet, startFleetDaemon } from './core/fleet/fleetDaemon.js'
 import type { FleetDaemon } from './core/fleet/fleetDaemon.js'
-import { reloadFleet } from './core/fleet/fleetNode.js'
+import { reloadFleetSettings } from './core/fleet/fleetNode.js'
 import { OwnCallerDialect, OwnServerDialect } from './core/gateway/dialects.js'
 import { log } from './utils/logging.js'
 import { readAnySettings, readCallerBlocks } from './utils/readSettings.js'
@@ -61,7 +61,7 @@
   try {
     const next = readAnySettings(file)
     if (next.kind !== 'fleet') throw new LynxError('badSettings', `${file}: fleet: expected`, { step: 'reload', field: 'fleet' })
-    reloadFleet(node, next.cfg)
+    reloadFleetSettings(node, next.cfg)
     log(node.logs, 'daemon', 'info', 'Settings read again.', { seeds: node.cfg.seeds.join() })
   } catch (err) {
     log(node.logs, 'daemon', 'error', 'Settings not taken over; the former ones stay.', { error: getErrorMessage(err) })
