--- a/packages/daemon/__tests__/closeSeen.test.ts
+++ b/packages/daemon/__tests__/closeDetection.test.ts
@@ -103,10 +103,10 @@
 
 /** Removes the routes from a VM, as before its first state. Returns a function that restores them. */
 function removeRoutes (gateway: Gateway): () => void {
-  const { table } = gateway
-  gateway.table = buildRouteTable([])
+  const { routeTable: table } = gateway
+  gateway.routeTable = buildRouteTable([])
   return () => {
-    gateway.table = table
+    gateway.routeTable = table
     for (const listener of [...gateway.node.onChange]) listener()
   }
 }
@@ -123,11 +123,11 @@
   using caller = await connectCaller(fixture.settings.at(-1)?.callers ?? '')
   const restoreRoutes = removeRoutes(gateway)
   caller.socket.write(buildPost('/read/left', 90_000))
-  await until(() => gateway.waiting === 1)
+  await until(() => gateway.waitingForRoutes === 1)
   await waitForPolls()
   await caller.leave()
   await waitForPolls()
-  const { waiting } = gateway
+  const { waitingForRoutes: waiting } = gateway
   restoreRoutes()
   await until(() => gateway.open === 0)
   assert.equal(waiting, 0)
@@ -170,7 +170,7 @@
   gateway.limits = { ...limits, maxBodyBytes: 1000 }
   const answer = once(caller.socket, 'data')
   caller.socket.write(buildPost('/read/large', 90_000))
-  await until(() => gateway.waiting === 1)
+  await until(() => gateway.waitingForRoutes === 1)
   await waitForPolls()
   gateway.limits = limits
   restoreRoutes()
--- a/packages/daemon/src/core/fleet/fleetDaemon.ts
+++ b/packages/daemon/src/core/fleet/fleetDaemon.ts
@@ -14,9 +14,9 @@
 import { feed } from '../control/controlHost.js'
 import { addClusterMethods, keepJoining } from '../control/joining.js'
 import { sweepConnections } from '../entry/connectionPool.js'
-import { applyLimits, createCallerFront } from '../gateway/callerFront.js'
+import { applyCallerLimits, createCallerServer } from '../gateway/callerServer.js'
 import type { CallerDialect, ServerDialect } from '../gateway/dialects.js'
-import { noteConnected, refreshGateway } from '../gateway/fleetView.js'
+import { recordConnectTime, refreshGateway } from '../gateway/gatewayRefresh.js'
 import { createGateway } from '../gateway/gateway.js'
 import type { Gateway } from '../gateway/gateway.js'
 import { delay, repeat } from '../node/timers.js'
@@ -95,14 +95,14 @@
 
 async function startCallerServer (stack: Owned, gateway: Gateway): Promise<Server> {
   const { node } = gateway
-  const server = createCallerFront(gateway)
-  applyLimits(gateway, server)
+  const server = createCallerServer(gateway)
+  applyCallerLimits(gateway, server)
   node.onChange.push(() => {
     refreshGateway(gateway, presentTime())
-    applyLimits(gateway, server)
+    applyCallerLimits(gateway, server)
   })
   node.onLoadUpdate.push(() => applyLoadUpdate(gateway, node.loadUpdate, node.cfg.region, presentTime()))
-  gateway.pool.onConnect = (address, startedAt) => noteConnected(gateway, address, presentTime() - startedAt)
+  gateway.pool.onConnect = (address, startedAt) => recordConnectTime(gateway, address, presentTime() - startedAt)
   own(stack, repeat(sweepIntervalMs, () => sweepConnections(gateway.pool, presentTime()), () => undefined))
   ownServer(stack, server)
   await listen(server, node.cfg.callers ?? '')
--- a/packages/daemon/src/core/gateway/callerFront.ts
+++ b/packages/daemon/src/core/gateway/callerServer.ts
@@ -23,7 +23,7 @@
 import { logRefusal, getTimeFields } from './requestLog.js'
 import type { RefusedCall } from './requestLog.js'
 import { serveCall } from './serving.js'
-import { hasRoutes, waitForRoutes } from './stateWait.js'
+import { hasRoutes, waitForRoutes } from './routeWait.js'
 
 /** Largest head of a request that the parser accepts; a route may have a lower limit. */
 const maxHeaderBytes = 65_536
@@ -41,7 +41,7 @@
 const notReadyRetryMs: Millis = 500
 
 /** Creates the server; it does not listen yet. */
-export function createCallerFront (gateway: Gateway): Server {
+export function createCallerServer (gateway: Gateway): Server {
   const server = createServer({ maxHeaderSize: maxHeaderBytes, requestTimeout: 0 }, (req, res) => {
     answerCall(gateway, req, res).catch((err: unknown) => {
       log(gateway.node.logs, 'route', 'error', 'Serving a request failed.', { error: getErrorMessage(err) })
@@ -59,7 +59,7 @@
 }
 
 /** Applies the gateway's current limits to the server. */
-export function applyLimits (gateway: Gateway, server: Server): void {
+export function applyCallerLimits (gateway: Gateway, server: Server): void {
   server.keepAliveTimeout = gateway.limits.idleTimeoutMs + idleSlackMs
   server.headersTimeout = gateway.limits.headerTimeoutMs + idleSlackMs
 }
@@ -158,13 +158,13 @@
 
 /** Returns the route of a request and the service that the route's split selects; undefined if no route matches. */
 function selectTarget (gateway: Gateway, req: IncomingMessage): RoutedService | undefined {
-  const route = matchRoute(gateway.table, req.headers.host ?? '', req.url ?? '/')
+  const route = matchRoute(gateway.routeTable, req.headers.host ?? '', req.url ?? '/')
   return route === undefined ? undefined : { route, service: selectService(gateway.splits, route) }
 }
 
 async function serveRoutedCall (gateway: Gateway, { req, body: callBody, gone, arrival }: IncomingCall, { route, service }: RoutedService): Promise<CallAnswer | undefined> {
   const { arrivedAt, readAt, liveness, readIteration, workStartedAt } = arrival
-  const facts = gateway.callers.readCall(req.headers)
+  const facts = gateway.callers.parseCallFacts(req.headers)
   const deadline = arrivedAt + Math.min(facts.remainingMs ?? Infinity, route.timeoutMs)
   const refusedCall: RefusedCall = { facts, route, service, arrivedAt, readAt, deadline }
   if (!fitsIterationBudget(readIteration, route.rank)) return refuseOverloaded(gateway, req, refusedCall)
@@ -218,7 +218,7 @@
 }
 
 function createRefusal (gateway: Gateway, detail: string, retryAfterMs: Millis): CallAnswer {
-  return { status: 503, headers: gateway.callers.refusalHeaders(retryAfterMs), body: Buffer.from(`not run: ${detail}\n`) }
+  return { status: 503, headers: gateway.callers.buildRefusalHeaders(retryAfterMs), body: Buffer.from(`not run: ${detail}\n`) }
 }
 
 function createTextAnswer (status: number, detail: string): CallAnswer {
@@ -239,7 +239,7 @@
   const connectionHeaders = new Set(String(req.headers.connection ?? '').toLowerCase().split(',').map(name => name.trim()))
   const headers: HeaderMap = {}
   for (const [name, value] of Object.entries(req.headers)) {
-    if (value !== undefined && !isHopByHop(name) && !connectionHeaders.has(name) && !gateway.callers.ownHeaders.has(name)) headers[name] = value
+    if (value !== undefined && !isHopByHop(name) && !connectionHeaders.has(name) && !gateway.callers.reservedHeaders.has(name)) headers[name] = value
   }
   return headers
 }
--- a/packages/daemon/src/core/gateway/dialects.ts
+++ b/packages/daemon/src/core/gateway/dialects.ts
@@ -19,13 +19,13 @@
 
 /** Headers between callers and this system. */
 export abstract class CallerDialect {
-  abstract readCall (headers: IncomingHttpHeaders): CallFacts
+  abstract parseCallFacts (headers: IncomingHttpHeaders): CallFacts
 
   /** Names of headers that only this system sets; they are removed from callers' requests. */
-  abstract readonly ownHeaders: ReadonlySet<string>
+  abstract readonly reservedHeaders: ReadonlySet<string>
 
   /** Returns the headers of a refusal, with the time after which the caller may retry. */
-  refusalHeaders (retryAfterMs: Millis): HeaderMap {
+  buildRefusalHeaders (retryAfterMs: Millis): HeaderMap {
     return { 'retry-after': (retryAfterMs / 1000).toFixed(3) }
   }
 }
@@ -40,22 +40,22 @@
 /** Headers between this system and backend servers. */
 export abstract class ServerDialect {
   /** Returns the headers to add to a request for a server. */
-  abstract requestHeaders (call: CallFacts, server: ServerId, remainingMs: Millis): HeaderMap
+  abstract buildRequestHeaders (call: CallFacts, server: ServerId, remainingMs: Millis): HeaderMap
 
   /** Returns the number of requests running and waiting at the server; undefined if the server did not report it. */
-  abstract readAhead (headers: HeaderMap): number | undefined
+  abstract parseQueueDepth (headers: HeaderMap): number | undefined
 
   /** Checks by an answer's head whether it belongs to the request, and whether the request ran. */
-  abstract judge (call: CallFacts, status: number, headers: HeaderMap): AnswerKind
+  abstract classifyAnswer (call: CallFacts, status: number, headers: HeaderMap): AnswerKind
 }
 
 const statusMisdirected = 421
 
 /** The default headers on the callers' side. */
-export class OwnCallerDialect extends CallerDialect {
-  override readonly ownHeaders = new Set([deadlineHeader, 'lynx-expect-server'])
+export class DefaultCallerDialect extends CallerDialect {
+  override readonly reservedHeaders = new Set([deadlineHeader, 'lynx-expect-server'])
 
-  override readCall (headers: IncomingHttpHeaders): CallFacts {
+  override parseCallFacts (headers: IncomingHttpHeaders): CallFacts {
     const remainingMs = Number(headers[deadlineHeader])
     return {
       id: String(headers[requestIdHeader] ?? ''),
@@ -66,17 +66,17 @@
 }
 
 /** The default headers on the servers' side. */
-export class OwnServerDialect extends ServerDialect {
-  override requestHeaders (_call: CallFacts, server: ServerId, remainingMs: Millis): HeaderMap {
+export class DefaultServerDialect extends ServerDialect {
+  override buildRequestHeaders (_call: CallFacts, server: ServerId, remainingMs: Millis): HeaderMap {
     return { [deadlineHeader]: String(remainingMs), 'lynx-expect-server': server }
   }
 
-  override readAhead (headers: HeaderMap): number | undefined {
+  override parseQueueDepth (headers: HeaderMap): number | undefined {
     const queueDepth = Number(headers[loadHeader])
     return headers[loadHeader] !== undefined && Number.isFinite(queueDepth) && queueDepth >= 0 ? queueDepth : undefined
   }
 
-  override judge (call: CallFacts, status: number, headers: HeaderMap): AnswerKind {
+  override classifyAnswer (call: CallFacts, status: number, headers: HeaderMap): AnswerKind {
     const echoedId = headers[requestIdHeader]
     // A server may send an answer twice or late; the next request on the connection then receives it.
     if (echoedId !== undefined && echoedId !== call.id) return 'spoiled'
--- a/packages/daemon/src/core/gateway/gateway.ts
+++ b/packages/daemon/src/core/gateway/gateway.ts
@@ -21,14 +21,14 @@
   readonly splits: SplitStates
   /** Bounds the read delay of requests. */
   readonly loop: LoopWatch
-  table: RouteTable
+  routeTable: RouteTable
   limits: CallerLimits
   /** Number of requests in progress in this VM. */
   open: number
   /** Unanswered requests by caller connection. */
   readonly pipelines: Pipelines
   /** Number of requests that wait until the VM has the current state. */
-  waiting: number
+  waitingForRoutes: number
   /** Bytes of request bodies in memory. */
   bufferedBodyBytes: number
 }
@@ -47,12 +47,12 @@
     splits: new Map(),
     retries: new Map(),
     loop,
-    table: buildRouteTable([]),
+    routeTable: buildRouteTable([]),
     limits: defaultCallerLimits,
     pipelines: new WeakMap(),
     open: 0,
     waitingForCapacity: new Map(),
-    waiting: 0,
+    waitingForRoutes: 0,
     bufferedBodyBytes: 0
   }
 }
--- a/packages/daemon/src/core/gateway/fleetView.ts
+++ b/packages/daemon/src/core/gateway/gatewayRefresh.ts
@@ -15,7 +15,7 @@
 export function refreshGateway (gateway: Gateway, now: Millis): void {
   const { node, fleet } = gateway
   const routeSet = findRouteSet(node.config)
-  gateway.table = buildRouteTable(routeSet?.routes ?? [])
+  gateway.routeTable = buildRouteTable(routeSet?.routes ?? [])
   if (routeSet !== undefined) {
     gateway.limits = routeSet.limits
     for (const upstream of routeSet.upstreams) fleet.coldRequestRates.set(upstream.name, upstream.warmupPerSecond)
@@ -46,7 +46,7 @@
 const minConnectTimeGrowth = 1.01
 
 /** Updates the round-trip time to a server's region by the time that opening a connection to the server took. */
-export function noteConnected (gateway: Gateway, address: string, connectMs: Millis): void {
+export function recordConnectTime (gateway: Gateway, address: string, connectMs: Millis): void {
   const { fleet } = gateway
   const region = [...fleet.byId.values()].find(server => server.facts.address === address)?.facts.region
   if (region === undefined) return
--- a/packages/daemon/src/core/gateway/stateWait.ts
+++ b/packages/daemon/src/core/gateway/routeWait.ts
@@ -18,7 +18,7 @@
 
 /** Returns whether this VM can route requests: it has read the current state, and the state has routes. */
 export function hasRoutes (gateway: Gateway): boolean {
-  return gateway.node.upToDateAt > -Infinity && gateway.table.size > 0
+  return gateway.node.upToDateAt > -Infinity && gateway.routeTable.size > 0
 }
 
 /**
@@ -26,9 +26,9 @@
  * many requests wait already.
  */
 export async function waitForRoutes (gateway: Gateway, gone: Cancel): Promise<void> {
-  if (hasRoutes(gateway) || gateway.waiting >= maxWaitingRequests) return
+  if (hasRoutes(gateway) || gateway.waitingForRoutes >= maxWaitingRequests) return
   const { onChange } = gateway.node
-  gateway.waiting += 1
+  gateway.waitingForRoutes += 1
   await new Promise<void>(resolve => {
     const finish = (): void => {
       clearTimeout(timer)
@@ -43,5 +43,5 @@
     gone.on('abort', finish)
     onChange.push(check)
   })
-  gateway.waiting -= 1
+  gateway.waitingForRoutes -= 1
 }
--- a/packages/daemon/src/core/gateway/sending.ts
+++ b/packages/daemon/src/core/gateway/sending.ts
@@ -69,7 +69,7 @@
   const connection = takeConnection(gateway.pool, facts.address, !call.route.isIdempotent, now)
   const restedMs = connection.reused ? connection.restedMs : undefined
   const remainingMs = Math.max(1, Math.floor(call.deadline - now))
-  const headers = { ...call.headers, ...gateway.servers.requestHeaders(call.facts, facts.id, remainingMs) }
+  const headers = { ...call.headers, ...gateway.servers.buildRequestHeaders(call.facts, facts.id, remainingMs) }
   const options: Dispatcher.DispatchOptions = { method: call.method as Dispatcher.HttpMethod, path: call.path, headers, body: call.body }
   const exchange = startExchange(connection.client, options, now + gateway.pool.connectTimeoutMs + lateConnectionMs, () => {
     noteTurn(gateway.loop)
@@ -111,7 +111,7 @@
 
 function handleAnswer (gateway: Gateway, call: Call, placement: Placement, connection: Connection, received: ReceivedAnswer, connectMs: Millis): SendResult {
   const { status, headers: rawHeaders, body } = received
-  const kind = gateway.servers.judge(call.facts, status, rawHeaders)
+  const kind = gateway.servers.classifyAnswer(call.facts, status, rawHeaders)
   const isTruncated = connection.wasReset && !hasBodyFraming(rawHeaders)
   if (body === undefined || isTruncated || kind === 'spoiled') {
     // The answer is incomplete, belongs to another request or is not the server's own, so the rest of this connection
@@ -122,7 +122,7 @@
   releaseConnection(gateway.pool, connection, presentTime())
   // Another server sent this answer, so it doesn't show that the intended server is alive.
   if (kind === 'elsewhere') return { type: 'notRun', reason: 'elsewhere', status }
-  recordReply(gateway, placement.server, gateway.servers.readAhead(rawHeaders), presentTime())
+  recordReply(gateway, placement.server, gateway.servers.parseQueueDepth(rawHeaders), presentTime())
   if (kind === 'notRun') return { type: 'notRun', reason: 'full', status }
   return { type: 'answered', status, headers: passedHeaders(rawHeaders), body, connectMs }
 }
--- a/packages/daemon/src/core/gateway/serving.ts
+++ b/packages/daemon/src/core/gateway/serving.ts
@@ -87,7 +87,7 @@
 
 function refuse (gateway: Gateway, call: Call, state: RequestState, refusal: Refusal): CallAnswer {
   logRefusal(gateway, call, state.sends, refusal)
-  return { status: statusUnavailable, headers: gateway.callers.refusalHeaders(refusal.retryAfterMs), body: Buffer.from(`not run: ${refusal.reason}\n`) }
+  return { status: statusUnavailable, headers: gateway.callers.buildRefusalHeaders(refusal.retryAfterMs), body: Buffer.from(`not run: ${refusal.reason}\n`) }
 }
 
 function fail (gateway: Gateway, call: Call, state: RequestState, reason: FailureReason): CallAnswer {
