--- a/packages/daemon/__tests__/support/fleetRig.ts
+++ b/packages/daemon/__tests__/support/fleetRig.ts
@@ -9,7 +9,7 @@
 import { brandId } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import {
-  OwnCallerDialect, OwnServerDialect, defaultFleetTimes, isFleetReady, presentTime, silentLogs, startFleetDaemon, submitRouteCommand, takeAnnouncement
+  DefaultCallerDialect, DefaultServerDialect, defaultFleetTimes, isFleetReady, presentTime, silentLogs, startFleetDaemon, submitRouteCommand, handleAnnouncement
 } from '@lynxcourse/daemon'
 import type { FleetControl, FleetDaemon, FleetSettings } from '@lynxcourse/daemon'
 import type { BackendAnnouncement, ChangeAnswer, RouteChangeId, Route, RouteCommand } from '@lynxcourse/state'
@@ -71,7 +71,7 @@
 }
 
 export async function startVm (cfg: FleetSettings): Promise<FleetDaemon> {
-  return await startFleetDaemon(cfg, { callers: new OwnCallerDialect(), servers: new OwnServerDialect() }, { logs: silentLogs() })
+  return await startFleetDaemon(cfg, { callers: new DefaultCallerDialect(), servers: new DefaultServerDialect() }, { logs: silentLogs() })
 }
 
 export function controlOf (rig: FleetRig, place: number): FleetControl {
@@ -141,9 +141,9 @@
 /** Announces servers and publishes routes, then waits for the entry VM to know them. */
 export async function publish (rig: FleetRig, servers: readonly FakeServer[], routes: readonly Route[]): Promise<void> {
   await submit(rig, replaceOrder('first', 0, 1, routes))
-  for (const { facts } of servers) await until(async () => await takeAnnouncement(controlOf(rig, 0), facts, presentTime()).then(() => true, () => false))
+  for (const { facts } of servers) await until(async () => await handleAnnouncement(controlOf(rig, 0), facts, presentTime()).then(() => true, () => false))
   const entry = rig.daemons.at(-1) as FleetDaemon
-  await until(() => isFleetReady(entry) && entry.gateway?.fleet.byId.size === servers.length && entry.gateway.table.size > 0)
+  await until(() => isFleetReady(entry) && entry.gateway?.fleet.byId.size === servers.length && entry.gateway.routeTable.size > 0)
 }
 
 export interface Got {
