--- a/packages/daemon/__tests__/senderDisconnect.test.ts
+++ b/packages/daemon/__tests__/senderDisconnect.test.ts
@@ -74,9 +74,9 @@
 test('an abandoned read starts no quorum check', async () => {
   await using controls = await startControls()
   const { host } = controls.leader
-  const tokenBefore = host.nextToken
+  const tokenBefore = host.nextReadToken
   await callAndDisconnect(controls.leader, 'fleet.read', {})
-  assert.equal(host.nextToken, tokenBefore)
+  assert.equal(host.nextReadToken, tokenBefore)
 })
 
 function createWatchRequest (control: FleetControl, isReady: boolean): object {
@@ -89,7 +89,7 @@
 
 /** Makes calls to a VM until at most `maxWaiting` of its watches wait for a change. */
 async function waitForFewerWatches ({ host, node }: FleetControl, maxWaiting: number): Promise<void> {
-  for (let done = 0; done < maxCallsUntilClose && host.onProgress.length > maxWaiting; done++) await callPeer(node.client, node.cfg.rpc, 'fleet.lookup', {})
+  for (let done = 0; done < maxCallsUntilClose && host.progressListeners.length > maxWaiting; done++) await callPeer(node.client, node.cfg.rpc, 'fleet.lookup', {})
 }
 
 /**
@@ -98,11 +98,11 @@
 test('an abandoned watch does not wait, but its presence is recorded', async () => {
   await using controls = await startControls()
   const { host, presence } = controls.leader
-  const watchesBefore = host.onProgress.length
+  const watchesBefore = host.progressListeners.length
   for (const isReady of [true, false]) {
     await callAndDisconnect(controls.leader, 'fleet.watch', createWatchRequest(controls.leader, isReady))
     await waitForFewerWatches(controls.leader, watchesBefore)
-    assert.equal(host.onProgress.length, watchesBefore)
+    assert.equal(host.progressListeners.length, watchesBefore)
     assert.equal(presence.entries.get('entry')?.presence.isReady, isReady)
   }
 })
@@ -111,12 +111,12 @@
 test('a watch ends when its VM disconnects', async () => {
   await using controls = await startControls()
   const { host, node } = controls.leader
-  const watchesBefore = host.onProgress.length
+  const watchesBefore = host.progressListeners.length
   const pendingWatch = callPeer(node.client, node.cfg.rpc, 'fleet.watch', createWatchRequest(controls.leader, true), blockedMs)
-  await until(() => host.onProgress.length > watchesBefore)
+  await until(() => host.progressListeners.length > watchesBefore)
   await assert.rejects(pendingWatch)
   await waitForFewerWatches(controls.leader, watchesBefore)
-  assert.equal(host.onProgress.length, watchesBefore)
+  assert.equal(host.progressListeners.length, watchesBefore)
 })
 
 /**
@@ -126,12 +126,12 @@
 test('a watch whose VM disconnects while the control VM is blocked beyond the end of the wait is not answered', async t => {
   await using controls = await startControls()
   const { host, node } = controls.leader
-  const watchesBefore = host.onProgress.length
+  const watchesBefore = host.progressListeners.length
   const body = JSON.stringify({ jsonrpc: '2.0', id: 1, method: 'fleet.watch', params: { ...createWatchRequest(controls.leader, true), waitMs: blockedMs / 2 } })
   await using sender = await connectThreadCaller(node.cfg.rpc, '/none', false, postOf('/rpc', body))
   const { mock: endMock } = t.mock.method(ServerResponse.prototype, 'end')
   sender.send()
-  await until(() => host.onProgress.length > watchesBefore)
+  await until(() => host.progressListeners.length > watchesBefore)
   sender.leaveWhileBlocked(blockedMs)
   for (let done = 0; done < maxCallsUntilClose; done++) await callPeer(node.client, node.cfg.rpc, 'fleet.lookup', {})
   assert.equal(endMock.calls.filter(call => String(call.arguments[0]).includes('"entries":["entry"]')).length, 0)
--- a/packages/daemon/src/core/control/controlHost.ts
+++ b/packages/daemon/src/core/control/controlHost.ts
@@ -36,16 +36,16 @@
     cluster: identity?.cluster,
     replica: undefined,
     machine: createStateMachine(charts),
-    appliedFreshAt: -Infinity,
+    appliedUpToDateAt: -Infinity,
     events: [],
     proposals: [],
     appendedProposals: new Map(),
     pendingReads: new Map(),
-    nextToken: 1,
+    nextReadToken: 1,
     busy: undefined,
     failed: undefined,
     closed: false,
-    onProgress: [],
+    progressListeners: [],
     [Symbol.asyncDispose]: async () => await closeControl(host)
   }
   if (identity === undefined) await writeIdentity(storage, { incarnation, cluster: undefined })
@@ -64,7 +64,7 @@
 }
 
 /** Queues an event for the replica; drops it if no replica is running. */
-export function feed (host: ControlHost, event: ReplicaEvent): void {
+export function enqueueEvent (host: ControlHost, event: ReplicaEvent): void {
   if (host.replica === undefined || host.failed !== undefined) return
   host.events.push(event)
   startProcessing(host)
@@ -148,7 +148,7 @@
   await executeOutput(host, replica, output)
   if (replica.role !== roleBefore) {
     log(host.env.logs, 'agree', 'info', 'Role changed.', { from: roleBefore, to: replica.role, term: replica.term })
-    for (const listener of host.onProgress) listener()
+    for (const listener of host.progressListeners) listener()
   }
 }
 
@@ -162,9 +162,9 @@
   sendMessages(host, output.messages)
   if (output.installSnapshot && output.snapshot !== undefined) host.machine = deserializeStateMachine(host.charts, output.snapshot.data)
   applyOutput(host, output)
-  const isFirstUpToDate = host.appliedFreshAt === -Infinity && upToDateAt > -Infinity
-  host.appliedFreshAt = upToDateAt
-  if (isFirstUpToDate) for (const listener of host.onProgress) listener()
+  const isFirstUpToDate = host.appliedUpToDateAt === -Infinity && upToDateAt > -Infinity
+  host.appliedUpToDateAt = upToDateAt
+  if (isFirstUpToDate) for (const listener of host.progressListeners) listener()
   if (!needsSync) return
   const syncedOutput = stepReplica(replica, { type: 'synced' }, presentTime())
   sendMessages(host, syncedOutput.messages)
@@ -174,7 +174,7 @@
 
 function sendMessages (host: ControlHost, messages: readonly Envelope[]): void {
   for (const envelope of messages) {
-    const address = host.env.addressOf(getHolderVm(envelope.to))
+    const address = host.env.getAddress(getHolderVm(envelope.to))
     // A lost message does no harm: the leader's next heartbeat or the next election sends its content again.
     if (address !== undefined) callPeer(host.env.client, address, 'log.message', envelope).catch(() => undefined)
   }
@@ -187,7 +187,7 @@
   }
   for (const token of output.confirmedReads) finishRead(host, token, undefined)
   for (const token of output.failedReads) finishRead(host, token, createNotLeaderError(host))
-  if (output.committed.length > 0 || output.installSnapshot) for (const listener of host.onProgress) listener()
+  if (output.committed.length > 0 || output.installSnapshot) for (const listener of host.progressListeners) listener()
 }
 
 async function compactLogIfLong (host: ControlHost, replica: Replica): Promise<void> {
--- a/packages/daemon/src/core/control/drainDuty.ts
+++ b/packages/daemon/src/core/control/drainTask.ts
@@ -7,7 +7,7 @@
 import { log } from '../../utils/logging.js'
 import { getMaxRequestMs, listVmProgress } from './leaderState.js'
 import type { LeaderTasks } from './leaderState.js'
-import { submitHere } from './proposing.js'
+import { proposeCommand } from './proposals.js'
 
 /** Returns the progress of a drain according to the VMs' reports. */
 export function getDrainStatus (tasks: LeaderTasks, drain: DrainItem, now: Millis): DrainStatus {
@@ -34,6 +34,6 @@
   if (drain.state === 'draining' && !tasks.drainsFirstSeenAt.has(drain.key)) tasks.drainsFirstSeenAt.set(drain.key, now)
   const { event, remaining } = getDrainStatus(tasks, drain, now)
   if (event === undefined) return
-  await submitHere(tasks.host, { type: 'advanceDrain', drain: drain.key, event })
+  await proposeCommand(tasks.host, { type: 'advanceDrain', drain: drain.key, event })
   log(tasks.node.logs, 'drain', 'info', 'Drain advanced.', { drain: drain.key, event, remaining })
 }
--- a/packages/daemon/src/core/control/hostState.ts
+++ b/packages/daemon/src/core/control/hostState.ts
@@ -22,9 +22,9 @@
   /** Incarnation assigned to an empty data folder; random if undefined. */
   readonly firstIncarnation: Incarnation | undefined
   /** Returns the RPC address of a control VM; undefined for a VM that may not be a member. */
-  addressOf: (vm: VmId) => string | undefined
+  getAddress: (vm: VmId) => string | undefined
   /** Returns the RPC addresses of the other control VMs. */
-  peers: () => string[]
+  listPeerAddresses: () => string[]
 }
 
 /** A command whose caller waits until its entry is applied. */
@@ -56,24 +56,24 @@
    * advances sooner, because entries are synced to disk before they are applied: a VM that answered by `upToDateAt` would
    * vouch for a state that it has not applied yet.
    */
-  appliedFreshAt: Millis
+  appliedUpToDateAt: Millis
   events: ReplicaEvent[]
   proposals: PendingProposal[]
   /** By the index of their entries. */
   appendedProposals: Map<number, AppendedProposal>
   /** By token. */
   pendingReads: Map<number, { resolve: () => void, reject: (err: LynxError) => void }>
-  nextToken: number
+  nextReadToken: number
   busy: Promise<void> | undefined
   /** Why the replica stopped; undefined while it runs. A stopped replica is restarted after a delay. */
   failed: LynxError | undefined
   closed: boolean
   /** Listeners called after entries were applied, after a change of role, and when the state first becomes up to date. */
-  readonly onProgress: Array<() => void>
+  readonly progressListeners: Array<() => void>
 }
 
 /** Whether this VM is the leader and knows which entries are committed. */
-export function leads (host: ControlHost | undefined): boolean {
+export function isLeading (host: ControlHost | undefined): boolean {
   return host?.replica !== undefined && isEstablishedLeader(host.replica)
 }
 
--- a/packages/daemon/src/core/control/leaderDuties.ts
+++ b/packages/daemon/src/core/control/leaderTasks.ts
@@ -8,12 +8,12 @@
 import { log } from '../../utils/logging.js'
 import type { Node } from '../node/node.js'
 import { repeat } from '../node/timers.js'
-import { advanceDrain } from './drainDuty.js'
+import { advanceDrain } from './drainTask.js'
 import type { ControlHost } from './hostState.js'
 import { getMaxRequestMs, mayGrant } from './leaderState.js'
 import type { LeaderTasks } from './leaderState.js'
-import { submitHere } from './proposing.js'
-import { advanceShift } from './shiftDuty.js'
+import { proposeCommand } from './proposals.js'
+import { advanceShift } from './shiftTask.js'
 import { recordAppliedVersion } from './versionsInForce.js'
 
 const taskIntervalMs = 200
@@ -32,7 +32,7 @@
     shiftReadings: new Map(),
     [Symbol.asyncDispose]: async () => await timer[Symbol.asyncDispose]()
   }
-  host.onProgress.push(() => recordAppliedVersion(tasks))
+  host.progressListeners.push(() => recordAppliedVersion(tasks))
   const timer = repeat(taskIntervalMs, async () => await runTasks(tasks), err => {
     log(node.logs, 'agree', 'warn', 'Leader task failed.', { error: getErrorMessage(err) })
   })
@@ -73,6 +73,6 @@
   const { machine } = tasks.host
   const plan = planShares(tasks.grantor, listCaps(machine.config), machine.allocations.byResource, machine.applied, now)
   if (plan === undefined) return
-  await submitHere(tasks.host, { type: 'allocate', ...plan })
+  await proposeCommand(tasks.host, { type: 'allocate', ...plan })
   log(tasks.node.logs, 'limit', 'info', 'Shares planned.', { changes: plan.changes.length, lapsed: plan.lapsed.length })
 }
--- a/packages/daemon/src/core/control/proposing.ts
+++ b/packages/daemon/src/core/control/proposals.ts
@@ -1,8 +1,8 @@
 /** Proposals to and linearizable reads from this VM's replica. */
 import { LynxError } from '@lynxcourse/base'
 import type { CommandAnswer, Command } from '@lynxcourse/state'
-import { feed, startProcessing } from './controlHost.js'
-import { finishRead, leads, createNotLeaderError } from './hostState.js'
+import { enqueueEvent, startProcessing } from './controlHost.js'
+import { finishRead, isLeading, createNotLeaderError } from './hostState.js'
 import type { ControlHost } from './hostState.js'
 
 /** Maximum number of waiting proposals; beyond it, new ones are rejected at once. */
@@ -14,9 +14,9 @@
  * @throws LynxError `notLeader` when this VM is not the leader, `noQuorum` when the outcome is unknown, `overCapacity`
  *   when too many proposals are waiting, or the error that stopped the replica
  */
-export async function submitHere (host: ControlHost, command: Command): Promise<CommandAnswer> {
+export async function proposeCommand (host: ControlHost, command: Command): Promise<CommandAnswer> {
   if (host.failed !== undefined) throw host.failed
-  if (!leads(host)) throw createNotLeaderError(host)
+  if (!isLeading(host)) throw createNotLeaderError(host)
   if (host.proposals.length + host.appendedProposals.size >= maxProposals) {
     throw new LynxError('overCapacity', `${maxProposals} proposals are already waiting`, { step: 'propose' })
   }
@@ -39,8 +39,8 @@
  * @throws LynxError `notLeader` or `noQuorum`
  */
 export async function confirmRead (host: ControlHost): Promise<void> {
-  if (!leads(host)) throw createNotLeaderError(host)
-  const token = host.nextToken++
+  if (!isLeading(host)) throw createNotLeaderError(host)
+  const token = host.nextReadToken++
   const timeoutMs = host.env.times.rpcTimeoutMs
   await new Promise<void>((resolve, reject) => {
     const timer = setTimeout(() => finishRead(host, token, new LynxError('noQuorum', `no quorum within ${timeoutMs} ms`, { step: 'read' })), timeoutMs)
@@ -48,6 +48,6 @@
       resolve: () => { clearTimeout(timer); resolve() },
       reject: err => { clearTimeout(timer); reject(err) }
     })
-    feed(host, { type: 'read', token })
+    enqueueEvent(host, { type: 'read', token })
   })
 }
--- a/packages/daemon/src/core/control/shiftDuty.ts
+++ b/packages/daemon/src/core/control/shiftTask.ts
@@ -7,7 +7,7 @@
 import type { ShiftLoads } from '@lynxcourse/steering'
 import { log } from '../../utils/logging.js'
 import type { LeaderTasks } from './leaderState.js'
-import { submitHere } from './proposing.js'
+import { proposeCommand } from './proposals.js'
 
 /** Upper bound for the time until the VMs' reports show the effect of a shift's step. */
 const reportLagMs = 1500
@@ -63,6 +63,6 @@
   if (step.type === 'wait') return
   const percent = step.type === 'step' ? step.percent : shift.percent
   const event = step.type === 'step' ? 'stepDone' : step.type === 'finish' ? 'finish' : 'settled'
-  await submitHere(tasks.host, { type: 'advanceShift', shift: shift.key, event, fromPercent: shift.percent, percent })
+  await proposeCommand(tasks.host, { type: 'advanceShift', shift: shift.key, event, fromPercent: shift.percent, percent })
   log(tasks.node.logs, 'shift', 'info', 'Shift advanced.', { shift: shift.key, event, percent, busy: loads.busy, slots: loads.slots })
 }
--- a/packages/daemon/src/core/daemon.ts
+++ b/packages/daemon/src/core/daemon.ts
@@ -14,12 +14,12 @@
 import { createMetricsServer } from '../utils/metricsServer.js'
 import { createOwned, moveOwned, own } from '../utils/owned.js'
 import type { Owned } from '../utils/owned.js'
-import { feed, openControl } from './control/controlHost.js'
+import { enqueueEvent, openControl } from './control/controlHost.js'
 import type { ControlHost } from './control/hostState.js'
 import { addClusterMethods, keepJoining } from './control/joining.js'
-import { startLeaderTasks } from './control/leaderDuties.js'
+import { startLeaderTasks } from './control/leaderTasks.js'
 import type { LeaderTasks } from './control/leaderState.js'
-import { addReportMethod } from './control/reports.js'
+import { addReportMethod } from './control/vmReports.js'
 import { addAnnounceMethod } from './entry/announcements.js'
 import { createCallerServer } from './entry/callerServer.js'
 import { createClaiming } from './entry/claiming.js'
@@ -76,7 +76,7 @@
   addSyncMethod(rpc, syncing)
   addChangeMethod(rpc, node, control)
   addQueryMethods(rpc, { node, control, leaderTasks, entry })
-  const metricsServer = createMetricsServer(node.metrics, () => isLeaseValid(node.currency, presentTime()))
+  const metricsServer = createMetricsServer(node.metrics, () => isLeaseValid(node.configLease, presentTime()))
   const servers = [rpc.server, metricsServer]
   if (entry !== undefined) {
     addAnnounceMethod(rpc, entry, syncing)
@@ -97,7 +97,7 @@
   addClusterMethods(rpc, control)
   addClaimMethod(rpc, control)
   addReportMethod(rpc, leaderTasks)
-  own(stack, repeat(tickIntervalMs, () => feed(control, { type: 'tick' }), () => undefined))
+  own(stack, repeat(tickIntervalMs, () => enqueueEvent(control, { type: 'tick' }), () => undefined))
   own(stack, keepJoining(control))
   return leaderTasks
 }
@@ -126,7 +126,7 @@
   log(node.logs, 'daemon', 'info', 'Leaving.', { open: entry?.open ?? 0 })
   node.self = { ...node.self, state: nextState(node.directory.vmChart, node.self.state, 'leave') }
   renewOwnRecord(node, presentTime())
-  syncing.urge()
+  syncing.syncSoon()
   if (entry !== undefined) await drainEntry(entry, node)
   log(node.logs, 'daemon', 'info', 'Left.', { open: entry?.open ?? 0 })
 }
--- a/packages/daemon/src/core/fleet/fleetDaemon.ts
+++ b/packages/daemon/src/core/fleet/fleetDaemon.ts
@@ -11,7 +11,7 @@
 import type { Owned } from '../../utils/owned.js'
 import { nextLook } from '../../utils/socketLooks.js'
 import type { FleetSettings } from '../../types/fleetSettings.js'
-import { feed } from '../control/controlHost.js'
+import { enqueueEvent } from '../control/controlHost.js'
 import { addClusterMethods, keepJoining } from '../control/joining.js'
 import { sweepConnections } from '../entry/connectionPool.js'
 import { applyCallerLimits, createCallerServer } from '../gateway/callerServer.js'
@@ -82,7 +82,7 @@
   const exchange = own(stack, startPresenceExchange(control))
   addClusterMethods(rpc, control.host)
   addFleetMethods(rpc, control, exchange)
-  own(stack, repeat(tickIntervalMs, () => feed(control.host, { type: 'tick' }), () => undefined))
+  own(stack, repeat(tickIntervalMs, () => enqueueEvent(control.host, { type: 'tick' }), () => undefined))
   own(stack, keepJoining(control.host))
   return control
 }
--- a/packages/daemon/src/core/fleet/fleetMethods.ts
+++ b/packages/daemon/src/core/fleet/fleetMethods.ts
@@ -197,18 +197,18 @@
 /** Waits until the copy reaches a condition, the time is over, or the caller disconnects. */
 async function waitForProgress (control: FleetControl, waitMs: Millis, signal: Cancel, isReached: () => boolean): Promise<void> {
   if (signal.aborted) return
-  const { onProgress } = control.host
+  const { progressListeners } = control.host
   await new Promise<void>(resolve => {
     const finish = (): void => {
       clearTimeout(timer)
       signal.off('abort', finish)
-      const index = onProgress.indexOf(check)
-      if (index >= 0) onProgress.splice(index, 1)
+      const index = progressListeners.indexOf(check)
+      if (index >= 0) progressListeners.splice(index, 1)
       resolve()
     }
     const check = (): void => { if (isReached()) queueMicrotask(finish) }
     const timer = setTimeout(finish, waitMs)
-    onProgress.push(check)
+    progressListeners.push(check)
     signal.once('abort', finish)
   })
 }
--- a/packages/daemon/src/core/node/node.ts
+++ b/packages/daemon/src/core/node/node.ts
@@ -30,7 +30,7 @@
   readonly client: RpcClient
   readonly directory: Directory
   readonly uplink: Uplink
-  readonly currency: ConfigLease
+  readonly configLease: ConfigLease
   readonly limits: HolderLimits
   /** The configuration in force at this VM. */
   readonly config: Config
@@ -39,7 +39,7 @@
   /** The leader, according to the last answer of the parent or to this VM's replica; undefined if unknown. */
   leader: VmId | undefined
   /** Listeners called after the directory or the configuration has changed. */
-  readonly onChange: Array<() => void>
+  readonly changeListeners: Array<() => void>
 }
 
 /** Optional dependencies of a node; defaults are created from the settings. */
@@ -66,7 +66,7 @@
     client: createRpcClient({ timeoutMs: cfg.times.rpcTimeoutMs, localAddress, tls: () => deps.tls?.current, metrics }),
     directory: createDirectory(cfg.vm, `${cfg.vm}/${life}`, createMembershipTimes(cfg), loadChart('vm')),
     uplink: createUplink(),
-    currency: createConfigLease(cfg.times.leaseMs),
+    configLease: createConfigLease(cfg.times.leaseMs),
     limits: createHolderLimits(),
     config: createConfig(),
     self: {
@@ -83,7 +83,7 @@
       life
     },
     leader: undefined,
-    onChange: []
+    changeListeners: []
   }
 }
 
@@ -94,7 +94,7 @@
 
 /** Calls all listeners, so that they update data derived from the directory and the configuration. */
 export function notifyChange (node: Node): void {
-  for (const listener of node.onChange) listener()
+  for (const listener of node.changeListeners) listener()
 }
 
 /** Returns the RPC address of a control VM; undefined if the VM is not a seed. */
@@ -114,13 +114,13 @@
     random,
     client,
     firstIncarnation: undefined,
-    addressOf: vm => getSeedAddress(node, vm),
-    peers: () => cfg.seeds.filter(seed => seed.vm !== cfg.vm).map(seed => seed.rpc)
+    getAddress: vm => getSeedAddress(node, vm),
+    listPeerAddresses: () => cfg.seeds.filter(seed => seed.vm !== cfg.vm).map(seed => seed.rpc)
   }
 }
 
 /** Returns the RPC address of the leader; empty if unknown. */
-export function leaderAddress (node: Node): string {
+export function getLeaderAddress (node: Node): string {
   return node.leader === undefined ? '' : getSeedAddress(node, node.leader) ?? ''
 }
 
--- a/packages/daemon/src/core/node/queries.ts
+++ b/packages/daemon/src/core/node/queries.ts
@@ -5,12 +5,12 @@
 import { refreshBackend, routeRequest } from '@lynxcourse/routing'
 import { listItems, findServiceProfile } from '@lynxcourse/state'
 import * as z from 'zod'
-import { confirmRead } from '../control/proposing.js'
-import { leads } from '../control/hostState.js'
+import { confirmRead } from '../control/proposals.js'
+import { isLeading } from '../control/hostState.js'
 import type { ControlHost } from '../control/hostState.js'
-import { getDrainStatus } from '../control/drainDuty.js'
+import { getDrainStatus } from '../control/drainTask.js'
 import type { LeaderTasks } from '../control/leaderState.js'
-import { measureShiftLoads } from '../control/shiftDuty.js'
+import { measureShiftLoads } from '../control/shiftTask.js'
 import { getInForceStatus } from '../control/versionsInForce.js'
 import { callerInfo, placesFor } from '../entry/callerPlaces.js'
 import { refreshView } from '../entry/entry.js'
@@ -20,7 +20,7 @@
 import { callPeer } from '../rpc/rpcClient.js'
 import { addMethod } from '../rpc/rpcServer.js'
 import type { RpcServer } from '../rpc/rpcServer.js'
-import { leaderAddress } from './node.js'
+import { getLeaderAddress } from './node.js'
 import type { Node } from './node.js'
 
 /** The parts of the daemon that queries read; those of a role that this VM lacks are undefined. */
@@ -54,14 +54,14 @@
 function addLeaderQuery (rpc: RpcServer, context: QueryContext, method: string, shape: z.ZodRawShape, answer: LeaderAnswer): void {
   addMethod(rpc, method, ['operator', 'vm'], z.strictObject({ ...shape, ...relayedField }), async params => {
     const { node, control, leaderTasks } = context
-    if (control !== undefined && leaderTasks !== undefined && leads(control)) {
+    if (control !== undefined && leaderTasks !== undefined && isLeading(control)) {
       await confirmRead(control)
       return answer(params, leaderTasks)
     }
-    if (params['relayed'] === true || leaderAddress(node) === '' || node.leader === node.cfg.vm) {
+    if (params['relayed'] === true || getLeaderAddress(node) === '' || node.leader === node.cfg.vm) {
       throw new LynxError('notLeader', 'no leader is known', { step: method })
     }
-    return await callPeer(node.client, leaderAddress(node), method, { ...params, relayed: true })
+    return await callPeer(node.client, getLeaderAddress(node), method, { ...params, relayed: true })
   })
 }
 
@@ -116,8 +116,8 @@
     region: node.cfg.region,
     failureDomain: node.cfg.failureDomain,
     roles: node.cfg.roles,
-    current: isLeaseValid(node.currency, now),
-    confirmedAgeMs: Number.isFinite(node.currency.confirmedAt) ? Math.round(now - node.currency.confirmedAt) : null,
+    current: isLeaseValid(node.configLease, now),
+    confirmedAgeMs: Number.isFinite(node.configLease.confirmedAt) ? Math.round(now - node.configLease.confirmedAt) : null,
     version: node.config.version,
     leader: node.leader,
     open: context.entry?.open ?? 0,
@@ -158,7 +158,7 @@
     profile: profile.name,
     client,
     clientRegion: caller.region ?? null,
-    current: isLeaseValid(entry.node.currency, now),
+    current: isLeaseValid(entry.node.configLease, now),
     places,
     decision: decision.type === 'send' ? { server: decision.observed.backend.id, region: decision.place.region } : 'wait',
     passedOver: decision.passedOver,
--- a/packages/daemon/src/core/node/syncing.ts
+++ b/packages/daemon/src/core/node/syncing.ts
@@ -9,7 +9,7 @@
 import { getDeltaSince, applyDelta } from '@lynxcourse/state'
 import type { ConfigDelta } from '@lynxcourse/state'
 import * as z from 'zod'
-import { leads } from '../control/hostState.js'
+import { isLeading } from '../control/hostState.js'
 import type { ControlHost } from '../control/hostState.js'
 import { presentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
@@ -38,7 +38,7 @@
   readonly node: Node
   readonly control: ControlHost | undefined
   /** Schedules a sync before the next interval, because this VM has updates to pass on. */
-  urge: () => void
+  syncSoon: () => void
 }
 
 const nameSchema = z.string().min(1).max(64)
@@ -92,10 +92,10 @@
   applyOwnLog(syncing)
   const now = presentTime()
   const seqBefore = node.directory.seq
-  const answer = answerSyncRequest(node.directory, request, getConfirmationAge(node.currency, now), node.leader ?? '', now)
+  const answer = answerSyncRequest(node.directory, request, getConfirmationAge(node.configLease, now), node.leader ?? '', now)
   if (node.directory.seq !== seqBefore) {
     notifyChange(node)
-    syncing.urge()
+    syncing.syncSoon()
   }
   const delta = request.configVersion === node.config.version ? undefined : getDeltaSince(node.config, request.configVersion)
   return { answer, delta }
@@ -115,7 +115,7 @@
   const syncing: Syncing = {
     node,
     control,
-    urge: () => {
+    syncSoon: () => {
       if (urgentTimer !== undefined) return
       const waitMs = Math.max(0, lastSyncAt + minUrgentIntervalMs - presentTime())
       urgentTimer = setTimeout(() => {
@@ -129,7 +129,7 @@
       clearTimeout(urgentTimer)
     }
   }
-  control?.onProgress.push(() => applyOwnLog(syncing))
+  control?.progressListeners.push(() => applyOwnLog(syncing))
   return syncing
 }
 
@@ -146,8 +146,8 @@
     notifyChange(node)
   }
   applyOwnLog(syncing)
-  if (!leads(syncing.control)) await syncWithParent(syncing, startedAt)
-  node.metrics.current.set(isLeaseValid(node.currency, presentTime()) ? 1 : 0)
+  if (!isLeading(syncing.control)) await syncWithParent(syncing, startedAt)
+  node.metrics.current.set(isLeaseValid(node.configLease, presentTime()) ? 1 : 0)
   node.metrics.configVersion.set(node.config.version)
 }
 
@@ -167,7 +167,7 @@
  */
 function applyOwnLog (syncing: Syncing): void {
   const { node, control } = syncing
-  if (control?.replica === undefined || !leads(control)) return
+  if (control?.replica === undefined || !isLeading(control)) return
   node.leader = node.cfg.vm
   const { machine, replica } = control
   if (machine.config.version > node.config.version) {
@@ -175,7 +175,7 @@
     logVersion(node)
     notifyChange(node)
   }
-  renewConfigLease(node.currency, replica.quorumConfirmedAt, 0)
+  renewConfigLease(node.configLease, replica.quorumConfirmedAt, 0)
 }
 
 function logVersion (node: Node): void {
@@ -226,7 +226,7 @@
     return
   }
   // The confirmation applies to the configuration in the same reply, so the lease is renewed only if that was applied.
-  if (isUpToDate) renewConfigLease(node.currency, requestedAt, reply.answer.confirmedAgeMs)
+  if (isUpToDate) renewConfigLease(node.configLease, requestedAt, reply.answer.confirmedAgeMs)
 }
 
 /** Applies the reply's configuration changes, if any; returns whether the configuration is then up to date with the reply. */
