--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The daemon's program. Exit codes: 0 stopped as asked, 1 failed, 2 bad settings or arguments. */
+/** Command line program of the daemon. Exit codes: 0 stopped by a signal, 1 failed, 2 invalid settings or arguments. */
 import { Command } from 'commander'
 import { LynxError, isLynxError, getErrorMessage } from '@lynxcourse/base'
 import { buildBlockTable } from '@lynxcourse/routing'
@@ -20,13 +20,13 @@
 }
 
 const program = new Command('lynxcoursed')
-  .description('Traffic steering daemon: entry and control roles by its settings; a file with the key fleet starts a VM of a fleet.')
+  .description('Traffic steering daemon. The settings file selects the roles entry and control. A file with the key fleet starts a VM of a fleet.')
   .option('--config <file>', 'settings file (YAML)')
   .option('--check-config <file>', 'check a settings file and exit')
   .addHelpText('after', '\nExamples:\n  lynxcoursed --check-config vm.yaml\n  lynxcoursed --config vm.yaml\n')
   .exitOverride(err => { process.exit(err.exitCode === 0 ? 0 : exitBadInput) })
 
-function checkOnly (file: string): void {
+function checkSettings (file: string): void {
   const settings = readAnySettings(file)
   if (settings.kind === 'fleet') {
     const { cfg } = settings
@@ -39,13 +39,13 @@
   process.stdout.write(`${file}: ok (VM ${cfg.vm}, ${cfg.roles.join('+')}, ${blocks.length} caller blocks)\n`)
 }
 
-/** A running VM of either kind. */
-interface Running extends AsyncDisposable {
-  /** Lets the VM go without cutting a request. */
+/** A running VM of a service or of a fleet. */
+interface RunningVm extends AsyncDisposable {
+  /** Stops the VM gracefully: requests in progress are finished. */
   readonly leave: () => Promise<void>
 }
 
-async function start (file: string): Promise<Running> {
+async function start (file: string): Promise<RunningVm> {
   const settings = readAnySettings(file)
   if (settings.kind === 'fleet') {
     const vm = await startFleetDaemon(settings.cfg, { callers: new OwnCallerDialect(), servers: new OwnServerDialect() })
@@ -60,37 +60,37 @@
   const { node } = vm
   try {
     const next = readAnySettings(file)
-    if (next.kind !== 'fleet') throw new LynxError('badSettings', `${file}: fleet: expected`, { step: 'reload', field: 'fleet' })
+    if (next.kind !== 'fleet') throw new LynxError('badSettings', `${file}: fleet: is required, since this VM belongs to a fleet`, { step: 'reload', field: 'fleet' })
     reloadFleet(node, next.cfg)
-    log(node.logs, 'daemon', 'info', 'Settings read again.', { seeds: node.cfg.seeds.join() })
+    log(node.logs, 'daemon', 'info', 'Settings reloaded.', { seeds: node.cfg.seeds.join() })
   } catch (err) {
-    log(node.logs, 'daemon', 'error', 'Settings not taken over; the former ones stay.', { error: getErrorMessage(err) })
+    log(node.logs, 'daemon', 'error', 'Settings were not reloaded. The previous settings stay in use.', { error: getErrorMessage(err) })
   }
 }
 
 async function run (file: string): Promise<void> {
-  const running = await start(file)
-  let signals = 0
+  const vm = await start(file)
+  let signalCount = 0
   await new Promise<void>(resolve => {
     const onSignal = (): void => {
-      signals += 1
-      if (signals > 1) process.exit(exitFailed)
-      running.leave().then(resolve, resolve)
+      signalCount += 1
+      if (signalCount > 1) process.exit(exitFailed)
+      vm.leave().then(resolve, resolve)
     }
     process.on('SIGTERM', onSignal)
     process.on('SIGINT', onSignal)
   })
-  await running[Symbol.asyncDispose]()
+  await vm[Symbol.asyncDispose]()
   process.exit(0)
 }
 
 async function main (): Promise<void> {
   const args = program.parse().opts<Arguments>()
   if (args.checkConfig !== undefined) {
-    checkOnly(args.checkConfig)
+    checkSettings(args.checkConfig)
     return
   }
-  if (args.config === undefined) program.error('error: --config FILE is needed')
+  if (args.config === undefined) program.error('error: --config FILE is required')
   await run(args.config as string)
 }
 
--- a/packages/daemon/src/plugins/logStorage.ts
+++ b/packages/daemon/src/plugins/logStorage.ts
@@ -1,10 +1,10 @@
 /**
- * The replicated log on disk: one append-only file of checked records and one snapshot file.
+ * The replicated log on disk: one append-only file of records with checksums, and one snapshot file.
  *
- * What can go wrong: power fails in the middle of a write and leaves a torn last record. It was never
- * synced, so nobody was told of it: it is cut off. A bad record with others after it is different:
- * synced data was damaged, so the copy must not go on with a part of what it vouched for. It refuses
- * to start; with an emptied folder it returns as a new member.
+ * A power failure during a write leaves an incomplete last record. That record was never synced, so no other VM relies on
+ * it, and it is truncated. A bad record with more data after it means that synced data is damaged. The replica must not
+ * continue with only part of the entries that it has acknowledged, so opening the log fails. With an emptied folder, the
+ * VM can return as a new member.
  */
 import { mkdir, open, readFile, rename, rm } from 'node:fs/promises'
 import type { FileHandle } from 'node:fs/promises'
@@ -14,8 +14,8 @@
 import type { Entry, HardState, ReplicaOutput, Snapshot, StoredLog } from '@lynxcourse/agreement'
 
 const headerBytes = 8
-const logName = 'log'
-const snapshotName = 'snapshot'
+const logFileName = 'log'
+const snapshotFileName = 'snapshot'
 
 type StoredRecord =
   | { readonly kind: 'hardState', readonly hardState: HardState }
@@ -26,10 +26,11 @@
   readonly folder: string
   file: FileHandle
   hardState: HardState
-  /** Number of syncs so far. */
+  /** Number of syncs to disk so far. */
   syncs: number
 }
 
+/** Prepends the header: length and CRC-32 of the payload. */
 function frame (payload: Buffer): Buffer {
   const header = Buffer.alloc(headerBytes)
   header.writeUInt32LE(payload.length, 0)
@@ -41,34 +42,34 @@
   return frame(Buffer.from(JSON.stringify(record)))
 }
 
-/** Records of a log file and the length of its sound part. */
+/** Records of a log file, and the length of the file up to the end of the last valid record. */
 export interface ParsedLog {
   readonly records: readonly StoredRecord[]
-  readonly soundBytes: number
+  readonly validBytes: number
 }
 
 /**
  * Parses a log file's bytes.
  *
- * @throws LynxError `corruptLog` when a bad record is followed by more data
+ * @throws LynxError `corruptLog` if more data follows a bad record
  */
 export function parseLog (bytes: Buffer): ParsedLog {
   const records: StoredRecord[] = []
-  let at = 0
-  while (at + headerBytes <= bytes.length) {
-    const length = bytes.readUInt32LE(at)
-    const end = at + headerBytes + length
+  let offset = 0
+  while (offset + headerBytes <= bytes.length) {
+    const length = bytes.readUInt32LE(offset)
+    const end = offset + headerBytes + length
     if (end > bytes.length) break
-    const payload = bytes.subarray(at + headerBytes, end)
-    const record = crc32(payload) === bytes.readUInt32LE(at + 4) ? decode(payload) : undefined
+    const payload = bytes.subarray(offset + headerBytes, end)
+    const record = crc32(payload) === bytes.readUInt32LE(offset + 4) ? decode(payload) : undefined
     if (record === undefined) {
-      if (end < bytes.length) throw new LynxError('corruptLog', `record at byte ${at} of ${bytes.length}`, { step: 'read log' })
+      if (end < bytes.length) throw new LynxError('corruptLog', `bad record at byte ${offset} of ${bytes.length}`, { step: 'read log' })
       break
     }
     records.push(record)
-    at = end
+    offset = end
   }
-  return { records, soundBytes: at }
+  return { records, validBytes: offset }
 }
 
 function decode (payload: Buffer): StoredRecord | undefined {
@@ -80,15 +81,20 @@
   }
 }
 
-/** Opens the log in a folder. */
+/**
+ * Opens the log in a folder and truncates an incomplete last record.
+ *
+ * @returns the open log, and its contents; undefined contents on an empty disk
+ * @throws LynxError `corruptLog` if stored data is damaged, `diskFailed` if the file system fails
+ */
 export async function openStorage (folder: string): Promise<{ storage: LogStorage, stored: StoredLog | undefined }> {
   try {
     await mkdir(folder, { recursive: true })
     const snapshot = await readSnapshot(folder)
-    const path = join(folder, logName)
-    const parsed = parseLog(await readIfThere(path) ?? Buffer.alloc(0))
+    const path = join(folder, logFileName)
+    const parsed = parseLog(await readFileIfExists(path) ?? Buffer.alloc(0))
     const file = await open(path, 'a+')
-    await file.truncate(parsed.soundBytes)
+    await file.truncate(parsed.validBytes)
     const stored = snapshot === undefined ? undefined : replay(snapshot, parsed.records)
     const hardState = stored?.hardState ?? { term: 0, votedFor: undefined }
     const storage: LogStorage = { folder, file, hardState, syncs: 0, [Symbol.asyncDispose]: async () => await storage.file.close() }
@@ -100,11 +106,11 @@
 }
 
 async function readSnapshot (folder: string): Promise<Snapshot | undefined> {
-  const bytes = await readIfThere(join(folder, snapshotName))
+  const bytes = await readFileIfExists(join(folder, snapshotFileName))
   return bytes === undefined ? undefined : parseSnapshot(bytes)
 }
 
-async function readIfThere (path: string): Promise<Buffer | undefined> {
+async function readFileIfExists (path: string): Promise<Buffer | undefined> {
   try {
     return await readFile(path)
   } catch (err) {
@@ -116,17 +122,18 @@
 /**
  * Parses a snapshot file's bytes.
  *
- * @throws LynxError `corruptLog` when they are not whole
+ * @throws LynxError `corruptLog` if the length or the checksum is wrong
  */
 export function parseSnapshot (bytes: Buffer): Snapshot {
-  const isWhole = bytes.length >= headerBytes && bytes.readUInt32LE(0) === bytes.length - headerBytes
+  const isComplete = bytes.length >= headerBytes && bytes.readUInt32LE(0) === bytes.length - headerBytes
   const payload = bytes.subarray(headerBytes)
-  if (!isWhole || crc32(payload) !== bytes.readUInt32LE(4)) {
-    throw new LynxError('corruptLog', 'snapshot is not whole', { step: 'read snapshot' })
+  if (!isComplete || crc32(payload) !== bytes.readUInt32LE(4)) {
+    throw new LynxError('corruptLog', 'snapshot file is incomplete or damaged', { step: 'read snapshot' })
   }
   return JSON.parse(payload.toString('utf8')) as Snapshot
 }
 
+/** Combines a snapshot with the records of the log file after it. */
 function replay (snapshot: Snapshot, records: readonly StoredRecord[]): StoredLog {
   let hardState: HardState = { term: snapshot.term, votedFor: undefined }
   const entries: Entry[] = []
@@ -137,32 +144,38 @@
     }
     const { entry } = record
     if (entry.index <= snapshot.index) continue
-    // An entry written again at an index voids what stood there and after it.
+    // An entry that is written again at an index replaces the old entry there and all entries after it.
     entries.length = Math.min(entries.length, entry.index - snapshot.index - 1)
     if (entry.index === snapshot.index + entries.length + 1) entries.push(entry)
   }
   return { hardState, snapshot, entries }
 }
 
-/** Saves and syncs what a step asked to save. Nothing of it may be sent or applied before. */
-export async function saveOutput (storage: LogStorage, out: ReplicaOutput, kept: readonly Entry[]): Promise<void> {
+/**
+ * Saves and syncs the output of a step of the replica. The step's messages must not be sent, and its entries must not be
+ * applied, before this is done.
+ *
+ * @param remaining entries that a snapshot in the output does not cover
+ */
+export async function saveOutput (storage: LogStorage, out: ReplicaOutput, remaining: readonly Entry[]): Promise<void> {
   if (out.hardState !== undefined) storage.hardState = out.hardState
   if (out.snapshot !== undefined) {
     await writeSnapshot(storage, out.snapshot)
-    await rewriteLog(storage, kept)
+    await rewriteLog(storage, remaining)
     return
   }
   const records: StoredRecord[] = out.entries.map(entry => ({ kind: 'entry', entry }))
   if (out.hardState !== undefined) records.unshift({ kind: 'hardState', hardState: out.hardState })
   if (records.length === 0) return
-  await guard('append', async () => {
+  await withDiskErrors('append', async () => {
     await storage.file.appendFile(Buffer.concat(records.map(encode)))
     await storage.file.datasync()
     storage.syncs += 1
   })
 }
 
-async function guard (step: string, work: () => Promise<void>): Promise<void> {
+/** Wraps errors of `work` in LynxError `diskFailed`. */
+async function withDiskErrors (step: string, work: () => Promise<void>): Promise<void> {
   try {
     await work()
   } catch (err) {
@@ -170,7 +183,7 @@
   }
 }
 
-/** Writes a whole file so that either the old one or the new one is there, never a part. */
+/** Replaces a file atomically: after a crash, either the old file or the whole new file exists. */
 async function replaceFile (storage: LogStorage, name: string, bytes: Buffer): Promise<void> {
   const path = join(storage.folder, name)
   const temporary = `${path}.new`
@@ -196,18 +209,22 @@
   }
 }
 
-/** Writes a snapshot. */
+/** Replaces the snapshot file. */
 export async function writeSnapshot (storage: LogStorage, snapshot: Snapshot): Promise<void> {
-  await guard('write snapshot', async () => await replaceFile(storage, snapshotName, frame(Buffer.from(JSON.stringify(snapshot)))))
+  await withDiskErrors('write snapshot', async () => await replaceFile(storage, snapshotFileName, frame(Buffer.from(JSON.stringify(snapshot)))))
 }
 
-/** Starts the log file anew with the entries that the snapshot does not cover. */
-export async function rewriteLog (storage: LogStorage, kept: readonly Entry[]): Promise<void> {
-  await guard('rewrite log', async () => {
-    const records: StoredRecord[] = [{ kind: 'hardState', hardState: storage.hardState }, ...kept.map((entry): StoredRecord => ({ kind: 'entry', entry }))]
-    await replaceFile(storage, logName, Buffer.concat(records.map(encode)))
+/**
+ * Replaces the log file after a snapshot.
+ *
+ * @param remaining entries that the snapshot does not cover
+ */
+export async function rewriteLog (storage: LogStorage, remaining: readonly Entry[]): Promise<void> {
+  await withDiskErrors('rewrite log', async () => {
+    const records: StoredRecord[] = [{ kind: 'hardState', hardState: storage.hardState }, ...remaining.map((entry): StoredRecord => ({ kind: 'entry', entry }))]
+    await replaceFile(storage, logFileName, Buffer.concat(records.map(encode)))
     await storage.file.close()
-    storage.file = await open(join(storage.folder, logName), 'a+')
+    storage.file = await open(join(storage.folder, logFileName), 'a+')
   })
 }
 
@@ -217,20 +234,20 @@
   readonly cluster: string | undefined
 }
 
-const identityName = 'identity.json'
+const identityFileName = 'identity.json'
 
-/** Reads the disk's identity; undefined on an empty disk. */
+/** Reads the identity of the disk. Returns undefined on an empty disk. */
 export async function readIdentity (folder: string): Promise<DiskIdentity | undefined> {
-  const bytes = await readIfThere(join(folder, identityName))
+  const bytes = await readFileIfExists(join(folder, identityFileName))
   if (bytes === undefined) return undefined
   try {
     return JSON.parse(bytes.toString('utf8')) as DiskIdentity
   } catch (err) {
-    throw new LynxError('corruptLog', `${identityName}: ${getErrorMessage(err)}`, { step: 'read identity', cause: err })
+    throw new LynxError('corruptLog', `${identityFileName}: ${getErrorMessage(err)}`, { step: 'read identity', cause: err })
   }
 }
 
-/** Writes the disk's identity. */
+/** Writes the identity of the disk. */
 export async function writeIdentity (storage: LogStorage, identity: DiskIdentity): Promise<void> {
-  await guard('write identity', async () => await replaceFile(storage, identityName, Buffer.from(JSON.stringify(identity))))
+  await withDiskErrors('write identity', async () => await replaceFile(storage, identityFileName, Buffer.from(JSON.stringify(identity))))
 }
--- a/packages/daemon/src/plugins/placementFile.ts
+++ b/packages/daemon/src/plugins/placementFile.ts
@@ -1,9 +1,11 @@
 /**
- * Where a control VM keeps what it last heard of objects' placement: region plans with their demand, and weights of servers.
+ * The file in which a control VM stores the last update on object placement: region plans with their demand, and weights of
+ * servers.
  *
- * What can go wrong: all control VMs die at one moment. The servers live on with warm caches, but the next leader knows no plan
- * and no weights, so nearly every object gets another server and is cold there. It shows as answers that are late for two seconds
- * more after such a start. Each control VM holds the leader's last word anyway; kept on its disk, a restart finds it. It is a hint: a file that is missing or torn only costs the gain.
+ * If all control VMs fail at the same time, the servers continue with warm caches, but the next leader has no plan and no
+ * weights. Without the file, nearly every object would move to another server, where it is cold, and answers would be late
+ * for two seconds more after such a start. Every control VM has the leader's last update in memory; the file makes it
+ * survive a restart. The file is a hint: a missing or damaged file only loses this benefit.
  */
 import { open, readFile, rename } from 'node:fs/promises'
 import { join } from 'node:path'
@@ -12,20 +14,20 @@
 import type { LoadUpdate } from '@lynxcourse/placement'
 
 const fileName = 'placement.json'
-const pair = z.tuple([z.string(), z.number()])
+const keyedNumber = z.tuple([z.string(), z.number()])
 const fileSchema = z.object({
   plans: z.array(z.object({
     service: z.string(),
     isMeasured: z.boolean(),
     fill: z.number(),
     busy: z.number(),
-    demand: z.array(pair),
-    shares: z.array(z.tuple([z.string(), z.array(pair)]))
+    demand: z.array(keyedNumber),
+    shares: z.array(z.tuple([z.string(), z.array(keyedNumber)]))
   })),
-  weights: z.object({ version: z.number(), servers: z.array(pair) }).optional()
+  weights: z.object({ version: z.number(), servers: z.array(keyedNumber) }).optional()
 })
 
-/** Writes the placement, so that either the old file or the new one is there. */
+/** Replaces the file atomically: after a crash, either the old file or the whole new file exists. */
 export async function writePlacement (folder: string, { plans, weights }: LoadUpdate): Promise<void> {
   const path = join(folder, fileName)
   const temporary = `${path}.new`
@@ -40,9 +42,9 @@
 }
 
 /**
- * Reads the placement; undefined where there is none.
+ * Reads the file. Returns undefined if the file does not exist.
  *
- * @throws LynxError `badRequest` when the file holds anything else
+ * @throws LynxError `badRequest` if the contents are invalid
  */
 export async function readPlacement (folder: string): Promise<LoadUpdate | undefined> {
   let text: string
--- a/packages/daemon/src/plugins/tlsFiles.ts
+++ b/packages/daemon/src/plugins/tlsFiles.ts
@@ -1,7 +1,8 @@
-/** TLS key and certificate files, read anew when they change, without dropping connections. */
+/** TLS key and certificate files. Changed files are reloaded without closing connections. */
 import { readFileSync, unwatchFile, watchFile } from 'node:fs'
 import { LynxError, getErrorMessage } from '@lynxcourse/base'
 
+/** Contents of the files, in PEM format. */
 export interface TlsMaterial {
   readonly cert: string
   readonly key: string
@@ -16,7 +17,7 @@
 
 export interface TlsFiles extends Disposable {
   current: TlsMaterial
-  onChange: (listener: (files: TlsMaterial) => void) => void
+  onChange: (listener: (material: TlsMaterial) => void) => void
 }
 
 const pollMs = 1000
@@ -34,17 +35,18 @@
 }
 
 /**
- * Reads the files and watches them.
+ * Reads the files and watches them for changes.
  *
- * @param onError called when changed files can't be read; the old ones stay in use
+ * @param onError called if changed files can't be used; the old contents stay in use
+ * @throws LynxError `badSettings` if the files can't be read
  */
 export function openTlsFiles (paths: TlsPaths, onError: (err: unknown) => void): TlsFiles {
-  const listeners: Array<(files: TlsMaterial) => void> = []
-  const names = [paths.certFile, paths.keyFile, paths.caFile]
+  const listeners: Array<(material: TlsMaterial) => void> = []
+  const watchedPaths = [paths.certFile, paths.keyFile, paths.caFile]
   const files: TlsFiles = {
     current: readFiles(paths),
     onChange: listener => { listeners.push(listener) },
-    [Symbol.dispose]: () => names.forEach(name => unwatchFile(name, reload))
+    [Symbol.dispose]: () => watchedPaths.forEach(path => unwatchFile(path, reload))
   }
   function reload (): void {
     try {
@@ -52,10 +54,10 @@
       for (const listener of listeners) listener(next)
       files.current = next
     } catch (err) {
-      // Files are often replaced one after the other; until they fit together the old ones serve on.
+      // Files are often replaced one after the other. The old contents stay in use until the new files match each other.
       onError(err)
     }
   }
-  for (const name of names) watchFile(name, { interval: pollMs, persistent: false }, reload)
+  for (const path of watchedPaths) watchFile(path, { interval: pollMs, persistent: false }, reload)
   return files
 }
--- a/packages/daemon/src/types/answers.ts
+++ b/packages/daemon/src/types/answers.ts
@@ -1,8 +1,8 @@
-/** Final answers that callers get, and the headers that tell them apart. */
+/** Final answers to callers, and the headers of this system. */
 import type { Readable } from 'node:stream'
 import type { Millis } from '@lynxcourse/base'
 
-/** Headers of this system; those that callers send under this prefix are not passed on. */
+/** Prefix of this system's own headers. Headers of callers with this prefix are not forwarded. */
 export const headerPrefix = 'lynx-'
 export const outcomeHeader = 'lynx-outcome'
 export const deadlineHeader = 'lynx-deadline-ms'
@@ -13,24 +13,24 @@
 export const requestIdHeader = 'idempotency-key'
 
 /**
- * How a request ended, as the caller is told:
+ * Outcome of a request, as reported to the caller:
  * - `done`: a backend server answered
- * - `not-run`: it ran nowhere, and this id never will
- * - `unknown`: it may have run; with the same id it can't run a second time
- * - `too-late`: an idempotent request whose deadline passed
- * - `refused`: bad input; nothing was tried
+ * - `not-run`: no backend server ran the request, and none will run a request with this id
+ * - `unknown`: the request may have run; a request with the same id can't run a second time
+ * - `too-late`: the deadline of an idempotent request passed
+ * - `refused`: the input was invalid; no backend server was tried
  */
 export type Outcome = 'done' | 'not-run' | 'unknown' | 'too-late' | 'refused'
 
 export type HeaderMap = Record<string, string | string[]>
 
-/** An answer to be written to the caller. */
+/** The answer that is written to the caller. */
 export interface FinalAnswer {
   readonly outcome: Outcome
   readonly status: number
   readonly headers: HeaderMap
   readonly body: Buffer | Readable
-  /** Set where the caller should come back, and when. */
+  /** Time after which the caller should retry; undefined if no retry is advised. */
   readonly retryAfterMs: Millis | undefined
   readonly server: string | undefined
   readonly detail: string
--- a/packages/daemon/src/types/fleetFile.ts
+++ b/packages/daemon/src/types/fleetFile.ts
@@ -1,4 +1,4 @@
-/** The settings file of a fleet's VM, as the YAML file spells it, with its check. */
+/** Schema of the settings file of a fleet's VM. */
 import { brandId } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId } from '@lynxcourse/base'
 import { createNameSchema } from '@lynxcourse/state'
@@ -9,7 +9,7 @@
 
 const millis = z.number().int().min(1).max(3_600_000)
 
-/** All of the times may be given; those left out keep their defaults. */
+/** All times are optional. Omitted times have the values of `defaultFleetTimes`. */
 const timesSchema = z.strictObject({
   heartbeatMs: millis,
   electionMs: millis,
@@ -25,7 +25,7 @@
   lookupTtlMs: millis
 }).partial().prefault({})
 
-/** Schema of the part `fleet` of a settings file. */
+/** Schema of the value of the key `fleet` in a settings file. */
 export const fleetFileSchema = z.strictObject({
   vm: z.string().regex(/^[a-z0-9.-]{1,100}$/, 'must be lower-case letters, digits, dots and dashes'),
   roles: z.array(z.enum(['entry', 'control'])).min(1),
@@ -35,23 +35,23 @@
   regions: z.record(createNameSchema<RegionId>(), z.array(createNameSchema<FailureDomainId>()).min(1)),
   listen: z.strictObject({
     rpc: addressSchema,
-    /** Callers' requests; needed for the role entry. */
+    /** Address for callers' requests; required for the role entry. */
     callers: addressSchema.optional(),
     metrics: addressSchema
   }),
-  /** Where other VMs reach the RPC address, if it differs from where this VM listens, as behind a forwarder. */
+  /** RPC address for other VMs, if it differs from the address that this VM listens on, such as behind a forwarder. */
   advertisedRpc: addressSchema.optional(),
-  /** RPC addresses of some control VMs. */
+  /** RPC addresses of some of the control VMs. */
   seeds: z.array(addressSchema).min(1).max(64),
-  /** Whether the whole fleet starts for the first time, so that the seeds found the group. */
+  /** Whether the whole fleet starts for the first time, so that the seeds form the initial group. */
   isFirstStart: z.boolean().default(false),
-  /** Where a control VM keeps its state. */
+  /** Folder in which a control VM stores its state. */
   dataFolder: z.string().min(1).optional(),
   retryBudget: z.strictObject({
-    /** Repeats that each request earns. */
+    /** Retries that each request adds to the budget. */
     ratio: z.number().min(0).max(1).default(0.2),
     windowMs: millis.default(10_000),
-    /** Repeats in a window beyond those earned, for all VMs together. */
+    /** Retries in a window in addition to those, for all VMs together. */
     slack: z.number().min(0).default(50)
   }).prefault({}),
   times: timesSchema,
@@ -62,41 +62,41 @@
     ctx.addIssue({ code: 'custom', path: ['failureDomain'], message: `is not in regions.${cfg.region}` })
   }
   if (cfg.roles.includes('control') && cfg.dataFolder === undefined) {
-    ctx.addIssue({ code: 'custom', path: ['dataFolder'], message: 'is needed for the role control' })
+    ctx.addIssue({ code: 'custom', path: ['dataFolder'], message: 'is required for the role control' })
   }
   if (cfg.roles.includes('entry') && cfg.listen.callers === undefined) {
-    ctx.addIssue({ code: 'custom', path: ['listen', 'callers'], message: 'is needed for the role entry' })
+    ctx.addIssue({ code: 'custom', path: ['listen', 'callers'], message: 'is required for the role entry' })
   }
   if (Object.values(cfg.listen).some(address => !address.startsWith('127.'))) {
-    ctx.addIssue({ code: 'custom', path: ['listen'], message: 'must be loopback (127.0.0.0/8): a fleet has no tls yet' })
+    ctx.addIssue({ code: 'custom', path: ['listen'], message: 'must be loopback (127.0.0.0/8), since a fleet does not support tls' })
   }
 })
 
-/** A fleet's settings as they may be written. */
+/** Settings of a fleet's VM as written in the file, with optional keys. */
 export type FleetFileInput = z.input<typeof fleetFileSchema>
 
-/** Turns checked settings into those that the daemon works with. */
-export function fleetSettingsOf (given: z.output<typeof fleetFileSchema>): FleetSettings {
-  const domains = Object.entries(given.regions as Record<string, readonly FailureDomainId[]>)
+/** Converts validated file contents into the daemon's settings and fills in the default times. */
+export function fleetSettingsOf (file: z.output<typeof fleetFileSchema>): FleetSettings {
+  const domainsByRegion = Object.entries(file.regions as Record<string, readonly FailureDomainId[]>)
   return {
-    name: given.vm,
-    roles: given.roles,
-    region: given.region,
-    failureDomain: given.failureDomain,
-    regions: new Map(domains.flatMap(([region, inRegion]) => inRegion.map(domain => [domain, brandId<RegionId>(region)] as const))),
-    rpc: given.advertisedRpc ?? given.listen.rpc,
-    rpcListen: given.listen.rpc,
-    callers: given.listen.callers,
-    metrics: given.listen.metrics,
-    seeds: given.seeds,
-    isFirstStart: given.isFirstStart,
-    dataFolder: given.dataFolder,
-    retryBudget: given.retryBudget,
-    times: { ...defaultFleetTimes, ...withoutGaps(given.times) },
-    log: given.log
+    name: file.vm,
+    roles: file.roles,
+    region: file.region,
+    failureDomain: file.failureDomain,
+    regions: new Map(domainsByRegion.flatMap(([region, domains]) => domains.map(domain => [domain, brandId<RegionId>(region)] as const))),
+    rpc: file.advertisedRpc ?? file.listen.rpc,
+    rpcListen: file.listen.rpc,
+    callers: file.listen.callers,
+    metrics: file.listen.metrics,
+    seeds: file.seeds,
+    isFirstStart: file.isFirstStart,
+    dataFolder: file.dataFolder,
+    retryBudget: file.retryBudget,
+    times: { ...defaultFleetTimes, ...omitUndefined(file.times) },
+    log: file.log
   }
 }
 
-function withoutGaps (times: Partial<FleetTimes>): Partial<FleetTimes> {
+function omitUndefined (times: Partial<FleetTimes>): Partial<FleetTimes> {
   return Object.fromEntries(Object.entries(times).filter(([, value]) => value !== undefined))
 }
--- a/packages/daemon/src/types/fleetSettings.ts
+++ b/packages/daemon/src/types/fleetSettings.ts
@@ -1,38 +1,38 @@
-/** Settings of a VM of a fleet: route-addressed entry VMs and the control VMs behind them. */
+/** Settings of a fleet's VM: entry VMs that serve routes, and their control VMs. */
 import type { FailureDomainId, Millis, RegionId } from '@lynxcourse/base'
 import type { RetryBudgetCfg } from '@lynxcourse/placement'
 import type { LogSettings } from '../utils/logging.js'
 
 /** Time constants of a fleet's VMs, in milliseconds. */
 export interface FleetTimes {
-  /** Between two messages of the leader to each control VM. */
+  /** Interval of the leader's heartbeats to each control VM. */
   readonly heartbeatMs: Millis
-  /** An election starts after this, or up to twice this, without a leader. */
+  /** Minimum time without a leader before an election. The election timeout varies from this to twice this. */
   readonly electionMs: Millis
   readonly rpcTimeoutMs: Millis
-  /** Longest time that a watch of the state is held open without news. */
+  /** Timeout of a watch of the state without a change. */
   readonly watchMs: Millis
-  /** A control VM whose state was not confirmed for this long is passed over. */
+  /** A control VM whose state was not confirmed for this long is not used. */
   readonly staleMs: Millis
-  /** Between two exchanges of presence among control VMs. */
+  /** Interval of the exchange of presence among control VMs. */
   readonly presenceMs: Millis
-  /** An entry VM not heard for this long is no longer named to callers. */
+  /** Look-ups no longer return an entry VM that was not seen for this long. */
   readonly presenceStaleMs: Millis
-  /** A backend server not heard for this long is taken for lost. */
+  /** A backend server that was not seen for this long counts as lost. */
   readonly missMs: Millis
-  /** Longest time to open a connection to a backend server. */
+  /** Timeout of opening a connection to a backend server. */
   readonly connectTimeoutMs: Millis
-  /** An idle connection to a backend server is closed after this; half of it where a request must not repeat. */
+  /** Idle timeout of a connection to a backend server. For a request that must not be retried, it is half of this. */
   readonly staleConnectionMs: Millis
-  /** Time between the signal to stop and the end of the process at the latest. */
+  /** Timeout of a graceful stop, from the signal to the exit of the process. */
   readonly stopMs: Millis
-  /** How long callers may keep the answer to a look-up. */
+  /** Time for which callers may cache the answer to a look-up. */
   readonly lookupTtlMs: Millis
 }
 
 /**
- * Defaults: half of what the users' bounds allow, so that two steps in a row (an election and a
- * change of parent) still fit into them.
+ * Default times. They are half of what the users' limits allow, so that two steps in sequence (an election and a change
+ * of parent) stay within the limits.
  */
 export const defaultFleetTimes: FleetTimes = {
   heartbeatMs: 120,
@@ -44,7 +44,8 @@
   presenceStaleMs: 2600,
   missMs: 5000,
   connectTimeoutMs: 350,
-  // Of 80 entry VMs each sends to one of 175 servers every seven seconds: at 4000, 27,000 connections were opened for 45,000 requests.
+  // With 80 entry VMs and 175 servers, each entry VM sends to a given server every 7 s. 4000 ms led to 27,000 new
+  // connections for 45,000 requests.
   staleConnectionMs: 9000,
   stopMs: 5500,
   lookupTtlMs: 2000
@@ -58,16 +59,16 @@
   readonly failureDomain: FailureDomainId
   /** Region of each failure domain. */
   readonly regions: ReadonlyMap<FailureDomainId, RegionId>
-  /** Where other VMs reach this one; its name among the control VMs. */
+  /** RPC address for other VMs. It also identifies this VM among the control VMs. */
   readonly rpc: string
-  /** Where it listens for them, if that differs; undefined for `rpc`. */
+  /** Address that the RPC server listens on, if it differs from `rpc`. */
   readonly rpcListen?: string | undefined
-  /** Where callers reach it; undefined without the entry role. */
+  /** Address for callers' requests; undefined without the role entry. */
   readonly callers: string | undefined
   readonly metrics: string
-  /** RPC addresses of some control VMs. */
+  /** RPC addresses of some of the control VMs. */
   readonly seeds: readonly string[]
-  /** Whether the whole fleet starts for the first time, so that the seeds found the group. */
+  /** Whether the whole fleet starts for the first time, so that the seeds form the initial group. */
   readonly isFirstStart: boolean
   readonly dataFolder: string | undefined
   readonly retryBudget: RetryBudgetCfg
--- a/packages/daemon/src/types/settings.ts
+++ b/packages/daemon/src/types/settings.ts
@@ -1,4 +1,4 @@
-/** The daemon's settings, as the YAML file spells them, with their check. */
+/** Schema of the daemon's settings file. */
 import { isIPv4 } from 'node:net'
 import { policyNames } from '@lynxcourse/routing'
 import { createNameSchema } from '@lynxcourse/state'
@@ -17,11 +17,11 @@
 const millis = z.number().int().min(1).max(3_600_000)
 const level = z.enum(['error', 'warn', 'info', 'debug'])
 
-/** Schema of how to log. */
+/** Schema of the log's settings. */
 export const logSchema = z.strictObject({
   format: z.enum(['text', 'json']).default('text'),
   level: level.default('info'),
-  /** Levels of single parts, by their prefix. */
+  /** Levels of individual parts, by prefix; all others use `level`. */
   parts: z.record(z.string(), level).default({})
 }).prefault({})
 
@@ -52,23 +52,23 @@
 }).prefault({})
 
 const limitsSchema = z.strictObject({
-  /** Largest request body. */
+  /** Limit on the size of a request body. */
   maxBodyBytes: z.number().int().min(0).default(1_048_576),
-  /** Bodies up to this are kept until the end, so that they can be sent again. */
+  /** Bodies up to this size are buffered until the request ends, so that a retry can send them again. */
   bufferBytes: z.number().int().min(0).default(65_536),
-  /** Largest answer that the register of claims keeps. */
+  /** Limit on the size of an answer that the register of claims stores. */
   keptAnswerBytes: z.number().int().min(0).max(16_384).default(2048),
-  /** Largest head of a request. */
+  /** Limit on the size of a request's headers. */
   maxHeaderBytes: z.number().int().min(1024).default(16_384),
-  /** Largest RPC message. */
+  /** Limit on the size of an RPC message. */
   maxRpcBytes: z.number().int().min(65_536).default(33_554_432),
-  /** Most RPC messages a second from one address. */
+  /** Limit on RPC messages per second from one address. */
   rpcPerSecond: z.number().int().min(1).default(5000),
-  /** Most announcements a second from one address. */
+  /** Limit on announcements per second from one address. */
   announcementsPerSecond: z.number().int().min(1).default(100),
-  /** Requests in this VM at once. */
+  /** Limit on concurrent requests at this VM. */
   maxRequests: z.number().int().min(1).default(2000),
-  /** Open connections from callers. */
+  /** Limit on open connections from callers. */
   maxConnections: z.number().int().min(1).default(5000)
 }).prefault({})
 
@@ -79,18 +79,18 @@
   failureDomain: createNameSchema<FailureDomainId>(),
   roles: z.array(z.enum(['entry', 'control'])).min(1),
   listen: z.strictObject({ http: addressSchema, rpc: addressSchema, metrics: addressSchema }),
-  /** Where a control VM keeps its state. */
+  /** Folder in which a control VM stores its state. */
   dataFolder: z.string().min(1).optional(),
   /** The control VMs. */
   seeds: z.array(seedSchema).min(1).max(64),
   topology: z.strictObject({
     regions: z.record(createNameSchema<RegionId>(), z.array(createNameSchema<FailureDomainId>()).min(1)),
-    /** One-way latencies by `from>to`. */
+    /** One-way latencies, keyed by `FROM>TO` regions. */
     latenciesMs: z.record(linkName, z.number().min(0)).default({})
   }),
-  /** Which region each block of callers belongs to. */
+  /** Region of each block of caller addresses. */
   callerBlocks: z.array(z.strictObject({ cidr: z.string(), region: createNameSchema<RegionId>() })).default([]),
-  /** A file of `CIDR region` lines, besides `callerBlocks`. */
+  /** File with further caller blocks, one `CIDR region` per line. */
   callerBlocksFile: z.string().optional(),
   serverPolicy: z.enum(policyNames).default('alone'),
   stepRule: z.enum(['fixed', 'headroom']).default('headroom'),
@@ -112,7 +112,7 @@
     ctx.addIssue({ code: 'custom', path: ['failureDomain'], message: `is not in topology.regions.${cfg.region}` })
   }
   if (cfg.roles.includes('control') && cfg.dataFolder === undefined) {
-    ctx.addIssue({ code: 'custom', path: ['dataFolder'], message: 'is needed for the role control' })
+    ctx.addIssue({ code: 'custom', path: ['dataFolder'], message: 'is required for the role control' })
   }
   if (cfg.roles.includes('control') && !cfg.seeds.some(seed => seed.vm === cfg.vm)) {
     ctx.addIssue({ code: 'custom', path: ['seeds'], message: 'must name this VM, which has the role control' })
@@ -129,10 +129,10 @@
   }
 })
 
-/** Checked settings. */
+/** Validated settings, with defaults filled in. */
 export type Settings = z.output<typeof settingsSchema>
 
-/** Settings as they may be written. */
+/** Settings as written in the file, with optional keys. */
 export type SettingsInput = z.input<typeof settingsSchema>
 
 export type Seed = z.output<typeof seedSchema>
--- a/packages/daemon/src/utils/cancel.ts
+++ b/packages/daemon/src/utils/cancel.ts
@@ -1,14 +1,15 @@
 /**
- * Tells that work is no longer wanted. `undici` takes any emitter of `abort` as its signal; an
- * `AbortController` costs some ten microseconds more for each request, most of it for the exception
- * with its stack that `abort()` makes.
+ * An abort signal for requests that are no longer needed.
+ *
+ * `undici` accepts any event emitter that emits `abort` as its signal. An `AbortController` costs about ten microseconds
+ * more per request, most of which is the exception with a stack trace that `abort()` creates.
  */
 import { EventEmitter } from 'node:events'
 
 export class Cancel extends EventEmitter {
   aborted = false
 
-  /** Tells all listeners, once. */
+  /** Emits `abort` to all listeners. Later calls do nothing. */
   abort (): void {
     if (this.aborted) return
     this.aborted = true
@@ -16,7 +17,7 @@
   }
 }
 
-/** A cancel that follows another one. */
+/** Creates a signal that is aborted when `outer` is; aborting the new signal does not abort `outer`. */
 export function linkedCancel (outer: Cancel): Cancel {
   const inner = new Cancel()
   if (outer.aborted) inner.abort()
--- a/packages/daemon/src/utils/checkedBody.ts
+++ b/packages/daemon/src/utils/checkedBody.ts
@@ -1,12 +1,12 @@
-/** Checks JSON that comes from outside. */
+/** Validates JSON input from other processes. */
 import { LynxError, getErrorMessage } from '@lynxcourse/base'
 import type { z } from 'zod'
 
 /**
- * Parses and checks a body.
+ * Parses and validates a JSON body.
  *
- * @param step what is being done, for the error
- * @throws LynxError `badRequest` naming the field
+ * @param step name of the current operation, for the error
+ * @throws LynxError `badRequest` that names the invalid field
  */
 export function checkBody<Schema extends z.ZodType> (schema: Schema, text: string, step: string): z.output<Schema> {
   let raw: unknown
@@ -19,15 +19,16 @@
 }
 
 /**
- * Checks a value.
+ * Validates a parsed value.
  *
- * @param at where it stands in the whole, for the error; empty at the top
- * @throws LynxError `badRequest` naming the field
+ * @param step name of the current operation, for the error
+ * @param path path of the value in the whole document, for the error; empty for the document itself
+ * @throws LynxError `badRequest` that names the invalid field
  */
-export function checkValue<Schema extends z.ZodType> (schema: Schema, value: unknown, step: string, at: string): z.output<Schema> {
-  const checked = schema.safeParse(value)
-  if (checked.success) return checked.data
-  const issue = checked.error.issues[0]
-  const field = [at, ...issue?.path ?? []].filter(part => part !== '').join('.')
+export function checkValue<Schema extends z.ZodType> (schema: Schema, value: unknown, step: string, path: string): z.output<Schema> {
+  const result = schema.safeParse(value)
+  if (result.success) return result.data
+  const issue = result.error.issues[0]
+  const field = [path, ...issue?.path ?? []].filter(segment => segment !== '').join('.')
   throw new LynxError('badRequest', `${field}: ${issue?.message}`, { step, field })
 }
--- a/packages/daemon/src/utils/clock.ts
+++ b/packages/daemon/src/utils/clock.ts
@@ -1,14 +1,15 @@
-/** The one place where the daemon reads the time; everything that decides gets it as an argument. */
+/** The only module of the daemon that reads the clock. Functions that make decisions receive the time as an argument. */
 import { performance } from 'node:perf_hooks'
 import type { Millis } from '@lynxcourse/base'
 
-/** Wall clock at the start of the process; read once, since the getter costs more than the clock. */
-const startedAt = performance.timeOrigin
+/** Wall clock time at the start of the process. Stored because the getter is slower than reading the clock. */
+const processStartedAt = performance.timeOrigin
 
 /**
- * Unix milliseconds that never go back while the process lives: the wall clock at start plus what a
- * monotonic clock counted since. A stepped wall clock can so neither end nor stretch a lease.
+ * Returns the Unix time in milliseconds, which never decreases during the lifetime of the process: the wall clock time at
+ * the start of the process plus the time since then by a monotonic clock. A step of the wall clock therefore neither
+ * shortens nor extends a lease.
  */
 export function presentTime (): Millis {
-  return startedAt + performance.now()
+  return processStartedAt + performance.now()
 }
--- a/packages/daemon/src/utils/headers.ts
+++ b/packages/daemon/src/utils/headers.ts
@@ -1,18 +1,18 @@
-/** Which headers concern one connection only and are not passed on. */
+/** Hop-by-hop headers, which are not forwarded. */
 import type { IncomingHttpHeaders } from 'node:http'
 import type { HeaderMap } from '../types/answers.js'
 
-const hopByHop = new Set([
+const hopByHopHeaders = new Set([
   'connection', 'keep-alive', 'proxy-connection', 'proxy-authenticate', 'proxy-authorization', 'transfer-encoding', 'te', 'trailer',
   'upgrade', 'content-length', 'expect'
 ])
 
-/** Whether a header concerns one connection only; the length of a body is set anew with the body. */
+/** Returns whether a header applies to a single connection. `content-length` counts as such: it is set again with the body. */
 export function isHopByHop (name: string): boolean {
-  return hopByHop.has(name)
+  return hopByHopHeaders.has(name)
 }
 
-/** A server's headers as its caller gets them. */
+/** Returns the headers of a backend server's response without the hop-by-hop headers. */
 export function passedHeaders (raw: IncomingHttpHeaders): HeaderMap {
   const headers: HeaderMap = {}
   for (const [name, value] of Object.entries(raw)) {
--- a/packages/daemon/src/utils/httpServer.ts
+++ b/packages/daemon/src/utils/httpServer.ts
@@ -1,14 +1,18 @@
-/** Small helpers around Node's HTTP server. */
+/** Helpers for Node's HTTP server. */
 import type { IncomingMessage, Server } from 'node:http'
 import { LynxError, getErrorMessage } from '@lynxcourse/base'
 
-/** Host and port of `IP:port`. */
+/** Splits `IP:port` into host and port. */
 export function splitAddress (address: string): { host: string, port: number } {
   const colon = address.lastIndexOf(':')
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) }
 }
 
-/** Listens on `IP:port`; port 0 takes a free one. */
+/**
+ * Listens on `IP:port`. With port 0 the operating system selects a free port.
+ *
+ * @throws LynxError `badSettings` if the address is not available
+ */
 export async function listen (server: Server, address: string): Promise<void> {
   const { host, port } = splitAddress(address)
   await new Promise<void>((resolve, reject) => {
@@ -21,7 +25,7 @@
   })
 }
 
-/** Closes a server and the connections that carry nothing. */
+/** Closes a server and all of its connections, including those with a request in flight. */
 export async function closeServer (server: Server): Promise<void> {
   if (!server.listening) return
   await new Promise<void>(resolve => {
@@ -31,14 +35,14 @@
 }
 
 /**
- * Reads a whole body.
+ * Reads a whole request body.
  *
- * @throws LynxError `tooLarge` over `maxBytes`
+ * @throws LynxError `tooLarge` if the body is larger than `maxBytes`
  */
 export async function readBody (req: IncomingMessage, maxBytes: number): Promise<Buffer> {
   const chunks: Buffer[] = []
   let size = 0
-  // Left undestroyed on an error: a destroyed request takes its connection, and the answer, with it.
+  // An error must not destroy the request: that would close the connection before the response is sent.
   for await (const chunk of req.iterator({ destroyOnReturn: false }) as AsyncIterable<Buffer>) {
     size += chunk.length
     if (size > maxBytes) throw new LynxError('tooLarge', `body over ${maxBytes} bytes`, { step: 'read body', field: 'body' })
--- a/packages/daemon/src/utils/lineBudget.ts
+++ b/packages/daemon/src/utils/lineBudget.ts
@@ -1,22 +1,22 @@
 /**
- * Bounds the lines of a log.
+ * Limits the rate of log lines.
  *
- * What can go wrong: under a flood of failing requests each of them writes lines, and the log takes the
- * processor time that serving needs. So each part has a budget of lines a second at each level; lines
- * over it are counted, and the next line that is written says how many it stands for.
+ * Without a limit, a flood of failing requests writes so many lines that logging uses the processor time that serving
+ * needs. Each part of the program has a budget of lines per second at each level. Lines over the budget are counted, and
+ * the next line that is written contains the number of skipped lines.
  */
 import type { Millis } from '@lynxcourse/base'
 
 interface Bucket { tokens: number, at: Millis, skipped: number }
 
-/** Budgets of one process, by part and level. */
+/** Line budgets of one process, keyed by part and level. */
 export type LineBudget = Map<string, Bucket>
 
-/** Lines a second of one part at one level. */
+/** Lines per second of one part at one level. */
 export const linesPerSecond = 200
 const burstLines = 400
 
-/** Takes one line from the budget: how many lines were skipped before it, or undefined when there is no room for it. */
+/** Takes one line from a budget. Returns the number of lines skipped before it; undefined if the budget is used up. */
 export function takeLine (budget: LineBudget, key: string, now: Millis): number | undefined {
   let bucket = budget.get(key)
   if (bucket === undefined) {
--- a/packages/daemon/src/utils/logStream.ts
+++ b/packages/daemon/src/utils/logStream.ts
@@ -1,27 +1,30 @@
 /**
- * Standard output in batches, bounded and never waited for.
+ * A stream that writes to standard output in batches, with a bounded buffer and without blocking.
  *
- * What can go wrong: whoever reads the log stands still, the pipe fills up, and a process that writes
- * to it stands still as well. So lines gather in memory, one asynchronous write is under way at a
- * time, and lines over the bound are dropped and counted; the next line that fits says how many.
+ * If the reader of the log stops, the pipe fills up and a synchronous write blocks the process. The stream therefore
+ * buffers lines in memory with at most one asynchronous write in flight. Lines that do not fit into the buffer are
+ * dropped and counted, and the next line that fits is preceded by a line with that number.
  */
 import { write, writeSync } from 'node:fs'
 import { Writable } from 'node:stream'
 
-/** Lines gather this long, as each write wakes a thread of the runtime. A process that is killed loses the lines of this time. */
+/**
+ * Time during which lines are collected into one write, since each write wakes a thread of the runtime. A process that is
+ * killed loses the lines of this time.
+ */
 const flushMs = 250
-/** Lines beyond this are dropped. */
-const maxHeldBytes = 1_048_576
-const standardOutput = 1
+/** Lines that exceed this buffer size are dropped. */
+const maxBufferedBytes = 1_048_576
+const stdoutFd = 1
 
-/** Opens the stream. */
+/** Opens the stream. What it has buffered is written synchronously when the process exits. */
 export function openLogStream (): Writable {
   let lines: Buffer[] = []
   let size = 0
   let dropped = 0
   let isWriting = false
   let timer: NodeJS.Timeout | undefined
-  const take = (): Buffer => {
+  const takeBuffered = (): Buffer => {
     const bytes = Buffer.concat(lines)
     lines = []
     size = 0
@@ -31,15 +34,15 @@
     timer = undefined
     if (isWriting || size === 0) return
     isWriting = true
-    writeAll(take(), () => {
+    writeAll(takeBuffered(), () => {
       isWriting = false
       if (size > 0) timer ??= setTimeout(flush, flushMs)
     })
   }
-  process.on('exit', () => writeLast(take()))
+  process.on('exit', () => writeOnExit(takeBuffered()))
   return new Writable({
     write: (chunk: Buffer, _, done) => {
-      if (size + chunk.length > maxHeldBytes) dropped += 1
+      if (size + chunk.length > maxBufferedBytes) dropped += 1
       else {
         if (dropped > 0) {
           lines.push(Buffer.from(`${JSON.stringify({ level: 'warn', part: 'log', message: 'Lines were dropped.', dropped })}\n`))
@@ -55,17 +58,17 @@
 }
 
 function writeAll (bytes: Buffer, done: () => void): void {
-  write(standardOutput, bytes, 0, bytes.length, null, (err, written) => {
-    // A reader that is gone must not stop the daemon: these lines are lost.
+  write(stdoutFd, bytes, 0, bytes.length, null, (err, written) => {
+    // An error, such as a closed pipe, must not stop the daemon; the lines are lost.
     if (err !== null || written >= bytes.length) done()
     else writeAll(bytes.subarray(written), done)
   })
 }
 
-function writeLast (bytes: Buffer): void {
+function writeOnExit (bytes: Buffer): void {
   try {
-    writeSync(standardOutput, bytes)
+    writeSync(stdoutFd, bytes)
   } catch {
-    // Nobody is left to tell: the process ends and its output is closed or full.
+    // The error can't be reported: the process exits, and its output is closed or full.
   }
 }
--- a/packages/daemon/src/utils/logging.ts
+++ b/packages/daemon/src/utils/logging.ts
@@ -1,4 +1,4 @@
-/** Logs: winston, one fixed prefix for each part, short sentences, fields after them. */
+/** Logging by winston's formats. A line has a prefix for its part of the program, a short sentence and fields. */
 import { Writable } from 'node:stream'
 import winston from 'winston'
 import { presentTime } from './clock.js'
@@ -6,7 +6,7 @@
 import type { LineBudget } from './lineBudget.js'
 import { openLogStream } from './logStream.js'
 
-/** Parts that log, by their prefix. */
+/** Parts of the program that log; the name is the prefix of their lines. */
 export type LogPart = 'agree' | 'announce' | 'claim' | 'daemon' | 'drain' | 'limit' | 'lookup' | 'member' | 'route' | 'rpc' | 'shift' | 'sync'
 
 export type LogLevel = 'error' | 'warn' | 'info' | 'debug'
@@ -14,9 +14,9 @@
 /** Fields of a log line. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>
 
-const ranks: Record<LogLevel, number> = { error: 0, warn: 1, info: 2, debug: 3 }
+const severities: Record<LogLevel, number> = { error: 0, warn: 1, info: 2, debug: 3 }
 
-/** Where all parts log to. */
+/** The log of one process. */
 export interface Logs {
   readonly format: winston.Logform.Format
   readonly stream: Writable
@@ -25,51 +25,52 @@
   readonly budget: LineBudget
 }
 
-/** How to log. */
+/** Settings of the log. */
 export interface LogSettings {
   readonly format: 'text' | 'json'
   readonly level: LogLevel
-  /** Levels of single parts, by their prefix. */
+  /** Levels of individual parts, by prefix; all others use `level`. */
   readonly parts: Readonly<Record<string, LogLevel>>
 }
 
-/** Keys under which winston's formats keep the level and the finished line. */
+/** Keys under which winston's formats store the level and the formatted line. */
 const levelKey = Symbol.for('level')
 const lineKey = Symbol.for('message')
 
-function textOf (info: winston.Logform.TransformableInfo): string {
+function formatLine (info: winston.Logform.TransformableInfo): string {
   const { level, message, timestamp, part, ...fields } = info
-  const pairs = Object.entries(fields).filter(([, value]) => value !== undefined)
-  const tail = pairs.map(([key, value]) => ` ${key}=${String(value)}`).join('')
-  return `${String(timestamp)} ${level} [${String(part)}] ${String(message)}${tail}`
+  const definedFields = Object.entries(fields).filter(([, value]) => value !== undefined)
+  const suffix = definedFields.map(([key, value]) => ` ${key}=${String(value)}`).join('')
+  return `${String(timestamp)} ${level} [${String(part)}] ${String(message)}${suffix}`
 }
 
-/** Opens the log on standard output. */
+/** Opens a log that writes to standard output. */
 export function openLogs (cfg: LogSettings): Logs {
   const { combine, timestamp, json, printf } = winston.format
-  const format = cfg.format === 'json' ? combine(timestamp(), json()) : combine(timestamp(), printf(textOf))
+  const format = cfg.format === 'json' ? combine(timestamp(), json()) : combine(timestamp(), printf(formatLine))
   return { format, stream: openLogStream(), level: cfg.level, parts: cfg.parts, budget: new Map() }
 }
 
-/** Logs that go nowhere, for tests. */
+/** Creates a log that discards all lines, for tests. */
 export function silentLogs (): Logs {
   return { format: winston.format.simple(), stream: new Writable({ write: (_chunk, _encoding, done) => done() }), level: 'error', parts: {}, budget: new Map() }
 }
 
-/** Whether a part logs at a level; ask first where making the fields costs. */
+/** Returns whether a part logs at a level. Check this first where computing the fields is expensive. */
 export function isLogged (logs: Logs, part: LogPart, level: LogLevel): boolean {
-  return ranks[level] <= ranks[logs.parts[part] ?? logs.level]
+  return severities[level] <= severities[logs.parts[part] ?? logs.level]
 }
 
 /**
- * Writes one line. Winston's formats make it; it goes to the stream directly, since the logger's own
- * chain of streams costs more than the rest of a routing decision.
+ * Writes one line if the level is enabled and the part's line budget allows it. Winston's formats produce the line, but
+ * the line is written to the stream directly: the chain of streams in winston's logger costs more than the rest of a
+ * routing decision.
  */
 export function log (logs: Logs, part: LogPart, level: LogLevel, message: string, fields: LogFields = {}): void {
   if (!isLogged(logs, part, level)) return
   const skipped = takeLine(logs.budget, `${part} ${level}`, presentTime())
   if (skipped === undefined) return
-  const counted = skipped === 0 ? fields : { ...fields, skipped }
-  const info = logs.format.transform({ level, message, part, ...counted, [levelKey]: level }, logs.format.options)
+  const allFields = skipped === 0 ? fields : { ...fields, skipped }
+  const info = logs.format.transform({ level, message, part, ...allFields, [levelKey]: level }, logs.format.options)
   if (typeof info === 'object') logs.stream.write(`${String(info[lineKey])}\n`)
 }
--- a/packages/daemon/src/utils/loopWatch.ts
+++ b/packages/daemon/src/utils/loopWatch.ts
@@ -1,4 +1,4 @@
-/** Follows the turns of the process's event loop, for the bound on how long callers' requests lie unread. */
+/** Tracks the iterations of the process's event loop, to bound the read delay of callers' requests. */
 import type { Socket } from 'node:net'
 import { performance } from 'node:perf_hooks'
 import { getEarliestArrival, beginIteration, createLoopIterations, endIteration, getEarliestFirstArrival, minIdleMs, sampleIntervalMs, sampleLoop } from '@lynxcourse/placement'
@@ -8,54 +8,61 @@
 import { createLooks } from './socketLooks.js'
 import type { Looks } from './socketLooks.js'
 
-/** When a request was read. */
-interface LastRead {
+/** The last request that was read from a connection. */
+interface LastRequest {
+  /** Earliest time at which the request can have arrived. */
   readonly arrivedAt: Millis
-  /** Time that the loop had slept by then. */
-  readonly sleptMs: Millis
+  /** Total idle time of the loop when the request was read. */
+  readonly idleMs: Millis
 }
 
-/** Watches until it is disposed. */
+/** Tracks the event loop until it is disposed. */
 export interface LoopWatch extends AsyncDisposable {
   readonly turns: LoopIterations
-  /** When each of the callers' connections was accepted. */
+  /** Accept time of each connection from a caller. */
   readonly accepted: WeakMap<Socket, AcceptedConnection>
-  /** The last request of each of the callers' connections that have carried one. */
-  readonly lastReads: WeakMap<Socket, LastRead>
-  /** For how long the close of a caller's connection can have lain unread; none while it is not read. */
+  /** The last request of each connection from a caller. Connections without a request so far have no entry. */
+  readonly lastReads: WeakMap<Socket, LastRequest>
+  /** Upper bound on the read delay of the close of each connection from a caller; no entry before the close is read. */
   readonly closesUnread: WeakMap<Socket, Millis>
+  /** Poll phases of the event loop. */
   readonly looks: Looks
 }
 
-/** A loop that is this much late for a sample stood still, by a stop from outside or a long turn of its own. */
-const stillMs: Millis = 500
+/** A loop whose sample is late by more than this was blocked: the process was stopped, or one iteration was long. */
+const minBlockedMs: Millis = 500
 
 /**
- * @param onStill called once the loop goes on after it stood still, with for how long
- * @param onSample called with how late each sample is, whether the loop worked or waited for the processor
+ * Starts tracking the event loop of this process.
+ *
+ * @param onBlocked called with the length of a block, as soon as the loop runs again
+ * @param onSample called with the lateness of each sample, whether the loop was working or waiting for the processor
  */
-export function openLoopWatch (onStill: (forMs: Millis) => void = () => undefined, onSample: (lateMs: Millis) => void = () => undefined): LoopWatch {
-  const turns = createLoopIterations(sleptMs(), presentTime())
+export function openLoopWatch (onBlocked: (blockedMs: Millis) => void = () => undefined, onSample: (lateMs: Millis) => void = () => undefined): LoopWatch {
+  const turns = createLoopIterations(getIdleMs(), presentTime())
   let sampledAt = presentTime()
   const timer = setInterval(() => {
     const now = presentTime()
     const lateMs = now - sampledAt - sampleIntervalMs
     onSample(Math.max(0, lateMs))
-    if (lateMs > stillMs) onStill(lateMs)
+    if (lateMs > minBlockedMs) onBlocked(lateMs)
     sampledAt = now
-    sampleLoop(turns, sleptMs(), now)
+    sampleLoop(turns, getIdleMs(), now)
   }, sampleIntervalMs)
   return { turns, accepted: new WeakMap(), lastReads: new WeakMap(), closesUnread: new WeakMap(), looks: createLooks(), [Symbol.asyncDispose]: async () => clearInterval(timer) }
 }
 
-/** Notes the turn that a callback of a socket belongs to. Immediates run once all sockets of a turn were read. */
+/**
+ * Records the iteration in which a socket's callback runs. The iteration ends with an immediate, which runs after all
+ * sockets of the poll phase were read.
+ */
 export function noteTurn ({ turns }: LoopWatch): void {
   if (turns.isIterationRecorded) return
-  beginIteration(turns, sleptMs(), presentTime())
-  setImmediate(() => endIteration(turns, sleptMs(), presentTime()))
+  beginIteration(turns, getIdleMs(), presentTime())
+  setImmediate(() => endIteration(turns, getIdleMs(), presentTime()))
 }
 
-/** Notes a connection that was accepted now. */
+/** Records a connection that has just been accepted. */
 export function noteAccepted (watch: LoopWatch, socket: Socket, now: Millis): void {
   noteTurn(watch)
   watch.looks.accepts += 1
@@ -63,41 +70,49 @@
 }
 
 /**
- * Since when a request that is read now can have lain at this VM.
+ * Records a request that is read now and returns the earliest time at which it can have arrived at this VM.
  *
- * A request's times count from there: counted from when a busy VM read them, its deadline came seconds late.
+ * The request's deadline counts from this time. Counted from the time of reading, the deadline on a busy VM would be
+ * seconds late.
  */
 export function arrivalTime (watch: LoopWatch, socket: Socket, now: Millis): Millis {
   noteTurn(watch)
   const isFirst = !watch.lastReads.has(socket)
   const accepted = isFirst ? watch.accepted.get(socket) : undefined
   const arrivedAt = accepted === undefined ? getEarliestArrival(watch.turns, isFirst, now) : getEarliestFirstArrival(watch.turns, accepted, now)
-  watch.lastReads.set(socket, { arrivedAt, sleptMs: sleptMs() })
+  watch.lastReads.set(socket, { arrivedAt, idleMs: getIdleMs() })
   return arrivedAt
 }
 
-/** Notes for how long a caller's close can have lain unread when it is read. */
+/**
+ * Records the read delay of the close of a caller's connection.
+ *
+ * @param onRead called once when the close is read, with an upper bound on its read delay
+ */
 export function watchClose (watch: LoopWatch, socket: Socket, onRead: (unreadMs: Millis) => void): void {
-  const note = (): void => {
+  const recordClose = (): void => {
     if (watch.closesUnread.has(socket)) return
     const now = presentTime()
-    const unreadMs = now - closedSince(watch, socket, now)
+    const unreadMs = now - getEarliestClose(watch, socket, now)
     watch.closesUnread.set(socket, unreadMs)
     onRead(unreadMs)
   }
-  socket.once('end', note)
-  socket.once('close', note)
+  socket.once('end', recordClose)
+  socket.once('close', recordClose)
 }
 
-/** A close is read at the earliest in the turn after the request before it; unless the loop slept in between, both may have lain there together. */
-function closedSince (watch: LoopWatch, socket: Socket, now: Millis): Millis {
+/**
+ * Returns the earliest time at which a close that is read now can have arrived. The loop reads a close at the earliest one
+ * iteration after the request before it. Unless the loop was idle in between, both may have arrived together.
+ */
+function getEarliestClose (watch: LoopWatch, socket: Socket, now: Millis): Millis {
   noteTurn(watch)
-  const last = watch.lastReads.get(socket)
-  const isBehindRequest = last !== undefined && sleptMs() - last.sleptMs < minIdleMs
-  return isBehindRequest ? last.arrivedAt : getEarliestArrival(watch.turns, false, now)
+  const lastRequest = watch.lastReads.get(socket)
+  const mayHaveArrivedTogether = lastRequest !== undefined && getIdleMs() - lastRequest.idleMs < minIdleMs
+  return mayHaveArrivedTogether ? lastRequest.arrivedAt : getEarliestArrival(watch.turns, false, now)
 }
 
-/** Time that the loop has waited for sockets and timers. */
-function sleptMs (): Millis {
+/** Returns the total time for which the loop has waited for sockets and timers. */
+function getIdleMs (): Millis {
   return performance.eventLoopUtilization().idle
 }
--- a/packages/daemon/src/utils/metrics.ts
+++ b/packages/daemon/src/utils/metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics by `prom-client`; label sets are bounded. */
+/** Metrics by `prom-client`. The number of label sets is bounded. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 
 const latencyBuckets = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30]
@@ -32,24 +32,24 @@
   const registers = [registry]
   return {
     registry,
-    requests: new Counter({ name: 'lynxcourse_requests_total', help: 'Requests by final answer.', labelNames: ['service', 'outcome'], registers }),
-    requestSeconds: new Histogram({ name: 'lynxcourse_request_duration_seconds', help: 'Time to the final answer.', labelNames: ['service'], buckets: latencyBuckets, registers }),
-    unreadSeconds: new Histogram({ name: 'lynxcourse_request_unread_seconds', help: 'Longest time that a request can have lain unread before this VM got to it.', buckets: latencyBuckets, registers }),
-    closeUnreadSeconds: new Histogram({ name: 'lynxcourse_close_unread_seconds', help: 'Longest time that the close of a caller with an open request can have lain unread before this VM read it.', buckets: latencyBuckets, registers }),
-    loopLateSeconds: new Histogram({ name: 'lynxcourse_loop_late_seconds', help: 'How late a timer of the event loop ran, whether the loop worked or waited for the processor.', buckets: latencyBuckets, registers }),
-    attempts: new Counter({ name: 'lynxcourse_attempts_total', help: 'Attempts at backend servers by end.', labelNames: ['end'], registers }),
+    requests: new Counter({ name: 'lynxcourse_requests_total', help: 'Requests by outcome of the final answer.', labelNames: ['service', 'outcome'], registers }),
+    requestSeconds: new Histogram({ name: 'lynxcourse_request_duration_seconds', help: 'Time from the request to its final answer.', labelNames: ['service'], buckets: latencyBuckets, registers }),
+    unreadSeconds: new Histogram({ name: 'lynxcourse_request_unread_seconds', help: 'Upper bound on the time between the arrival of a request and its reading by this VM.', buckets: latencyBuckets, registers }),
+    closeUnreadSeconds: new Histogram({ name: 'lynxcourse_close_unread_seconds', help: 'Upper bound on the time between the arrival of the close of a caller with an open request and its reading by this VM.', buckets: latencyBuckets, registers }),
+    loopLateSeconds: new Histogram({ name: 'lynxcourse_loop_late_seconds', help: 'Lateness of a timer of the event loop, whether the loop was working or waiting for the processor.', buckets: latencyBuckets, registers }),
+    attempts: new Counter({ name: 'lynxcourse_attempts_total', help: 'Attempts at backend servers by result.', labelNames: ['end'], registers }),
     lookups: new Counter({ name: 'lynxcourse_lookups_total', help: 'Look-ups by result.', labelNames: ['result'], registers }),
     claims: new Counter({ name: 'lynxcourse_claims_total', help: 'Claims by result.', labelNames: ['result'], registers }),
-    claimSeconds: new Histogram({ name: 'lynxcourse_claim_duration_seconds', help: 'Time to an answer from the register.', buckets: latencyBuckets, registers }),
-    refusals: new Counter({ name: 'lynxcourse_refusals_total', help: 'Messages refused, by reason.', labelNames: ['reason'], registers }),
+    claimSeconds: new Histogram({ name: 'lynxcourse_claim_duration_seconds', help: 'Time from a claim to the answer of the register.', buckets: latencyBuckets, registers }),
+    refusals: new Counter({ name: 'lynxcourse_refusals_total', help: 'Rejected messages by reason.', labelNames: ['reason'], registers }),
     rpc: new Counter({ name: 'lynxcourse_rpc_total', help: 'RPC calls by method and side.', labelNames: ['method', 'side'], registers }),
-    rpcBytes: new Counter({ name: 'lynxcourse_rpc_bytes_total', help: 'Bytes of RPC bodies.', labelNames: ['direction'], registers }),
-    rpcWireBytes: new Counter({ name: 'lynxcourse_rpc_wire_bytes_total', help: 'Bytes over the connections of the RPC server, heads included.', labelNames: ['direction'], registers }),
-    inFlight: new Gauge({ name: 'lynxcourse_requests_in_flight', help: 'Requests in this VM.', registers }),
-    waiting: new Gauge({ name: 'lynxcourse_requests_waiting', help: 'Requests that wait for a slot.', registers }),
+    rpcBytes: new Counter({ name: 'lynxcourse_rpc_bytes_total', help: 'Bytes of RPC bodies by direction.', labelNames: ['direction'], registers }),
+    rpcWireBytes: new Counter({ name: 'lynxcourse_rpc_wire_bytes_total', help: 'Bytes over the connections of the RPC server by direction, headers included.', labelNames: ['direction'], registers }),
+    inFlight: new Gauge({ name: 'lynxcourse_requests_in_flight', help: 'Requests in progress at this VM.', registers }),
+    waiting: new Gauge({ name: 'lynxcourse_requests_waiting', help: 'Requests that are waiting for a slot.', registers }),
     configVersion: new Gauge({ name: 'lynxcourse_config_version', help: 'Version of the configuration in force.', registers }),
-    current: new Gauge({ name: 'lynxcourse_current', help: 'Whether this VM holds a lease on being current.', registers }),
-    records: new Gauge({ name: 'lynxcourse_directory_records', help: 'Records in the directory.', labelNames: ['kind'], registers }),
-    diskSyncs: new Counter({ name: 'lynxcourse_disk_syncs_total', help: 'Times that a file was synced.', registers })
+    current: new Gauge({ name: 'lynxcourse_current', help: 'Whether this VM holds a valid lease on the current configuration (1) or not (0).', registers }),
+    records: new Gauge({ name: 'lynxcourse_directory_records', help: 'Records in the directory by kind.', labelNames: ['kind'], registers }),
+    diskSyncs: new Counter({ name: 'lynxcourse_disk_syncs_total', help: 'Syncs of files to disk.', registers })
   }
 }
--- a/packages/daemon/src/utils/metricsServer.ts
+++ b/packages/daemon/src/utils/metricsServer.ts
@@ -1,9 +1,9 @@
-/** Serves a VM's metrics and its health: `/metrics`, `/healthz` (the process lives), `/readyz` (it may get callers). */
+/** HTTP server for a VM's metrics and health: `/metrics`, `/healthz` (the process is alive), `/readyz` (callers may use the VM). */
 import { createServer } from 'node:http'
 import type { Server, ServerResponse } from 'node:http'
 import type { Metrics } from './metrics.js'
 
-/** Makes the server; it does not listen yet. */
+/** Creates the server, which does not listen yet. */
 export function createMetricsServer (metrics: Metrics, isReady: () => boolean): Server {
   return createServer((req, res) => {
     switch (req.url) {
@@ -11,7 +11,7 @@
         res.end('ok\n')
         break
       case '/readyz':
-        writeReady(res, isReady())
+        writeReadiness(res, isReady())
         break
       case '/metrics':
         writeMetrics(res, metrics)
@@ -22,7 +22,7 @@
   })
 }
 
-function writeReady (res: ServerResponse, isReady: boolean): void {
+function writeReadiness (res: ServerResponse, isReady: boolean): void {
   res.writeHead(isReady ? 200 : 503).end(isReady ? 'ready\n' : 'the present state is not known, or the VM leaves\n')
 }
 
--- a/packages/daemon/src/utils/owned.ts
+++ b/packages/daemon/src/utils/owned.ts
@@ -1,5 +1,6 @@
-/** What a function owns until it hands it on; disposed in reverse order. */
+/** Resources that are disposed together, in reverse order, unless their ownership is moved. */
 
+/** Resources and their owner. */
 export interface Owned extends AsyncDisposable {
   items: Array<Disposable | AsyncDisposable>
 }
@@ -9,13 +10,13 @@
   return owned
 }
 
-/** Takes a thing into ownership and gives it back for use. */
-export function own<Thing extends Disposable | AsyncDisposable> (owned: Owned, thing: Thing): Thing {
-  owned.items.push(thing)
-  return thing
+/** Adds a resource and returns it. */
+export function own<Resource extends Disposable | AsyncDisposable> (owned: Owned, resource: Resource): Resource {
+  owned.items.push(resource)
+  return resource
 }
 
-/** Hands everything on: the old owner disposes nothing any more. */
+/** Moves all resources to a new owner. The old owner no longer disposes them. */
 export function moveOwned (owned: Owned): Owned {
   const moved = createOwned()
   moved.items = owned.items
--- a/packages/daemon/src/utils/rateLimit.ts
+++ b/packages/daemon/src/utils/rateLimit.ts
@@ -1,4 +1,4 @@
-/** Bounds how often each peer may send, with a bucket of tokens for each. */
+/** Limits the message rate of each peer by a token bucket per peer. */
 import type { Millis } from '@lynxcourse/base'
 
 interface Bucket {
@@ -11,21 +11,21 @@
   buckets: Map<string, Bucket>
 }
 
-/** Most peers remembered; the one heard first goes, which at worst gives it a full bucket again. */
-const maxPeers = 10_000
+/** Limit on the stored buckets. The oldest bucket is removed first, which at worst gives its peer a full bucket again. */
+const maxBuckets = 10_000
 
-/** A peer may send this many seconds' worth at once. */
+/** Capacity of a bucket, as the number of seconds in which it fills up. */
 const burstSeconds = 2
 
 export function createRateLimit (perSecond: number): RateLimit {
   return { perSecond, buckets: new Map() }
 }
 
-/** Takes a token for one message; false when the peer has sent too much. */
+/** Takes a token for one message. Returns false if the peer has exceeded its rate. */
 export function takeToken (limit: RateLimit, peer: string, now: Millis): boolean {
-  const most = limit.perSecond * burstSeconds
-  const bucket = limit.buckets.get(peer) ?? { tokens: most, at: now }
-  bucket.tokens = Math.min(most, bucket.tokens + Math.max(0, now - bucket.at) / 1000 * limit.perSecond)
+  const capacity = limit.perSecond * burstSeconds
+  const bucket = limit.buckets.get(peer) ?? { tokens: capacity, at: now }
+  bucket.tokens = Math.min(capacity, bucket.tokens + Math.max(0, now - bucket.at) / 1000 * limit.perSecond)
   bucket.at = now
   if (!limit.buckets.has(peer)) addBucket(limit, peer, bucket)
   if (bucket.tokens < 1) return false
@@ -35,6 +35,6 @@
 
 function addBucket (limit: RateLimit, peer: string, bucket: Bucket): void {
   const [oldest] = limit.buckets.keys()
-  if (limit.buckets.size >= maxPeers && oldest !== undefined) limit.buckets.delete(oldest)
+  if (limit.buckets.size >= maxBuckets && oldest !== undefined) limit.buckets.delete(oldest)
   limit.buckets.set(peer, bucket)
 }
--- a/packages/daemon/src/utils/readSettings.ts
+++ b/packages/daemon/src/utils/readSettings.ts
@@ -1,4 +1,4 @@
-/** Reads a settings file; an error names the file, the key and what was expected. */
+/** Reads settings files. An error names the file, the key and the expected value. */
 import { readFileSync } from 'node:fs'
 import { dirname, resolve } from 'node:path'
 import { LynxError, getErrorMessage } from '@lynxcourse/base'
@@ -12,13 +12,13 @@
 import type { Settings } from '../types/settings.js'
 
 /**
- * Checks the text of a settings file.
+ * Parses and validates the text of a settings file.
  *
- * @param file its name, for errors
+ * @param file name of the file, for errors
  * @throws LynxError `badSettings`
  */
 export function parseSettings (text: string, file: string): Settings {
-  return check(settingsSchema, parseYaml(text, file), file, '')
+  return validate(settingsSchema, parseYaml(text, file), file, '')
 }
 
 function parseYaml (text: string, file: string): unknown {
@@ -29,42 +29,42 @@
   }
 }
 
-function check<Schema extends z.ZodType> (schema: Schema, raw: unknown, file: string, prefix: string): z.output<Schema> {
-  const checked = schema.safeParse(raw)
-  if (checked.success) return checked.data
-  const problems = checked.error.issues.map(issue => `${prefix}${issue.path.join('.') || '(top)'}: ${issue.message}`)
-  const field = `${prefix}${checked.error.issues[0]?.path.join('.') ?? ''}`
+function validate<Schema extends z.ZodType> (schema: Schema, raw: unknown, file: string, prefix: string): z.output<Schema> {
+  const result = schema.safeParse(raw)
+  if (result.success) return result.data
+  const problems = result.error.issues.map(issue => `${prefix}${issue.path.join('.') || '(top)'}: ${issue.message}`)
+  const field = `${prefix}${result.error.issues[0]?.path.join('.') ?? ''}`
   throw new LynxError('badSettings', `${file}: ${problems.join('; ')}`, { step: 'check', field })
 }
 
-/** A settings file of either kind of VM. */
+/** Settings of a VM, either of a service or of a fleet. */
 export type AnySettings =
   | { readonly kind: 'service', readonly cfg: Settings }
   | { readonly kind: 'fleet', readonly cfg: FleetSettings }
 
 /**
- * Checks the text of a settings file of either kind; a file whose top key is `fleet` is a fleet's.
+ * Parses and validates the text of a settings file of either kind. The settings of a fleet's VM are under the key `fleet`.
  *
  * @throws LynxError `badSettings`
  */
 export function parseAnySettings (text: string, file: string): AnySettings {
   const raw = parseYaml(text, file)
-  if (!isFleetFile(raw)) return { kind: 'service', cfg: check(settingsSchema, raw, file, '') }
-  const other = Object.keys(raw).find(key => key !== 'fleet')
-  if (other !== undefined) throw new LynxError('badSettings', `${file}: ${other}: unknown beside fleet`, { step: 'check', field: other })
-  return { kind: 'fleet', cfg: fleetSettingsOf(check(fleetFileSchema, raw.fleet, file, 'fleet.')) }
+  if (!isFleetFile(raw)) return { kind: 'service', cfg: validate(settingsSchema, raw, file, '') }
+  const unknownKey = Object.keys(raw).find(key => key !== 'fleet')
+  if (unknownKey !== undefined) throw new LynxError('badSettings', `${file}: ${unknownKey}: is not allowed beside the key fleet`, { step: 'check', field: unknownKey })
+  return { kind: 'fleet', cfg: fleetSettingsOf(validate(fleetFileSchema, raw.fleet, file, 'fleet.')) }
 }
 
 function isFleetFile (raw: unknown): raw is { readonly fleet: unknown } {
   return typeof raw === 'object' && raw !== null && 'fleet' in raw
 }
 
-/** Reads and checks a settings file of either kind. */
+/** Reads and validates a settings file of either kind. */
 export function readAnySettings (file: string): AnySettings {
   return parseAnySettings(readText(file), file)
 }
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file of a service's VM. */
 export function readSettings (file: string): Settings {
   return parseSettings(readText(file), file)
 }
@@ -77,17 +77,17 @@
   }
 }
 
-/** All blocks of callers: from the settings and from the file that they name. */
+/** Returns all caller blocks: those in the settings and those in the file that the settings name. */
 export function readCallerBlocks (cfg: Settings, settingsFile: string): CallerBlock[] {
   if (cfg.callerBlocksFile === undefined) return cfg.callerBlocks
   const file = resolve(dirname(settingsFile), cfg.callerBlocksFile)
   const blocks: CallerBlock[] = [...cfg.callerBlocks]
-  readText(file).split('\n').forEach((line, place) => {
+  readText(file).split('\n').forEach((line, index) => {
     const text = line.trim()
     if (text === '' || text.startsWith('#')) return
     const [cidr, region, extra] = text.split(/\s+/)
     if (cidr === undefined || region === undefined || extra !== undefined) {
-      throw new LynxError('badSettings', `${file}:${place + 1}: expected 'CIDR region'`, { step: 'read', field: 'callerBlocksFile' })
+      throw new LynxError('badSettings', `${file}:${index + 1}: expected 'CIDR region'`, { step: 'read', field: 'callerBlocksFile' })
     }
     blocks.push({ cidr, region: region as RegionId })
   })
--- a/packages/daemon/src/utils/resetUnanswered.ts
+++ b/packages/daemon/src/utils/resetUnanswered.ts
@@ -1,13 +1,15 @@
-/** Ends connections so that nothing of a request that was given up is delivered later. */
+/** Resets connections instead of closing them, so that no part of an abandoned request is delivered later. */
 import type { Socket } from 'node:net'
 
 /**
- * Has a connection reset, not closed, where it ends before the peer answered what was written last.
+ * Replaces `destroy` of a socket, so that the connection is reset instead of closed if the peer has not answered the last
+ * write.
  *
- * A closed connection goes on in the kernel until the peer has acknowledged everything: what was written during a cut arrives after
- * it has healed, seconds after its sender gave it up. A reset makes the kernel forget it.
+ * The kernel keeps sending the data of a closed connection until the peer has acknowledged all of it. Data written during
+ * a network partition would arrive after the partition has healed, seconds after its sender abandoned the request. After
+ * a reset the kernel discards the data.
  *
- * @param socket one over TCP without TLS
+ * @param socket a TCP socket without TLS
  */
 export function resetUnanswered (socket: Socket): void {
   const destroy = socket.destroy.bind(socket)
--- a/packages/daemon/src/utils/senderLook.ts
+++ b/packages/daemon/src/utils/senderLook.ts
@@ -1,9 +1,9 @@
 /**
- * Looks whether the sender of a call is still there before the call is taken up.
+ * Checks before a call is processed whether its sender is still connected.
  *
- * What can go wrong: a VM is behind, and calls lie unread while their senders give them up and close their connections. A close is
- * read after the call before it, so the VM does what nobody waits for any more. It shows as orders that take effect after their
- * operators were told nothing, or sent newer ones elsewhere.
+ * On a busy VM, calls wait unread while their senders time out and close their connections. The VM reads the call before
+ * the close that follows it, so without this check it processes calls that nobody waits for. The symptom is changes that
+ * take effect after their operators got no answer, or after they sent newer changes to another VM.
  */
 import type { Socket } from 'node:net'
 import { LynxError } from '@lynxcourse/base'
@@ -11,13 +11,13 @@
 import type { Looks } from './socketLooks.js'
 
 /**
- * Waits for a look at the sender's connection.
+ * Waits for a poll phase that covers the sender's connection.
  *
- * @throws LynxError `cancelled` if the sender closed it
+ * @throws LynxError `cancelled` if the sender has closed the connection
  */
 export async function lookAtSender (looks: Looks, socket: Socket, step: string): Promise<void> {
   const peer = socket.remoteAddress ?? 'unknown'
   await nextLook(looks)
-  // The end of what the sender writes is read a turn of the event loop before the connection counts as closed.
-  if (socket.destroyed || socket.readableEnded) throw new LynxError('cancelled', 'its sender closed the connection', { step, peer })
+  // The loop reads the end of the sender's data one iteration before the socket counts as destroyed.
+  if (socket.destroyed || socket.readableEnded) throw new LynxError('cancelled', 'the sender closed the connection', { step, peer })
 }
--- a/packages/daemon/src/utils/socketLooks.ts
+++ b/packages/daemon/src/utils/socketLooks.ts
@@ -1,76 +1,77 @@
 /**
- * Waits for the event loop to look at its sockets before something is decided.
+ * Waits for the event loop to poll its sockets before a decision is made.
  *
- * What can go wrong: in one turn the loop reads a socket's data and not the end behind it, accepts one connection of all that wait, and
- * runs timers before it reads again. What is decided in that turn rests on less than the kernel has. It shows, where turns are long,
- * as work for callers that have left, as answers that count as missing, and as callers that wait unseen to be accepted.
+ * In one iteration the loop reads a socket's data but not the close behind it, accepts one of the connections in the accept
+ * queue, and runs timers before it reads again. A decision in that iteration is based on less than the kernel has received.
+ * If iterations are long, the symptoms are work for callers that have disconnected, answers that count as missing although
+ * they have arrived, and callers that wait in the accept queue without being counted.
  */
 import { setImmediate as checkPhase } from 'node:timers/promises'
 import type { Millis } from '@lynxcourse/base'
 import { presentTime } from './clock.js'
 
-/** One look of the event loop at all its sockets. */
+/** One whole poll phase of the event loop over all sockets. */
 export interface Look {
-  /** What had come by then has been read, up to what the loop reads of one socket in a turn. */
+  /** Data that had arrived by this time has been read, up to the amount that the loop reads of one socket per iteration. */
   readonly beganAt: Millis
-  /** When all that it found had been handled. */
+  /** Time at which all callbacks of the poll phase had run. */
   readonly endedAt: Millis
 }
 
-/** The looks of one event loop. */
+/** The poll phases of one event loop. */
 export interface Looks {
-  /** The look that is waited for and has not begun. */
+  /** The next poll phase, if it has been requested and has not begun. */
   next: Promise<Look> | undefined
-  /** Connections accepted so far, and how many of them there were when no further one waited. */
+  /** Number of connections accepted so far. */
   accepts: number
+  /** Value of `accepts` when the accept queue was last found empty. */
   settledAccepts: number
-  /** Ends once no connection waits to be accepted, with when its last turn began. */
+  /** Resolves once the accept queue is empty, with the start time of the last iteration; undefined while none is draining it. */
   accepting: Promise<Millis> | undefined
 }
 
-/** Work waits for connections that are to be accepted for this long at most. */
-const longestAcceptingMs: Millis = 150
+/** Limit on the wait until the accept queue is empty. */
+const maxAcceptDrainMs: Millis = 150
 
-/** No look yet. */
 export function createLooks (): Looks {
   return { next: undefined, accepts: 0, settledAccepts: 0, accepting: undefined }
 }
 
-/** Waits until the loop has looked at all sockets once more, and no connection waits to be accepted. */
+/** Waits until the loop has polled all sockets once more and the accept queue is empty, or the limit on that wait has passed. */
 export async function nextLook (looks: Looks): Promise<Look> {
-  looks.next ??= lookOnce(looks)
+  looks.next ??= pollOnce(looks)
   return await looks.next
 }
 
-/** A timer's callback that acts after a look: what it would decide on may lie unread. */
-export function afterLook (looks: Looks, act: () => void): () => Promise<void> {
+/** Wraps a timer's callback so that it runs after a poll phase: input that affects its decision may be unread. */
+export function afterLook (looks: Looks, callback: () => void): () => Promise<void> {
   return async () => {
     await nextLook(looks)
-    act()
+    callback()
   }
 }
 
-async function lookOnce (looks: Looks): Promise<Look> {
+async function pollOnce (looks: Looks): Promise<Look> {
   await checkPhase()
-  // Who asks from here on waits for the look after this one.
+  // Requests from here on wait for the poll phase after this one.
   looks.next = undefined
   let beganAt = presentTime()
   await checkPhase()
-  if (looks.accepts !== looks.settledAccepts) beganAt = await (looks.accepting ??= acceptAll(looks))
+  if (looks.accepts !== looks.settledAccepts) beganAt = await (looks.accepting ??= drainAcceptQueue(looks))
   return { beganAt, endedAt: presentTime() }
 }
 
-/** The loop accepts one connection in each turn, so it goes on without work until none waits. */
-async function acceptAll (looks: Looks): Promise<Millis> {
-  const until = presentTime() + longestAcceptingMs
-  let before: number
-  let turnBeganAt: Millis
+/** Lets the loop iterate without other work until the accept queue is empty: it accepts one connection per iteration. */
+async function drainAcceptQueue (looks: Looks): Promise<Millis> {
+  const deadline = presentTime() + maxAcceptDrainMs
+  let acceptsBefore: number
+  let iterationBeganAt: Millis
   do {
-    before = looks.accepts
-    turnBeganAt = presentTime()
+    acceptsBefore = looks.accepts
+    iterationBeganAt = presentTime()
     await checkPhase()
-  } while (looks.accepts !== before && presentTime() < until)
+  } while (looks.accepts !== acceptsBefore && presentTime() < deadline)
   looks.settledAccepts = looks.accepts
   looks.accepting = undefined
-  return turnBeganAt
+  return iterationBeganAt
 }
