--- a/packages/daemon/__tests__/loopWatch.test.ts
+++ b/packages/daemon/__tests__/loopWatch.test.ts
@@ -1,20 +1,20 @@
-/** What the watch of the event loop tells of a process that did not run for a while. */
+/** Detection of a blocked event loop. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { delay, openLoopWatch, presentTime } from '@lynxcourse/daemon'
 
-const stopMs = 800
+const blockedMs = 800
 
-/** Guards against logs in which a VM that was frozen looks like one that was cut off. */
-test('a loop that stood still says so once it goes on', async () => {
-  const stops: number[] = []
-  const late: number[] = []
-  await using watch = openLoopWatch(forMs => stops.push(forMs), lateMs => late.push(lateMs))
+/** Guards against logs in which a VM whose process was stopped can't be distinguished from a VM without network. */
+test('a blocked event loop is reported as soon as it runs again', async () => {
+  const blocks: number[] = []
+  const lateness: number[] = []
+  await using watch = openLoopWatch(forMs => blocks.push(forMs), lateMs => lateness.push(lateMs))
   await delay(0)
-  const until = presentTime() + stopMs
-  while (presentTime() < until) { /* the loop stands still */ }
-  while (stops.length === 0) await delay(10)
-  assert.ok(watch.turns.checkpointAt >= until)
-  assert.ok((stops[0] as number) >= stopMs / 2, `${stops.join()}`)
-  assert.equal(Math.max(...late), stops[0])
+  const blockedUntil = presentTime() + blockedMs
+  while (presentTime() < blockedUntil) { /* blocks the loop */ }
+  while (blocks.length === 0) await delay(10)
+  assert.ok(watch.turns.checkpointAt >= blockedUntil)
+  assert.ok((blocks[0] as number) >= blockedMs / 2, `${blocks.join()}`)
+  assert.equal(Math.max(...lateness), blocks[0])
 })
--- a/packages/daemon/__tests__/settings.test.ts
+++ b/packages/daemon/__tests__/settings.test.ts
@@ -9,7 +9,8 @@
 const seed = 37
 console.log(`seed ${seed}`)
 
-async function fieldOf (change: object): Promise<string | undefined> {
+/** Returns the field that the error for these settings names; undefined if the settings are valid. */
+async function getInvalidField (change: object): Promise<string | undefined> {
   const text = stringify({ ...await oneVmSettings('/tmp/x'), ...change })
   try {
     parseSettings(text, 'vm.yaml')
@@ -21,24 +22,24 @@
   }
 }
 
-test('sound settings are taken', async () => {
-  assert.equal(await fieldOf({}), undefined)
+test('valid settings are accepted', async () => {
+  assert.equal(await getInvalidField({}), undefined)
 })
 
 test('an error names the file and the key', async () => {
-  assert.equal(await fieldOf({ roles: ['king'] }), 'roles.0')
-  assert.equal(await fieldOf({ colour: 'red' }), '')
-  assert.equal(await fieldOf({ vm: 7 }), 'vm')
-  assert.equal(await fieldOf({ listen: { http: '127.0.0.1:1', rpc: '127.0.0.1:1', metrics: '127.0.0.1:2' } }), 'listen')
-  assert.equal(await fieldOf({ listen: { http: 'localhost:1', rpc: '127.0.0.1:1', metrics: '127.0.0.1:2' } }), 'listen.http')
-  assert.equal(await fieldOf({ listen: { http: '192.0.2.1:1', rpc: '127.0.0.1:1', metrics: '127.0.0.1:2' } }), 'listen', 'only loopback without TLS')
-  assert.equal(await fieldOf({ failureDomain: 'delhi-a' }), 'failureDomain')
-  assert.equal(await fieldOf({ dataFolder: undefined }), 'dataFolder')
-  assert.equal(await fieldOf({ times: { electionMs: 100, heartbeatMs: 100 } }), 'times.electionMs')
-  assert.equal(await fieldOf({ limits: { maxBodyBytes: -1 } }), 'limits.maxBodyBytes')
+  assert.equal(await getInvalidField({ roles: ['king'] }), 'roles.0')
+  assert.equal(await getInvalidField({ colour: 'red' }), '')
+  assert.equal(await getInvalidField({ vm: 7 }), 'vm')
+  assert.equal(await getInvalidField({ listen: { http: '127.0.0.1:1', rpc: '127.0.0.1:1', metrics: '127.0.0.1:2' } }), 'listen')
+  assert.equal(await getInvalidField({ listen: { http: 'localhost:1', rpc: '127.0.0.1:1', metrics: '127.0.0.1:2' } }), 'listen.http')
+  assert.equal(await getInvalidField({ listen: { http: '192.0.2.1:1', rpc: '127.0.0.1:1', metrics: '127.0.0.1:2' } }), 'listen', 'only loopback without TLS')
+  assert.equal(await getInvalidField({ failureDomain: 'delhi-a' }), 'failureDomain')
+  assert.equal(await getInvalidField({ dataFolder: undefined }), 'dataFolder')
+  assert.equal(await getInvalidField({ times: { electionMs: 100, heartbeatMs: 100 } }), 'times.electionMs')
+  assert.equal(await getInvalidField({ limits: { maxBodyBytes: -1 } }), 'limits.maxBodyBytes')
 })
 
-test('any text is settings or a clear error', () => {
+test('any text is either valid settings or fails with LynxError badSettings', () => {
   fc.assert(fc.property(fc.oneof(fc.string(), fc.json()), text => {
     try {
       parseSettings(text, 'x.yaml')
@@ -58,9 +59,9 @@
   seeds: ['127.0.1.1:7100']
 }
 
-function fleetFieldOf (change: object, beside: object = {}): string | undefined {
+function getInvalidFleetField (change: object, topLevelKeys: object = {}): string | undefined {
   try {
-    parseAnySettings(stringify({ fleet: { ...fleetVm, ...change }, ...beside }), 'vm.yaml')
+    parseAnySettings(stringify({ fleet: { ...fleetVm, ...change }, ...topLevelKeys }), 'vm.yaml')
     return undefined
   } catch (err) {
     assert.ok(isLynxError(err, 'badSettings'))
@@ -69,21 +70,21 @@
   }
 }
 
-test('a fleet\'s settings: times left out keep their defaults, the RPC address is advertised as it is or as told', () => {
-  const read = parseAnySettings(stringify({ fleet: { ...fleetVm, times: { missMs: 2500 }, advertisedRpc: '127.0.9.9:7100' } }), 'vm.yaml')
-  assert.ok(read.kind === 'fleet')
-  assert.deepEqual([read.cfg.times.missMs, read.cfg.times.watchMs], [2500, 1000])
-  assert.deepEqual([read.cfg.rpc, read.cfg.rpcListen], ['127.0.9.9:7100', '127.0.1.2:7100'])
-  assert.equal(read.cfg.regions.get('mumbai-a' as never), 'mumbai')
+test('a fleet\'s settings: omitted times have default values, and the advertised RPC address may differ from the listen address', () => {
+  const settings = parseAnySettings(stringify({ fleet: { ...fleetVm, times: { missMs: 2500 }, advertisedRpc: '127.0.9.9:7100' } }), 'vm.yaml')
+  assert.ok(settings.kind === 'fleet')
+  assert.deepEqual([settings.cfg.times.missMs, settings.cfg.times.watchMs], [2500, 1000])
+  assert.deepEqual([settings.cfg.rpc, settings.cfg.rpcListen], ['127.0.9.9:7100', '127.0.1.2:7100'])
+  assert.equal(settings.cfg.regions.get('mumbai-a' as never), 'mumbai')
 })
 
 test('a fleet\'s settings: an error names the file and the key', () => {
-  assert.equal(fleetFieldOf({}), undefined)
-  assert.equal(fleetFieldOf({ roles: ['king'] }), 'fleet.roles.0')
-  assert.equal(fleetFieldOf({ failureDomain: 'delhi-a' }), 'fleet.failureDomain')
-  assert.equal(fleetFieldOf({ roles: ['control'] }), 'fleet.dataFolder')
-  assert.equal(fleetFieldOf({ listen: { rpc: '127.0.1.2:7100', metrics: '127.0.1.2:7200' } }), 'fleet.listen.callers')
-  assert.equal(fleetFieldOf({ listen: { ...fleetVm.listen, rpc: '192.0.2.1:7100' } }), 'fleet.listen')
-  assert.equal(fleetFieldOf({ times: { watchMs: 0 } }), 'fleet.times.watchMs')
-  assert.equal(fleetFieldOf({}, { colour: 'red' }), 'colour')
+  assert.equal(getInvalidFleetField({}), undefined)
+  assert.equal(getInvalidFleetField({ roles: ['king'] }), 'fleet.roles.0')
+  assert.equal(getInvalidFleetField({ failureDomain: 'delhi-a' }), 'fleet.failureDomain')
+  assert.equal(getInvalidFleetField({ roles: ['control'] }), 'fleet.dataFolder')
+  assert.equal(getInvalidFleetField({ listen: { rpc: '127.0.1.2:7100', metrics: '127.0.1.2:7200' } }), 'fleet.listen.callers')
+  assert.equal(getInvalidFleetField({ listen: { ...fleetVm.listen, rpc: '192.0.2.1:7100' } }), 'fleet.listen')
+  assert.equal(getInvalidFleetField({ times: { watchMs: 0 } }), 'fleet.times.watchMs')
+  assert.equal(getInvalidFleetField({}, { colour: 'red' }), 'colour')
 })
--- a/packages/daemon/__tests__/storage.test.ts
+++ b/packages/daemon/__tests__/storage.test.ts
@@ -23,7 +23,7 @@
   return { hardState: undefined, entries: [], snapshot: undefined, installSnapshot: false, messages: [], committed: [], confirmedReads: [], failedReads: [], proposed: [], ...fields }
 }
 
-async function inFolder (work: (folder: string) => Promise<void>): Promise<void> {
+async function withFolder (work: (folder: string) => Promise<void>): Promise<void> {
   const folder = await mkdtemp(join(tmpdir(), 'lynxcourse-log-'))
   try {
     await work(folder)
@@ -32,7 +32,7 @@
   }
 }
 
-/** A log with entries 1 to 3 of term 1, of which 3 was replaced in term 2. */
+/** Writes a log with entries 1 to 3 of term 1, and a replacement for entry 3 of term 2. */
 async function writeLog (folder: string): Promise<void> {
   const { storage } = await openStorage(folder)
   await writeSnapshot(storage, createInitialSnapshot([voter], ''))
@@ -41,41 +41,42 @@
   await storage[Symbol.asyncDispose]()
 }
 
-async function indexesIn (folder: string): Promise<Array<[number, number]> | undefined> {
+/** Returns index and term of each entry. */
+async function readEntryIds (folder: string): Promise<Array<[number, number]> | undefined> {
   const { storage, stored } = await openStorage(folder)
   await storage[Symbol.asyncDispose]()
-  return stored?.entries.map(one => [one.index, one.term])
+  return stored?.entries.map(item => [item.index, item.term])
 }
 
-test('what was saved is read back, the later of two entries at one index', async () => {
-  await inFolder(async folder => {
+test('opening the log reads all saved entries, and only the last entry at each index', async () => {
+  await withFolder(async folder => {
     await writeLog(folder)
-    assert.deepEqual(await indexesIn(folder), [[1, 1], [2, 1], [3, 2]])
+    assert.deepEqual(await readEntryIds(folder), [[1, 1], [2, 1], [3, 2]])
     const { storage, stored } = await openStorage(folder)
     assert.deepEqual(stored?.hardState, { term: 2 })
     await storage[Symbol.asyncDispose]()
   })
 })
 
-test('a torn last record is cut off, and the log goes on after it', async () => {
-  // Guards against this failure: the VM does not start after a power cut.
-  await inFolder(async folder => {
+test('an incomplete last record is truncated, and new entries can be appended', async () => {
+  // Guards against this failure: the VM does not start after a power failure.
+  await withFolder(async folder => {
     await writeLog(folder)
     const whole = await readFile(join(folder, 'log'))
     for (const cut of [1, 5, 20]) {
       await writeFile(join(folder, 'log'), whole.subarray(0, whole.length - cut))
-      assert.deepEqual(await indexesIn(folder), [[1, 1], [2, 1], [3, 1]])
+      assert.deepEqual(await readEntryIds(folder), [[1, 1], [2, 1], [3, 1]])
     }
     const { storage } = await openStorage(folder)
     await saveOutput(storage, output({ entries: [entry(4, 3)] }), [])
     await storage[Symbol.asyncDispose]()
-    assert.deepEqual(await indexesIn(folder), [[1, 1], [2, 1], [3, 1], [4, 3]])
+    assert.deepEqual(await readEntryIds(folder), [[1, 1], [2, 1], [3, 1], [4, 3]])
   })
 })
 
-test('damage in the middle is not passed over', async () => {
-  // Guards against this failure: committed entries vanish.
-  await inFolder(async folder => {
+test('a damaged record in the middle is an error', async () => {
+  // Guards against this failure: committed entries are lost without an error.
+  await withFolder(async folder => {
     await writeLog(folder)
     const bytes = await readFile(join(folder, 'log'))
     bytes[20] = (bytes[20] ?? 0) ^ 255
@@ -84,20 +85,20 @@
   })
 })
 
-test('a snapshot replaces the entries that it covers', async () => {
-  await inFolder(async folder => {
+test('a snapshot replaces the entries that it covers, and a damaged snapshot is an error', async () => {
+  await withFolder(async folder => {
     await writeLog(folder)
     const { storage } = await openStorage(folder)
     const snapshot = { ...createInitialSnapshot([voter], 'state'), index: 2, term: 1 }
     await saveOutput(storage, output({ snapshot }), [entry(3, 2)])
     await storage[Symbol.asyncDispose]()
-    assert.deepEqual(await indexesIn(folder), [[3, 2]])
+    assert.deepEqual(await readEntryIds(folder), [[3, 2]])
     await appendFile(join(folder, 'snapshot'), 'x')
     await assert.rejects(openStorage(folder), err => isLynxError(err, 'corruptLog'))
   })
 })
 
-test('any bytes are a log, a torn log or a clear error', () => {
+test('any bytes either parse or fail with LynxError corruptLog', () => {
   const bytes = fc.uint8Array({ maxLength: 300 })
   fc.assert(fc.property(bytes, raw => {
     for (const parse of [parseLog, parseSnapshot]) {
@@ -110,14 +111,14 @@
   }), { seed, numRuns: 500 })
 })
 
-test('a log cut off anywhere gives a prefix of its entries', async () => {
-  await inFolder(async folder => {
+test('a log truncated at any byte parses to a prefix of its records', async () => {
+  await withFolder(async folder => {
     await writeLog(folder)
     const whole = await readFile(join(folder, 'log'))
-    const all = parseLog(whole).records
+    const allRecords = parseLog(whole).records
     for (let length = 0; length <= whole.length; length++) {
       const { records } = parseLog(whole.subarray(0, length))
-      assert.deepEqual(records, all.slice(0, records.length))
+      assert.deepEqual(records, allRecords.slice(0, records.length))
     }
   })
 })
--- a/packages/daemon/__tests__/support/certificates.ts
+++ b/packages/daemon/__tests__/support/certificates.ts
@@ -1,19 +1,22 @@
-/** Certificates made at test time. */
+/** Creates certificates for tests. */
 import { writeFile } from 'node:fs/promises'
 import { join } from 'node:path'
 import { generate } from 'selfsigned'
 
+/** A certificate with its private key, and the certificate of its authority, in PEM format. */
 export interface Identity {
   readonly cert: string
   readonly key: string
   readonly ca: string
 }
 
-/** An authority and what it signs. */
+/** A certificate authority. */
 export interface Authority {
+  /** Creates a key and a certificate with this common name. */
   sign: (name: string) => Promise<Identity>
 }
 
+/** Creates a certificate authority with a self-signed certificate. */
 export async function makeAuthority (): Promise<Authority> {
   const ca = await generate([{ name: 'commonName', value: 'test authority' }], {
     keySize: 2048,
@@ -22,15 +25,15 @@
   })
   return {
     sign: async name => {
-      const made = await generate([{ name: 'commonName', value: name }], {
+      const signed = await generate([{ name: 'commonName', value: name }], {
         keySize: 2048, algorithm: 'sha256', ca: { key: ca.private, cert: ca.cert }, extensions: [{ name: 'basicConstraints', cA: false }]
       })
-      return { cert: made.cert, key: made.private, ca: ca.cert }
+      return { cert: signed.cert, key: signed.private, ca: ca.cert }
     }
   }
 }
 
-/** Writes an identity as the files that settings name. */
+/** Writes an identity as PEM files and returns their paths, keyed as in the settings. */
 export async function writeIdentityFiles (folder: string, identity: Identity): Promise<{ certFile: string, keyFile: string, caFile: string }> {
   const files = { certFile: join(folder, 'cert.pem'), keyFile: join(folder, 'key.pem'), caFile: join(folder, 'ca.pem') }
   await writeFile(files.caFile, identity.ca)
--- a/packages/daemon/__tests__/support/fleetRig.ts
+++ b/packages/daemon/__tests__/support/fleetRig.ts
@@ -1,4 +1,4 @@
-/** A small fleet in one process, with backend servers that tests steer. */
+/** A fixture for tests: a small fleet in one process, with backend servers that the tests control. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { mkdtemp, rm } from 'node:fs/promises'
@@ -20,7 +20,7 @@
 const region = brandId<RegionId>('kochi')
 const domain = brandId<FailureDomainId>('kochi-a')
 const pollMs = 20
-const settleMs = 15_000
+const waitTimeoutMs = 15_000
 
 export interface FleetRig extends AsyncDisposable {
   readonly folder: string
@@ -28,70 +28,72 @@
   readonly daemons: Array<FleetDaemon | undefined>
 }
 
-/** Starts three control VMs that found the group, and so many entry VMs after them. */
-export async function startRig (entries: number): Promise<FleetRig> {
-  const controls = 3
-  const ports = await freePorts((controls + entries) * 3)
+/** Starts three control VMs, which form the initial group, and then the entry VMs. */
+export async function startRig (entryCount: number): Promise<FleetRig> {
+  const controlCount = 3
+  const ports = await freePorts((controlCount + entryCount) * 3)
   const folder = await mkdtemp(join(tmpdir(), 'lynx-fleet-'))
-  const at = (place: number): string => `127.0.0.1:${ports[place]}`
-  const seeds = Array.from({ length: controls }, (_, place) => at(place * 3))
-  const settings = Array.from({ length: controls + entries }, (_, place): FleetSettings => ({
-    name: `vm-${place}`,
-    roles: place < controls ? ['control'] : ['entry'],
+  const getAddress = (portIndex: number): string => `127.0.0.1:${ports[portIndex]}`
+  const seeds = Array.from({ length: controlCount }, (_, index) => getAddress(index * 3))
+  const settings = Array.from({ length: controlCount + entryCount }, (_, index): FleetSettings => ({
+    name: `vm-${index}`,
+    roles: index < controlCount ? ['control'] : ['entry'],
     region,
     failureDomain: domain,
     regions: new Map([[domain, region]]),
-    rpc: at(place * 3),
-    callers: place < controls ? undefined : at(place * 3 + 1),
-    metrics: at(place * 3 + 2),
+    rpc: getAddress(index * 3),
+    callers: index < controlCount ? undefined : getAddress(index * 3 + 1),
+    metrics: getAddress(index * 3 + 2),
     seeds,
     isFirstStart: true,
-    dataFolder: join(folder, `vm-${place}`),
+    dataFolder: join(folder, `vm-${index}`),
     retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 50 },
     times: { ...defaultFleetTimes, stopMs: 2000 },
     log: { format: 'json', level: 'error', parts: {} }
   }))
-  const rig: FleetRig = {
+  const fixture: FleetRig = {
     folder,
     settings,
     daemons: [],
     [Symbol.asyncDispose]: async () => {
-      for (const daemon of rig.daemons) await daemon?.[Symbol.asyncDispose]()
+      for (const daemon of fixture.daemons) await daemon?.[Symbol.asyncDispose]()
       await rm(folder, { recursive: true, force: true })
     }
   }
   try {
-    for (const cfg of settings) rig.daemons.push(await startVm(cfg))
+    for (const cfg of settings) fixture.daemons.push(await startVm(cfg))
   } catch (err) {
-    // Daemons that live on, since a port was taken before the next one listened, would hold the whole test file up.
-    await rig[Symbol.asyncDispose]()
+    // A daemon fails to start if another process takes its port first. The other daemons would keep the test process running.
+    await fixture[Symbol.asyncDispose]()
     throw err
   }
-  return rig
+  return fixture
 }
 
+/** Starts one VM, without logs. */
 export async function startVm (cfg: FleetSettings): Promise<FleetDaemon> {
   return await startFleetDaemon(cfg, { callers: new OwnCallerDialect(), servers: new OwnServerDialect() }, { logs: silentLogs() })
 }
 
-export function controlOf (rig: FleetRig, place: number): FleetControl {
-  return rig.daemons[place]?.control as FleetControl
+/** Returns the control role of a VM. */
+export function controlOf (fixture: FleetRig, index: number): FleetControl {
+  return fixture.daemons[index]?.control as FleetControl
 }
 
-/** Waits until a question is answered with yes. */
-export async function until (ask: () => boolean | Promise<boolean>): Promise<void> {
-  const end = Date.now() + settleMs
-  while (!await ask()) {
-    if (Date.now() > end) throw new Error('did not come true in time')
+/** Waits until a condition is true; fails after 15 s. */
+export async function until (condition: () => boolean | Promise<boolean>): Promise<void> {
+  const deadline = Date.now() + waitTimeoutMs
+  while (!await condition()) {
+    if (Date.now() > deadline) throw new Error('the condition did not become true in time')
     await new Promise(resolve => setTimeout(resolve, pollMs))
   }
 }
 
-/** Submits a command at any control VM until it is judged. */
-export async function submit (rig: FleetRig, command: RouteCommand): Promise<ChangeAnswer> {
+/** Submits a command to the control VMs in turn until one of them returns an answer. */
+export async function submit (fixture: FleetRig, command: RouteCommand): Promise<ChangeAnswer> {
   let answer: ChangeAnswer | undefined
   await until(async () => {
-    for (const daemon of rig.daemons) {
+    for (const daemon of fixture.daemons) {
       if (daemon?.control === undefined) continue
       answer = await submitRouteCommand(daemon.control, command).catch(() => undefined)
       if (answer !== undefined) return true
@@ -101,28 +103,33 @@
   return answer as ChangeAnswer
 }
 
-export function routeTo (name: string, parts: Partial<Route> = {}): Route {
-  return route(name, { timeoutMs: 1500, isSticky: false, ...parts })
+/** Creates a route to the service `desk`. */
+export function routeTo (name: string, fields: Partial<Route> = {}): Route {
+  return route(name, { timeoutMs: 1500, isSticky: false, ...fields })
 }
 
+/** Creates a command that replaces all routes, with the service `desk` as the only upstream. */
 export function replaceOrder (order: string, baseVersion: number, routesVersion: number, routes: readonly Route[]): RouteCommand {
   const upstream = { name: desk, healthPath: '/health', maxConnections: 100, warmupMs: 0, warmupPerSecond: 1000, annotations: {} }
   const limits = { maxHeaderBytes: 16_384, maxBodyBytes: 100_000, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 }
   return { type: 'replaceRoutes', order: order as RouteChangeId, baseVersion, routesVersion, set: { routes, upstreams: [upstream], limits } }
 }
 
-/** A backend server whose answers the test writes. */
+/** A backend server whose requests are handled by the test. */
 export interface FakeServer extends AsyncDisposable {
+  /** The server's announcement. */
   readonly facts: BackendAnnouncement
+  /** All requests so far. */
   readonly requests: IncomingMessage[]
   readonly server: Server
 }
 
-export async function startServer (id: string, answer: (req: IncomingMessage, res: ServerResponse) => void): Promise<FakeServer> {
+/** Starts a backend server of the service `desk`. It is not announced yet. */
+export async function startServer (id: string, handler: (req: IncomingMessage, res: ServerResponse) => void): Promise<FakeServer> {
   const requests: IncomingMessage[] = []
   const server = createServer((req, res) => {
     requests.push(req)
-    answer(req, res)
+    handler(req, res)
   })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
@@ -138,14 +145,15 @@
   }
 }
 
-/** Announces servers and publishes routes, then waits for the entry VM to know them. */
-export async function publish (rig: FleetRig, servers: readonly FakeServer[], routes: readonly Route[]): Promise<void> {
-  await submit(rig, replaceOrder('first', 0, 1, routes))
-  for (const { facts } of servers) await until(async () => await takeAnnouncement(controlOf(rig, 0), facts, presentTime()).then(() => true, () => false))
-  const entry = rig.daemons.at(-1) as FleetDaemon
+/** Publishes routes and announces servers, then waits until the last VM, an entry VM, has both. */
+export async function publish (fixture: FleetRig, servers: readonly FakeServer[], routes: readonly Route[]): Promise<void> {
+  await submit(fixture, replaceOrder('first', 0, 1, routes))
+  for (const { facts } of servers) await until(async () => await takeAnnouncement(controlOf(fixture, 0), facts, presentTime()).then(() => true, () => false))
+  const entry = fixture.daemons.at(-1) as FleetDaemon
   await until(() => isFleetReady(entry) && entry.gateway?.fleet.byId.size === servers.length && entry.gateway.table.size > 0)
 }
 
+/** A response with its whole body. */
 export interface Got {
   readonly status: number
   readonly body: string
@@ -153,8 +161,8 @@
 }
 
 /** Sends a request to the last VM, an entry VM. */
-export async function ask (rig: FleetRig, path: string, method: 'GET' | 'POST' = 'GET', headers: Record<string, string> = {}): Promise<Got> {
-  const address = rig.settings.at(-1)?.callers ?? ''
+export async function ask (fixture: FleetRig, path: string, method: 'GET' | 'POST' = 'GET', headers: Record<string, string> = {}): Promise<Got> {
+  const address = fixture.settings.at(-1)?.callers ?? ''
   const res = await request(`http://${address}${path}`, { method, headers: { host: 'a.example', ...headers }, body: method === 'POST' ? 'offer' : null })
   return { status: res.statusCode, body: await res.body.text(), headers: res.headers }
 }
--- a/packages/daemon/__tests__/support/freePorts.ts
+++ b/packages/daemon/__tests__/support/freePorts.ts
@@ -1,32 +1,35 @@
-/** Ports for tests. */
+/** Finds free ports for tests. */
 import { createServer } from 'node:net'
 
-/** Ports below those that the system gives out by itself, and a block for each process, so that hardly anybody takes one between its choice and its use. */
+/**
+ * The ports are below the operating system's ephemeral ports, and each process has its own block. It is therefore unlikely
+ * that another process takes a port between its selection and its use.
+ */
 const firstPort = 10_240
 const blockPorts = 100
-const blocks = 220
+const blockCount = 220
 
-const block = firstPort + (process.pid % blocks) * blockPorts
-let taken = 0
+const firstPortOfProcess = firstPort + (process.pid % blockCount) * blockPorts
+let nextOffset = 0
 
 async function isFree (port: number): Promise<boolean> {
   return await new Promise(resolve => {
-    const holder = createServer()
-    holder.once('error', () => resolve(false))
-    holder.listen(port, '127.0.0.1', () => holder.close(() => resolve(true)))
+    const server = createServer()
+    server.once('error', () => resolve(false))
+    server.listen(port, '127.0.0.1', () => server.close(() => resolve(true)))
   })
 }
 
-/** Finds a free port on loopback. */
+/** Returns a free port on loopback. */
 export async function freePort (): Promise<number> {
-  for (let tries = 0; tries < blockPorts; tries++) {
-    const port = block + taken++ % blockPorts
+  for (let attempt = 0; attempt < blockPorts; attempt++) {
+    const port = firstPortOfProcess + nextOffset++ % blockPorts
     if (await isFree(port)) return port
   }
-  throw new Error(`no free port from ${block} on`)
+  throw new Error(`no free port from ${firstPortOfProcess} on`)
 }
 
-/** Finds so many free ports. */
+/** Returns `count` free ports on loopback. */
 export async function freePorts (count: number): Promise<number[]> {
   const ports: number[] = []
   while (ports.length < count) ports.push(await freePort())
--- a/packages/daemon/__tests__/support/heldLink.ts
+++ b/packages/daemon/__tests__/support/heldLink.ts
@@ -1,32 +1,35 @@
-/** A TCP forwarder on loopback that holds requests on their way, as a network does that is cut for a while. */
+/** A TCP forwarder on loopback that can hold back requests, to simulate a temporary network partition. */
 import { once } from 'node:events'
 import { connect, createServer } from 'node:net'
 import type { AddressInfo, Socket } from 'node:net'
 
+/** A running forwarder. */
 export interface HeldLink extends AsyncDisposable {
   readonly address: string
+  /** Starts the partition: data from clients is buffered. */
   readonly cut: () => void
-  /** Ends the cut: what is held arrives. */
+  /** Ends the partition: the buffered data is delivered. */
   readonly heal: () => void
 }
 
-interface Direction {
+/** One forwarded connection. */
+interface Link {
   readonly near: Socket
   readonly far: Socket
-  /** What the sender's kernel would send again until the cut is over. */
-  held: Buffer[]
+  /** Data that the client's kernel would resend until the partition ends. */
+  pendingChunks: Buffer[]
   isEnded: boolean
 }
 
 /** Starts a forwarder to `IP:port`. */
 export async function startHeldLink (target: string): Promise<HeldLink> {
   const [host, port] = target.split(':')
-  const directions = new Set<Direction>()
+  const links = new Set<Link>()
   let isCut = false
   const server = createServer({ allowHalfOpen: true }, near => {
-    const direction: Direction = { near, far: connect(Number(port), host), held: [], isEnded: false }
-    directions.add(direction)
-    forward(direction, () => isCut)
+    const link: Link = { near, far: connect(Number(port), host), pendingChunks: [], isEnded: false }
+    links.add(link)
+    forward(link, () => isCut)
   }).listen(0, '127.0.0.1')
   await once(server, 'listening')
   return {
@@ -34,10 +37,10 @@
     cut: () => { isCut = true },
     heal: () => {
       isCut = false
-      for (const direction of directions) arrive(direction)
+      for (const link of links) deliver(link)
     },
     [Symbol.asyncDispose]: async () => {
-      for (const { near, far } of directions) {
+      for (const { near, far } of links) {
         near.destroy()
         far.destroy()
       }
@@ -46,26 +49,27 @@
   }
 }
 
-function forward (direction: Direction, isCut: () => boolean): void {
-  const { near, far } = direction
+function forward (link: Link, isCut: () => boolean): void {
+  const { near, far } = link
   near.on('data', chunk => {
-    direction.held.push(chunk)
-    if (!isCut()) arrive(direction)
+    link.pendingChunks.push(chunk)
+    if (!isCut()) deliver(link)
   })
   near.on('end', () => {
-    direction.isEnded = true
-    if (!isCut()) arrive(direction)
+    link.isEnded = true
+    if (!isCut()) deliver(link)
   })
   near.on('error', () => {
-    // A kernel that resets a connection forgets what it has not got through.
-    direction.held = []
+    // A kernel that resets a connection discards the data that was not delivered.
+    link.pendingChunks = []
     far.destroy()
   })
   far.on('error', () => near.destroy())
   far.pipe(near)
 }
 
-function arrive (direction: Direction): void {
-  for (const chunk of direction.held.splice(0)) direction.far.write(chunk)
-  if (direction.isEnded) direction.far.end()
+/** Sends the buffered data to the target. */
+function deliver (link: Link): void {
+  for (const chunk of link.pendingChunks.splice(0)) link.far.write(chunk)
+  if (link.isEnded) link.far.end()
 }
--- a/packages/daemon/__tests__/support/rig.ts
+++ b/packages/daemon/__tests__/support/rig.ts
@@ -1,4 +1,4 @@
-/** One daemon with both roles in this process, and small stand-in backend servers. */
+/** A fixture for tests: a daemon with both roles in this process, and backend servers. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { mkdtemp, rm } from 'node:fs/promises'
@@ -13,32 +13,39 @@
 
 export const testSeed = 31
 
-/** Short times, so that tests end soon. */
+/** Short times, so that tests are fast. */
 export const testTimes = { electionMs: 300, heartbeatMs: 50, syncMs: 100, reportMs: 100, slowStartMs: 1 }
 
-/** How long nobody may lead before a change counts as failed. */
-const unledMs = 15_000
+/** Time without a leader after which a change fails. */
+const leaderTimeoutMs = 15_000
 
-export async function soon (what: string, test: () => Promise<boolean> | boolean): Promise<void> {
-  const end = Date.now() + 15_000
-  while (Date.now() < end) {
-    if (await Promise.resolve().then(test).catch(() => false)) return
+/**
+ * Waits until a condition is true; fails after 15 s. A condition that throws counts as false.
+ *
+ * @param event description of the condition, for the error
+ */
+export async function soon (event: string, condition: () => Promise<boolean> | boolean): Promise<void> {
+  const deadline = Date.now() + 15_000
+  while (Date.now() < deadline) {
+    if (await Promise.resolve().then(condition).catch(() => false)) return
     await new Promise(resolve => setTimeout(resolve, 20))
   }
-  throw new Error(`did not happen: ${what}`)
+  throw new Error(`did not happen in time: ${event}`)
 }
 
+/** A running daemon with its RPC client. */
 export interface Rig extends AsyncDisposable {
   readonly daemon: Daemon
   readonly http: string
   readonly rpc: string
   readonly client: RpcClient
+  /** Submits a change and waits for its answer. */
   change: (fields: object, changeId?: string) => Promise<{ ok: boolean }>
 }
 
-let changes = 0
+let changeCount = 0
 
-/** A settings object for one VM on loopback. */
+/** Creates the settings of a single VM on loopback with free ports. */
 export async function oneVmSettings (folder: string, extra: Partial<SettingsInput> = {}): Promise<SettingsInput> {
   const [http, rpc, metrics] = [await freePort(), await freePort(), await freePort()].map(port => `127.0.0.1:${port}`) as [string, string, string]
   return {
@@ -54,21 +61,21 @@
   } as SettingsInput
 }
 
-/** Starts a daemon that is its own cluster, with a profile for the service `offers`. */
+/** Starts a daemon that is the only VM of its cluster, and publishes a profile for the service `offers`. */
 export async function startRig (extra: Partial<SettingsInput> = {}, profile: object = {}): Promise<Rig> {
   const folder = await mkdtemp(join(tmpdir(), 'lynxcourse-test-'))
   const cfg = settingsSchema.parse(await oneVmSettings(folder, { times: testTimes, ...extra }))
   const daemon = await startDaemon(cfg, cfg.callerBlocks, { logs: silentLogs(), seed: testSeed })
   const client = createRpcClient({ timeoutMs: 3000, localAddress: '', tls: () => undefined, metrics: undefined })
   const { rpc, http } = cfg.listen
-  const rig: Rig = {
+  const fixture: Rig = {
     daemon,
     http: `http://${http}`,
     rpc,
     client,
     change: async (fields, changeId) => {
-      const change = { changeId: changeId ?? `change-${testSeed}-${changes++}`, operator: 'test', ...fields }
-      return await whileUnled(async () => await callPeer(client, rpc, 'change.submit', { change }))
+      const change = { changeId: changeId ?? `change-${testSeed}-${changeCount++}`, operator: 'test', ...fields }
+      return await retryWithoutLeader(async () => await callPeer(client, rpc, 'change.submit', { change }))
     },
     [Symbol.asyncDispose]: async () => {
       await client[Symbol.asyncDispose]()
@@ -77,16 +84,17 @@
     }
   }
   try {
-    await found(rig, profile)
+    await initCluster(fixture, profile)
   } catch (err) {
-    // A daemon that lives on would hold the whole test file up.
-    await rig[Symbol.asyncDispose]()
+    // A daemon that is not stopped would keep the test process running.
+    await fixture[Symbol.asyncDispose]()
     throw err
   }
-  return rig
+  return fixture
 }
 
-async function found ({ client, rpc, change }: Rig, profile: object): Promise<void> {
+/** Forms the cluster and publishes the profile. */
+async function initCluster ({ client, rpc, change }: Rig, profile: object): Promise<void> {
   const info = await callPeer<{ id: string }>(client, rpc, 'cluster.info', {})
   await callPeer(client, rpc, 'cluster.init', { cluster: 'test-cluster', voters: [info.id] })
   await soon('the VM leads', async () => (await callPeer<{ current: boolean }>(client, rpc, 'query.status', {})).current)
@@ -95,34 +103,36 @@
 }
 
 /**
- * Sends a change again, under its id, while nobody leads. Beside busy processes the one voter may be held up for longer than a term
- * lasts; what a change does is not about that.
+ * Retries a change under its id while there is no leader. On a busy machine the only voter may be delayed for longer than
+ * the election timeout, which is not what the tests of changes are about.
  */
-async function whileUnled<Answer> (submit: () => Promise<Answer>): Promise<Answer> {
-  const end = presentTime() + unledMs
+async function retryWithoutLeader<Answer> (submit: () => Promise<Answer>): Promise<Answer> {
+  const deadline = presentTime() + leaderTimeoutMs
   for (;;) {
     try {
       return await submit()
     } catch (err) {
-      if (!isLynxError(err, 'notLeader') || presentTime() > end) throw err
+      if (!isLynxError(err, 'notLeader') || presentTime() > deadline) throw err
       await new Promise(resolve => setTimeout(resolve, 50))
     }
   }
 }
 
+/** A running backend server. */
 export interface Backend extends AsyncDisposable {
   readonly address: string
   readonly name: string
-  /** How often each id ran. */
+  /** Number of requests by request id. */
   readonly runs: Map<string, number>
   handler: (req: IncomingMessage, res: ServerResponse) => void
+  /** Announces the server and returns the status of the response. */
   announce: (fields?: object) => Promise<number>
 }
 
-let backends = 0
+let backendCount = 0
 
-/** Starts a stand-in server that echoes a header, and announces it. */
-export async function startBackend (rig: Rig, fields: object = {}): Promise<Backend> {
+/** Starts a backend server that echoes the header `x-echo`, and announces it. */
+export async function startBackend (fixture: Rig, fields: object = {}): Promise<Backend> {
   const runs = new Map<string, number>()
   const server = createServer((req, res) => {
     const id = req.headers['idempotency-key']
@@ -131,16 +141,16 @@
   })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
-  const name = `offers-${backends++}`
+  const name = `offers-${backendCount++}`
   let seq = 0
   const backend: Backend = {
     address,
     name,
     runs,
     handler: (req, res) => { res.end(`echo ${String(req.headers['x-echo'])}`) },
-    announce: async (more = {}) => {
-      const body = { server: name, service: 'offers', address, failureDomain: 'kochi-a', slots: 3, connections: 330, state: 'serving', incarnation: 1, seq: seq++, ...fields, ...more }
-      const res = await request(`${rig.http}/v1/announce`, { method: 'POST', body: JSON.stringify(body) })
+    announce: async (extraFields = {}) => {
+      const body = { server: name, service: 'offers', address, failureDomain: 'kochi-a', slots: 3, connections: 330, state: 'serving', incarnation: 1, seq: seq++, ...fields, ...extraFields }
+      const res = await request(`${fixture.http}/v1/announce`, { method: 'POST', body: JSON.stringify(body) })
       await res.body.dump()
       return res.statusCode
     },
--- a/packages/daemon/__tests__/support/testing.ts
+++ b/packages/daemon/__tests__/support/testing.ts
@@ -1,3 +1,3 @@
-/** What tests of other packages use of the daemon's. */
+/** Test support that tests of other packages use. */
 export * from './freePorts.js'
 export * from './threadCaller.js'
--- a/packages/daemon/__tests__/support/threadCaller.ts
+++ b/packages/daemon/__tests__/support/threadCaller.ts
@@ -1,25 +1,28 @@
-/** A caller on a thread of its own: it sends while the event loop of the tests, and of the VMs in them, stands still. */
+/** A caller in a worker thread. It can send while the event loop of the tests and their VMs is blocked. */
 import { Worker } from 'node:worker_threads'
 
-/** Runs in the thread: connects, asks once so that the connection is an old one where that is wanted, then sends and leaves when told to. */
+/**
+ * Program of the worker thread. It connects, sends a first request if the connection is to be an old one, and then sends
+ * and disconnects on request.
+ */
 const program = `
 const { connect } = require('node:net')
 const { parentPort, workerData } = require('node:worker_threads')
-const { host, port, path, message, isOld, flag } = workerData
-const sent = new Int32Array(flag)
+const { host, port, path, message, isOld, counters } = workerData
+const counts = new Int32Array(counters)
 const head = 'GET ' + path + ' HTTP/1.1\\r\\nhost: a.example\\r\\n\\r\\n'
 const socket = connect(port, host)
 let text = ''
 let isReady = !isOld
-const done = place => () => { Atomics.add(sent, place, 1); Atomics.notify(sent, place) }
+const done = index => () => { Atomics.add(counts, index, 1); Atomics.notify(counts, index) }
 const send = () => socket.write(message, done(0))
-const leave = () => { socket.once('close', done(1)); socket.destroy() }
-const steps = { send, leave, sendAndLeave: () => socket.write(message, leave) }
+const disconnect = () => { socket.once('close', done(1)); socket.destroy() }
+const steps = { send, disconnect, sendAndDisconnect: () => socket.write(message, disconnect) }
 socket.setEncoding('latin1')
 socket.on('error', err => parentPort.postMessage({ failed: String(err) }))
 socket.on('connect', () => { if (isOld) socket.write(head); else parentPort.postMessage('ready') })
-socket.on('data', part => {
-  text += part
+socket.on('data', chunk => {
+  text += chunk
   const end = text.indexOf('\\r\\n\\r\\n')
   const length = /content-length: (\\d+)/i.exec(text)
   if (end < 0 || length === null || text.length < end + 4 + Number(length[1])) return
@@ -30,63 +33,63 @@
 parentPort.on('message', step => steps[step]())
 `
 
-/** The text of a GET. */
+/** Formats a GET request. */
 export function getOf (path: string): string {
   return `GET ${path} HTTP/1.1\r\nhost: a.example\r\n\r\n`
 }
 
-/** The text of a POST. */
+/** Formats a POST request. */
 export function postOf (path: string, body = ''): string {
   return `POST ${path} HTTP/1.1\r\nhost: a.example\r\ncontent-length: ${Buffer.byteLength(body)}\r\n\r\n${body}`
 }
 
-/** Where the thread counts what it has sent, and that it has left. */
-const sentPlace = 0
-const leftPlace = 1
+/** Indexes of the thread's counters: requests sent and connections closed. */
+const sentIndex = 0
+const closedIndex = 1
 
-/** A caller that is connected. */
+/** A connected caller. */
 export interface ThreadCaller extends AsyncDisposable {
-  /** Has it send its request, and holds this thread until that is done and so many milliseconds more. */
+  /** Sends the request, and blocks the calling thread until it is sent and for `blockedMs` more. */
   readonly sendWhileBlocked: (blockedMs: number) => void
-  /** The same, and closes its connection once the request is sent. */
+  /** Sends the request and closes the connection, and blocks the calling thread until that is done and for `blockedMs` more. */
   readonly sendAndLeaveWhileBlocked: (blockedMs: number) => void
-  /** Has it send its request, and goes on. */
+  /** Sends the request without blocking the calling thread. */
   readonly send: () => void
-  /** Has it close its connection, and holds this thread until that is done and so many milliseconds more. */
+  /** Closes the connection, and blocks the calling thread until that is done and for `blockedMs` more. */
   readonly leaveWhileBlocked: (blockedMs: number) => void
-  /** The text of its answer. */
+  /** The response, headers and body. */
   readonly answer: Promise<string>
 }
 
 /**
  * Connects a caller.
  *
- * @param isOld whether its connection has carried a request before
- * @param message what it sends, head and body; a GET of the path if left out
+ * @param isOld whether the connection has carried a request before
+ * @param message the request, headers and body; by default a GET of the path
  */
 export async function connectThreadCaller (address: string, path: string, isOld: boolean, message = getOf(path)): Promise<ThreadCaller> {
   const [host, port] = address.split(':')
-  const flag = new SharedArrayBuffer(8)
-  const sent = new Int32Array(flag)
-  const worker = new Worker(program, { eval: true, workerData: { host, port: Number(port), path, message, isOld, flag } })
-  const next = async (): Promise<string> => await new Promise((resolve, reject) => {
-    worker.once('message', (told: string | { failed: string }) => typeof told === 'string' ? resolve(told) : reject(new Error(told.failed)))
+  const counters = new SharedArrayBuffer(8)
+  const counts = new Int32Array(counters)
+  const worker = new Worker(program, { eval: true, workerData: { host, port: Number(port), path, message, isOld, counters } })
+  const receiveMessage = async (): Promise<string> => await new Promise((resolve, reject) => {
+    worker.once('message', (reply: string | { failed: string }) => typeof reply === 'string' ? resolve(reply) : reject(new Error(reply.failed)))
     worker.once('error', reject)
   })
-  await next()
-  const answer = next()
+  await receiveMessage()
+  const answer = receiveMessage()
   answer.catch(() => undefined)
-  const blockWhile = (step: string, place: number, blockedMs: number): void => {
-    const before = Atomics.load(sent, place)
+  const runWhileBlocked = (step: string, index: number, blockedMs: number): void => {
+    const before = Atomics.load(counts, index)
     worker.postMessage(step)
-    Atomics.wait(sent, place, before)
-    Atomics.wait(sent, place, before + 1, blockedMs)
+    Atomics.wait(counts, index, before)
+    Atomics.wait(counts, index, before + 1, blockedMs)
   }
   return {
-    sendWhileBlocked: blockedMs => blockWhile('send', sentPlace, blockedMs),
-    sendAndLeaveWhileBlocked: blockedMs => blockWhile('sendAndLeave', leftPlace, blockedMs),
+    sendWhileBlocked: blockedMs => runWhileBlocked('send', sentIndex, blockedMs),
+    sendAndLeaveWhileBlocked: blockedMs => runWhileBlocked('sendAndDisconnect', closedIndex, blockedMs),
     send: () => worker.postMessage('send'),
-    leaveWhileBlocked: blockedMs => blockWhile('leave', leftPlace, blockedMs),
+    leaveWhileBlocked: blockedMs => runWhileBlocked('disconnect', closedIndex, blockedMs),
     answer,
     [Symbol.asyncDispose]: async () => { await worker.terminate() }
   }
--- a/packages/daemon/src/types/fleetFile.ts
+++ b/packages/daemon/src/types/fleetFile.ts
@@ -83,7 +83,7 @@
     roles: file.roles,
     region: file.region,
     failureDomain: file.failureDomain,
-    regions: new Map(domainsByRegion.flatMap(([region, domains]) => domains.map(domain => [domain, brandId<RegionId>(region)] as const))),
+    regions: new Map(domainsByRegion.flatMap(([region, inRegion]) => inRegion.map(domain => [domain, brandId<RegionId>(region)] as const))),
     rpc: file.advertisedRpc ?? file.listen.rpc,
     rpcListen: file.listen.rpc,
     callers: file.listen.callers,
--- a/packages/daemon/src/utils/logStream.ts
+++ b/packages/daemon/src/utils/logStream.ts
@@ -69,6 +69,6 @@
   try {
     writeSync(stdoutFd, bytes)
   } catch {
-    // The error can't be reported: the process exits, and its output is closed or full.
+    // Ignored: the error can't be reported, since the process exits and its output is closed or full.
   }
 }
