--- a/packages/daemon/src/utils/socketLooks.ts
+++ b/packages/daemon/src/utils/socketLooks.ts
@@ -24,7 +24,7 @@
   next: Promise<Look> | undefined
   /** Number of connections accepted so far. */
   accepts: number
-  /** Value of `accepts` when the accept queue was last found empty. */
+  /** Number of accepted connections when the accept queue was last found empty. */
   settledAccepts: number
   /** Resolves once the accept queue is empty, with the start time of the last iteration; undefined while none is draining it. */
   accepting: Promise<Millis> | undefined
