--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -39,7 +39,7 @@
   process.stdout.write(`${file}: ok (VM ${cfg.vm}, ${cfg.roles.join('+')}, ${blocks.length} caller blocks)\n`)
 }
 
-/** A running VM of a service or of a fleet. */
+/** A running VM, either service-addressed or of a fleet. */
 interface RunningVm extends AsyncDisposable {
   /** Stops the VM gracefully: requests in progress are finished. */
   readonly leave: () => Promise<void>
--- a/packages/daemon/src/utils/loopWatch.ts
+++ b/packages/daemon/src/utils/loopWatch.ts
@@ -89,13 +89,13 @@
  *
  * @param onRead called once when the close is read, with an upper bound on its read delay
  */
-export function watchClose (watch: LoopWatch, socket: Socket, onRead: (unreadMs: Millis) => void): void {
+export function watchClose (watch: LoopWatch, socket: Socket, onRead: (readDelayMs: Millis) => void): void {
   const recordClose = (): void => {
     if (watch.closesUnread.has(socket)) return
     const now = presentTime()
-    const unreadMs = now - getEarliestClose(watch, socket, now)
-    watch.closesUnread.set(socket, unreadMs)
-    onRead(unreadMs)
+    const readDelayMs = now - getEarliestClose(watch, socket, now)
+    watch.closesUnread.set(socket, readDelayMs)
+    onRead(readDelayMs)
   }
   socket.once('end', recordClose)
   socket.once('close', recordClose)
--- a/packages/daemon/src/utils/owned.ts
+++ b/packages/daemon/src/utils/owned.ts
@@ -1,6 +1,6 @@
 /** Resources that are disposed together, in reverse order, unless their ownership is moved. */
 
-/** Resources and their owner. */
+/** Resources that one owner disposes. */
 export interface Owned extends AsyncDisposable {
   items: Array<Disposable | AsyncDisposable>
 }
--- a/packages/daemon/src/utils/readSettings.ts
+++ b/packages/daemon/src/utils/readSettings.ts
@@ -37,7 +37,7 @@
   throw new LynxError('badSettings', `${file}: ${problems.join('; ')}`, { step: 'check', field })
 }
 
-/** Settings of a VM, either of a service or of a fleet. */
+/** Settings of a service-addressed VM or of a fleet's VM. */
 export type AnySettings =
   | { readonly kind: 'service', readonly cfg: Settings }
   | { readonly kind: 'fleet', readonly cfg: FleetSettings }
@@ -64,7 +64,7 @@
   return parseAnySettings(readText(file), file)
 }
 
-/** Reads and validates a settings file of a service's VM. */
+/** Reads and validates a settings file of a service-addressed VM. */
 export function readSettings (file: string): Settings {
   return parseSettings(readText(file), file)
 }
