--- a/packages/daemon/__tests__/accepting.test.ts
+++ b/packages/daemon/__tests__/acceptBacklog.test.ts
@@ -1,7 +1,7 @@
 /** Callers that wait for their connections to be accepted while the VM is behind. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { OwnServerDialect } from '@lynxcourse/daemon'
+import { DefaultServerDialect } from '@lynxcourse/daemon'
 import { publish, routeTo, startRig, startServer } from './support/fleetRig.js'
 import { connectThreadCallers } from './support/threadCallers.js'
 
@@ -11,11 +11,11 @@
 const workMs = 40
 
 /** Has each send take processor time. */
-class BusyDialect extends OwnServerDialect {
-  override requestHeaders (...args: Parameters<OwnServerDialect['requestHeaders']>): ReturnType<OwnServerDialect['requestHeaders']> {
+class BusyDialect extends DefaultServerDialect {
+  override buildRequestHeaders (...args: Parameters<DefaultServerDialect['buildRequestHeaders']>): ReturnType<DefaultServerDialect['buildRequestHeaders']> {
     const until = performance.now() + workMs
     while (performance.now() < until) { /* the loop works */ }
-    return super.requestHeaders(...args)
+    return super.buildRequestHeaders(...args)
   }
 }
 
--- a/packages/daemon/__tests__/announcing.test.ts
+++ b/packages/daemon/__tests__/announcementQueue.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import { brandId } from '@lynxcourse/base'
 import type { ServerId } from '@lynxcourse/base'
-import { presentTime, takeAnnouncement } from '@lynxcourse/daemon'
+import { presentTime, handleAnnouncement } from '@lynxcourse/daemon'
 import { listItems } from '@lynxcourse/state'
 import type { BackendAnnouncement } from '@lynxcourse/state'
 import { controlOf, replaceOrder, routeTo, startRig, startServer, submit, until } from './support/fleetRig.js'
@@ -20,10 +20,10 @@
   await submit(rig, replaceOrder('one', 0, 1, [routeTo('read')]))
   await using known = await startServer('s1', (_req, res) => res.end())
   const control = controlOf(rig, 1)
-  await until(async () => await takeAnnouncement(control, known.facts, presentTime()).then(() => true, () => false))
+  await until(async () => await handleAnnouncement(control, known.facts, presentTime()).then(() => true, () => false))
   const before = control.host.machine.config.version
   const all = Array.from({ length: serverCount }, (_, place): BackendAnnouncement => ({ ...known.facts, id: brandId<ServerId>(`many-${place}`), address: `127.0.0.1:${20_000 + place}` }))
-  await Promise.all(all.map(async facts => await takeAnnouncement(control, facts, presentTime())))
+  await Promise.all(all.map(async facts => await handleAnnouncement(control, facts, presentTime())))
   await until(() => listItems(control.host.machine.config, 'backend').length === serverCount + 1)
   const changes = control.host.machine.config.version - before
   assert.ok(changes <= serverCount / 20, `${changes} changes of the state for ${serverCount} servers`)
--- a/packages/daemon/__tests__/callerLeft.test.ts
+++ b/packages/daemon/__tests__/callerDisconnect.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Histogram } from 'prom-client'
-import { OwnServerDialect } from '@lynxcourse/daemon'
+import { DefaultServerDialect } from '@lynxcourse/daemon'
 import type { Metrics } from '@lynxcourse/daemon'
 import { getConcurrency } from '@lynxcourse/placement'
 import { ask, desk, publish, routeTo, startRig, startServer, until } from './support/fleetRig.js'
@@ -118,13 +118,13 @@
 })
 
 /** Calls back once the connection of a send has begun to open, before the event loop reads sockets again. */
-class HookedDialect extends OwnServerDialect {
+class HookedDialect extends DefaultServerDialect {
   constructor (private readonly onSend: () => void) { super() }
 
-  override requestHeaders (...args: Parameters<OwnServerDialect['requestHeaders']>): ReturnType<OwnServerDialect['requestHeaders']> {
+  override buildRequestHeaders (...args: Parameters<DefaultServerDialect['buildRequestHeaders']>): ReturnType<DefaultServerDialect['buildRequestHeaders']> {
     // A connection to an address begins to open in the next tick.
     process.nextTick(() => process.nextTick(this.onSend))
-    return super.requestHeaders(...args)
+    return super.buildRequestHeaders(...args)
   }
 }
 
@@ -137,7 +137,7 @@
   await using caller = await connectCaller(rig, false)
   const left = new Promise<void>(resolve => {
     const hooked = new HookedDialect(() => {
-      Object.assign(gateway, { servers: new OwnServerDialect() })
+      Object.assign(gateway, { servers: new DefaultServerDialect() })
       caller.leaveWhileBlocked(blockedMs)
       resolve()
     })
@@ -183,7 +183,7 @@
   let isConclusive = false
   gateway.pool.onConnect = () => { isConclusive = hasRung }
   const hooked = new HookedDialect(() => {
-    Object.assign(gateway, { servers: new OwnServerDialect() })
+    Object.assign(gateway, { servers: new DefaultServerDialect() })
     bell.ring()
   })
   Object.assign(gateway, { servers: hooked })
--- a/packages/daemon/__tests__/closeSeen.test.ts
+++ b/packages/daemon/__tests__/closeDetection.test.ts
@@ -97,10 +97,10 @@
 
 /** Takes the routes away from a VM, as before its first state; the function gives them back. */
 function withoutRoutes (gateway: Gateway): () => void {
-  const { table } = gateway
-  gateway.table = buildRouteTable([])
+  const { routeTable: table } = gateway
+  gateway.routeTable = buildRouteTable([])
   return () => {
-    gateway.table = table
+    gateway.routeTable = table
     for (const listen of [...gateway.node.onChange]) listen()
   }
 }
@@ -114,11 +114,11 @@
   using caller = await connectCaller(rig.settings.at(-1)?.callers ?? '')
   const giveBack = withoutRoutes(gateway)
   caller.socket.write(post('/read/left', 90_000))
-  await until(() => gateway.waiting === 1)
+  await until(() => gateway.waitingForRoutes === 1)
   await lookAround()
   await caller.leave()
   await lookAround()
-  const { waiting } = gateway
+  const { waitingForRoutes: waiting } = gateway
   giveBack()
   await until(() => gateway.open === 0)
   assert.equal(waiting, 0)
@@ -155,7 +155,7 @@
   gateway.limits = { ...limits, maxBodyBytes: 1000 }
   const answer = once(caller.socket, 'data')
   caller.socket.write(post('/read/large', 90_000))
-  await until(() => gateway.waiting === 1)
+  await until(() => gateway.waitingForRoutes === 1)
   await lookAround()
   gateway.limits = limits
   giveBack()
--- a/packages/daemon/__tests__/fleetControl.test.ts
+++ b/packages/daemon/__tests__/fleetControl.test.ts
@@ -6,7 +6,7 @@
 import type { Replica } from '@lynxcourse/agreement'
 import type { FailureDomainId, HolderId } from '@lynxcourse/base'
 import { brandId } from '@lynxcourse/base'
-import { callPeer, presentTime, readRoutes, stateAge, submitRouteCommand } from '@lynxcourse/daemon'
+import { callPeer, presentTime, readRoutes, getStateAge, submitRouteCommand } from '@lynxcourse/daemon'
 import type { FleetControl } from '@lynxcourse/daemon'
 import { findItem } from '@lynxcourse/state'
 import { controlOf, publish, replaceOrder, routeTo, startRig, startVm, submit, until } from './support/fleetRig.js'
@@ -97,9 +97,9 @@
   const sentAt = presentTime()
   await callPeer(control.node.client, control.node.cfg.rpc, 'log.message', { cluster: replica.cluster, from, to: host.id, message })
   await until(() => replica.commit === index)
-  const vouchedAt = presentTime() - stateAge(control, presentTime())
+  const vouchedAt = presentTime() - getStateAge(control, presentTime())
   assert.deepEqual([host.machine.config.version, vouchedAt < sentAt], [version, true])
   release()
   await until(() => host.machine.config.version > version)
-  await until(() => presentTime() - stateAge(control, presentTime()) >= sentAt)
+  await until(() => presentTime() - getStateAge(control, presentTime()) >= sentAt)
 })
--- a/packages/daemon/__tests__/fleetStart.test.ts
+++ b/packages/daemon/__tests__/fleetRestart.test.ts
@@ -43,7 +43,7 @@
   const settings = rig.settings.map(cfg => ({ ...cfg, isFirstStart: false }))
   rig.daemons[3] = await startVm(settings[3] as typeof settings[0])
   const early = ask(rig, '/read/1')
-  await until(() => rig.daemons[3]?.gateway?.waiting === 1)
+  await until(() => rig.daemons[3]?.gateway?.waitingForRoutes === 1)
   await new Promise(resolve => setTimeout(resolve, 300))
   for (const place of [0, 1, 2]) rig.daemons[place] = await startVm(settings[place] as typeof settings[0])
   assert.equal((await early).status, 200)
--- a/packages/daemon/__tests__/presence.test.ts
+++ b/packages/daemon/__tests__/presence.test.ts
@@ -1,7 +1,7 @@
 /** Which servers the leader takes for lost while control VMs are cut off from each other. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { createPresence, isInTouch, missedServers, noteEntry, noteReported, noteWatching, presentTime, reportedEntries, takeAnnouncement, takePresenceReport } from '@lynxcourse/daemon'
+import { createPresence, isInTouch, missedServers, noteEntry, noteReported, noteWatching, presentTime, reportedEntries, handleAnnouncement, takePresenceReport } from '@lynxcourse/daemon'
 import type { PresenceReport } from '@lynxcourse/daemon'
 import { createLoadBoard, storeLoadUpdate } from '@lynxcourse/placement'
 import type { EntryPresence, LoadDigest, LoadUpdate } from '@lynxcourse/placement'
@@ -37,12 +37,12 @@
   await using known = await startServer('s1', (_req, res) => res.end())
   await submit(rig, { type: 'announce', facts: known.facts })
   const control = controlOf(rig, 2)
-  await until(async () => await takeAnnouncement(control, known.facts, presentTime()).then(() => true, () => false))
+  await until(async () => await handleAnnouncement(control, known.facts, presentTime()).then(() => true, () => false))
   for (const place of [0, 1]) {
     await rig.daemons[place]?.[Symbol.asyncDispose]()
     rig.daemons[place] = undefined
   }
-  await until(async () => await takeAnnouncement(control, known.facts, presentTime()).then(() => false, err => isLynxError(err, 'notLeader')))
+  await until(async () => await handleAnnouncement(control, known.facts, presentTime()).then(() => false, err => isLynxError(err, 'notLeader')))
 })
 
 test('what a VM hears reaches the leader until some exchanges in a row were missed', () => {
--- a/packages/daemon/__tests__/senderLeft.test.ts
+++ b/packages/daemon/__tests__/senderDisconnect.test.ts
@@ -69,9 +69,9 @@
 test('a read that its sender gave up before it was read asks no quorum', async () => {
   await using controls = await startControls()
   const { host } = controls.leader
-  const before = host.nextToken
+  const before = host.nextReadToken
   await callAndLeave(controls.leader, 'fleet.read', {})
-  assert.equal(host.nextToken, before)
+  assert.equal(host.nextReadToken, before)
 })
 
 function watchOf (control: FleetControl, isReady: boolean): object {
@@ -84,18 +84,18 @@
 
 /** Lets a VM answer some calls, until no more than so many wait for news. */
 async function untilFewer ({ host, node }: FleetControl, waiting: number): Promise<void> {
-  for (let done = 0; done < callsMeanwhile && host.onProgress.length > waiting; done++) await callPeer(node.client, node.cfg.rpc, 'fleet.lookup', {})
+  for (let done = 0; done < callsMeanwhile && host.progressListeners.length > waiting; done++) await callPeer(node.client, node.cfg.rpc, 'fleet.lookup', {})
 }
 
 /** Guards against this failure: control VMs that are behind hold watches of entry VMs that gave up waiting, or forget that those VMs live. */
 test('a watch that its VM gave up before it was read waits for nothing, and what it said of that VM is taken', async () => {
   await using controls = await startControls()
   const { host, presence } = controls.leader
-  const before = host.onProgress.length
+  const before = host.progressListeners.length
   for (const isReady of [true, false]) {
     await callAndLeave(controls.leader, 'fleet.watch', watchOf(controls.leader, isReady))
     await untilFewer(controls.leader, before)
-    assert.equal(host.onProgress.length, before)
+    assert.equal(host.progressListeners.length, before)
     assert.equal(presence.entries.get('entry')?.presence.isReady, isReady)
   }
 })
@@ -104,24 +104,24 @@
 test('a watch ends once its VM gives it up', async () => {
   await using controls = await startControls()
   const { host, node } = controls.leader
-  const before = host.onProgress.length
+  const before = host.progressListeners.length
   const given = callPeer(node.client, node.cfg.rpc, 'fleet.watch', watchOf(controls.leader, true), blockedMs)
-  await until(() => host.onProgress.length > before)
+  await until(() => host.progressListeners.length > before)
   await assert.rejects(given)
   await untilFewer(controls.leader, before)
-  assert.equal(host.onProgress.length, before)
+  assert.equal(host.progressListeners.length, before)
 })
 
 /** Guards against this failure: a VM that stood still ends the waits of watches first, and packs the state for VMs that left meanwhile. */
 test('a watch whose VM leaves while the control VM stands still past its wait is not answered', async t => {
   await using controls = await startControls()
   const { host, node } = controls.leader
-  const before = host.onProgress.length
+  const before = host.progressListeners.length
   const body = JSON.stringify({ jsonrpc: '2.0', id: 1, method: 'fleet.watch', params: { ...watchOf(controls.leader, true), waitMs: blockedMs / 2 } })
   await using sender = await connectThreadCaller(node.cfg.rpc, '/none', false, postOf('/rpc', body))
   const { mock } = t.mock.method(ServerResponse.prototype, 'end')
   sender.send()
-  await until(() => host.onProgress.length > before)
+  await until(() => host.progressListeners.length > before)
   sender.leaveWhileBlocked(blockedMs)
   for (let done = 0; done < callsMeanwhile; done++) await callPeer(node.client, node.cfg.rpc, 'fleet.lookup', {})
   assert.equal(mock.calls.filter(call => String(call.arguments[0]).includes('"entries":["entry"]')).length, 0)
--- a/packages/daemon/__tests__/stateCopy.test.ts
+++ b/packages/daemon/__tests__/stateCompression.test.ts
@@ -5,7 +5,7 @@
 import { request } from 'undici'
 import { brandId } from '@lynxcourse/base'
 import type { ServerId } from '@lynxcourse/base'
-import { presentTime, takeAnnouncement } from '@lynxcourse/daemon'
+import { presentTime, handleAnnouncement } from '@lynxcourse/daemon'
 import { controlOf, publish, routeTo, startRig, startServer, until } from './support/fleetRig.js'
 
 /** Servers of the largest deployment that was played, and what its entry VMs' links carry in a quarter of a second. */
@@ -24,7 +24,7 @@
   for (let made = 1; made < servers; made++) {
     const id = brandId<ServerId>(`i-${(made * 2_654_435_761 % 2 ** 32).toString(16)}`)
     const address = `10.${made % 9}.64.${made % 250}:${8000 + made}`
-    await until(async () => await takeAnnouncement(controlOf(rig, 0), { ...server.facts, id, address }, presentTime()).then(() => true, () => false))
+    await until(async () => await handleAnnouncement(controlOf(rig, 0), { ...server.facts, id, address }, presentTime()).then(() => true, () => false))
   }
   const self = { name: 'asking', address: '127.0.0.1:1', failureDomain: 'kochi-a', region: 'kochi', isReady: false }
   const watch = { jsonrpc: '2.0', id: 1, method: 'fleet.watch', params: { version: 0, waitMs: 0, weights: 0, self } }
--- a/packages/daemon/__tests__/support/fleetRig.ts
+++ b/packages/daemon/__tests__/support/fleetRig.ts
@@ -9,7 +9,7 @@
 import { brandId } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import {
-  OwnCallerDialect, OwnServerDialect, defaultFleetTimes, isFleetReady, presentTime, silentLogs, startFleetDaemon, submitRouteCommand, takeAnnouncement
+  DefaultCallerDialect, DefaultServerDialect, defaultFleetTimes, isFleetReady, presentTime, silentLogs, startFleetDaemon, submitRouteCommand, handleAnnouncement
 } from '@lynxcourse/daemon'
 import type { FleetControl, FleetDaemon, FleetSettings } from '@lynxcourse/daemon'
 import type { BackendAnnouncement, ChangeAnswer, RouteChangeId, Route, RouteCommand } from '@lynxcourse/state'
@@ -72,7 +72,7 @@
 
 /** Starts one VM, without logs. */
 export async function startVm (cfg: FleetSettings): Promise<FleetDaemon> {
-  return await startFleetDaemon(cfg, { callers: new OwnCallerDialect(), servers: new OwnServerDialect() }, { logs: silentLogs() })
+  return await startFleetDaemon(cfg, { callers: new DefaultCallerDialect(), servers: new DefaultServerDialect() }, { logs: silentLogs() })
 }
 
 /** Returns the control role of a VM. */
@@ -148,9 +148,9 @@
 /** Publishes routes and announces servers, then waits until the last VM, an entry VM, has both. */
 export async function publish (fixture: FleetRig, servers: readonly FakeServer[], routes: readonly Route[]): Promise<void> {
   await submit(fixture, replaceOrder('first', 0, 1, routes))
-  for (const { facts } of servers) await until(async () => await takeAnnouncement(controlOf(fixture, 0), facts, presentTime()).then(() => true, () => false))
+  for (const { facts } of servers) await until(async () => await handleAnnouncement(controlOf(fixture, 0), facts, presentTime()).then(() => true, () => false))
   const entry = fixture.daemons.at(-1) as FleetDaemon
-  await until(() => isFleetReady(entry) && entry.gateway?.fleet.byId.size === servers.length && entry.gateway.table.size > 0)
+  await until(() => isFleetReady(entry) && entry.gateway?.fleet.byId.size === servers.length && entry.gateway.routeTable.size > 0)
 }
 
 /** A response with its whole body. */
--- a/packages/daemon/src/core/daemon.ts
+++ b/packages/daemon/src/core/daemon.ts
@@ -14,12 +14,12 @@
 import { createMetricsServer } from '../utils/metricsServer.js'
 import { createOwned, moveOwned, own } from '../utils/owned.js'
 import type { Owned } from '../utils/owned.js'
-import { feed, openControl } from './control/controlHost.js'
+import { enqueueEvent, openControl } from './control/controlHost.js'
 import type { ControlHost } from './control/hostState.js'
 import { addClusterMethods, keepJoining } from './control/joining.js'
-import { startDuties } from './control/leaderDuties.js'
+import { startDuties } from './control/leaderTasks.js'
 import type { LeaderDuties } from './control/leaderState.js'
-import { addReportMethod } from './control/reports.js'
+import { addReportMethod } from './control/vmReports.js'
 import { addAnnounceMethod } from './entry/announcements.js'
 import { createCallerServer } from './entry/callerServer.js'
 import { createClaiming } from './entry/claiming.js'
@@ -71,7 +71,7 @@
   addSyncMethod(rpc, syncing)
   addChangeMethod(rpc, node, control)
   addQueryMethods(rpc, { node, control, duties, entry })
-  const metricsServer = createMetricsServer(node.metrics, () => isLeaseValid(node.currency, presentTime()))
+  const metricsServer = createMetricsServer(node.metrics, () => isLeaseValid(node.configLease, presentTime()))
   const servers = [rpc.server, metricsServer]
   if (entry !== undefined) {
     addAnnounceMethod(rpc, entry, syncing)
@@ -92,7 +92,7 @@
   addClusterMethods(rpc, control)
   addClaimMethod(rpc, control)
   addReportMethod(rpc, duties)
-  own(stack, repeat(tickMs, () => feed(control, { type: 'tick' }), () => undefined))
+  own(stack, repeat(tickMs, () => enqueueEvent(control, { type: 'tick' }), () => undefined))
   own(stack, keepJoining(control))
   return duties
 }
@@ -121,7 +121,7 @@
   log(node.logs, 'daemon', 'info', 'Leaving.', { open: entry?.open ?? 0 })
   node.self = { ...node.self, state: nextState(node.directory.vmChart, node.self.state, 'leave') }
   renewSelf(node, presentTime())
-  syncing.urge()
+  syncing.syncSoon()
   if (entry !== undefined) await drainEntry(entry, node)
   log(node.logs, 'daemon', 'info', 'Left.', { open: entry?.open ?? 0 })
 }
--- a/packages/daemon/src/core/entry/announcements.ts
+++ b/packages/daemon/src/core/entry/announcements.ts
@@ -129,5 +129,5 @@
   if (!changed) return
   log(node.logs, 'announce', 'info', 'Server announced itself.', { server: record.key, service: record.service, state: record.state, address: record.address, slots: record.slots })
   notifyChange(node)
-  syncing.urge()
+  syncing.syncSoon()
 }
--- a/packages/daemon/src/core/entry/attemptSteps.ts
+++ b/packages/daemon/src/core/entry/attemptSteps.ts
@@ -58,7 +58,7 @@
 function mayStillSend (serving: Serving): boolean {
   const { entry, request } = serving
   const isLocalRead = request.profile.whenIsolated === 'local' && request.isIdempotent
-  return isLocalRead || isLeaseValid(entry.node.currency, presentTime())
+  return isLocalRead || isLeaseValid(entry.node.configLease, presentTime())
 }
 
 /** Runs an attempt in a slot and gives the slot back. */
--- a/packages/daemon/src/core/entry/claiming.ts
+++ b/packages/daemon/src/core/entry/claiming.ts
@@ -10,7 +10,7 @@
 import { log } from '../../utils/logging.js'
 import { maxClaimBatch } from '../node/claimService.js'
 import type { ClaimReply } from '../node/claimService.js'
-import { leaderAddress } from '../node/node.js'
+import { getLeaderAddress } from '../node/node.js'
 import type { Node } from '../node/node.js'
 import { delay } from '../node/timers.js'
 import { callPeer } from '../rpc/rpcClient.js'
@@ -105,7 +105,7 @@
   const latest = Math.max(...batch.map(waiting => waiting.until))
   const timeoutMs = Math.max(1, Math.min(node.cfg.times.rpcTimeoutMs, latest - started))
   try {
-    const leader = leaderAddress(node)
+    const leader = getLeaderAddress(node)
     if (leader === '') throw new LynxError('notLeader', 'no leader is known', { step: 'claim' })
     const replies = await callPeer<ClaimReply[]>(node.client, leader, 'claims.submit', { commands: batch.map(waiting => waiting.command) }, timeoutMs)
     batch.forEach((waiting, place) => waiting.resolve(replies[place] as ClaimReply))
--- a/packages/daemon/src/core/entry/entry.ts
+++ b/packages/daemon/src/core/entry/entry.ts
@@ -93,7 +93,7 @@
     remaining: () => remainingByDrain(entry),
     loads: () => loadsByRegion(entry)
   }
-  node.onChange.push(() => { entry.viewDirty = true })
+  node.changeListeners.push(() => { entry.viewDirty = true })
   return entry
 }
 
--- a/packages/daemon/src/core/entry/forwarding.ts
+++ b/packages/daemon/src/core/entry/forwarding.ts
@@ -75,7 +75,7 @@
  */
 function openPlaces (entry: Entry, request: ForwardRequest, address: string, now: Millis): readonly CandidateRegion[] {
   const places = placesFor(entry, request.service, request.profile, callerInfo(entry, address))
-  if (isLeaseValid(entry.node.currency, now)) return places
+  if (isLeaseValid(entry.node.configLease, now)) return places
   const mayServeLocally = request.profile.whenIsolated === 'local' && request.isIdempotent
   return mayServeLocally ? places.filter(place => place.region === entry.node.cfg.region && place.shift === undefined) : []
 }
--- a/packages/daemon/src/core/entry/lookups.ts
+++ b/packages/daemon/src/core/entry/lookups.ts
@@ -48,7 +48,7 @@
   refreshView(entry, now)
   const profile = profileFor(entry, service)
   // Without a lease this VM may name VMs that are gone or drained; another VM knows better.
-  if (!isLeaseValid(entry.node.currency, now) && profile?.whenIsolated !== 'local') {
+  if (!isLeaseValid(entry.node.configLease, now) && profile?.whenIsolated !== 'local') {
     refuseLookup(entry, res, 503, 'this VM can not learn the present state; ask another')
     return
   }
--- a/packages/daemon/src/core/fleet/fleetDaemon.ts
+++ b/packages/daemon/src/core/fleet/fleetDaemon.ts
@@ -11,25 +11,25 @@
 import type { Owned } from '../../utils/owned.js'
 import { nextLook } from '../../utils/socketLooks.js'
 import type { FleetSettings } from '../../types/fleetSettings.js'
-import { feed } from '../control/controlHost.js'
+import { enqueueEvent } from '../control/controlHost.js'
 import { addClusterMethods, keepJoining } from '../control/joining.js'
 import { sweepConnections } from '../entry/connectionPool.js'
-import { applyLimits, createCallerFront } from '../gateway/callerFront.js'
+import { applyCallerLimits, createCallerServer } from '../gateway/callerServer.js'
 import type { CallerDialect, ServerDialect } from '../gateway/dialects.js'
-import { noteConnected, refreshGateway } from '../gateway/fleetView.js'
+import { recordConnectTime, refreshGateway } from '../gateway/gatewayRefresh.js'
 import { createGateway } from '../gateway/gateway.js'
 import type { Gateway } from '../gateway/gateway.js'
 import { delay, repeat } from '../node/timers.js'
 import { createRpcServer, listenRpc } from '../rpc/rpcServer.js'
 import type { RpcServer } from '../rpc/rpcServer.js'
-import { openFleetControl, stateAge } from './fleetControl.js'
+import { openFleetControl, getStateAge } from './fleetControl.js'
 import type { FleetControl } from './fleetControl.js'
 import { addFleetMethods } from './fleetMethods.js'
 import { createFleetNode, isReadyForCallers } from './fleetNode.js'
 import type { FleetDeps, FleetNode } from './fleetNode.js'
-import { startPresence } from './presenceLoop.js'
-import { startWatching, tellPresence } from './watching.js'
-import type { Watching } from './watching.js'
+import { startPresence } from './presenceExchange.js'
+import { startWatching, tellPresence } from './stateWatch.js'
+import type { Watching } from './stateWatch.js'
 
 /** How callers and servers speak to this VM. */
 export interface Dialects {
@@ -80,7 +80,7 @@
   const loop = own(stack, startPresence(control))
   addClusterMethods(rpc, control.host)
   addFleetMethods(rpc, control, loop)
-  own(stack, repeat(tickMs, () => feed(control.host, { type: 'tick' }), () => undefined))
+  own(stack, repeat(tickMs, () => enqueueEvent(control.host, { type: 'tick' }), () => undefined))
   own(stack, keepJoining(control.host))
   return control
 }
@@ -93,14 +93,14 @@
 
 async function startCallers (stack: Owned, gateway: Gateway): Promise<Server> {
   const { node } = gateway
-  const server = createCallerFront(gateway)
-  applyLimits(gateway, server)
+  const server = createCallerServer(gateway)
+  applyCallerLimits(gateway, server)
   node.onChange.push(() => {
     refreshGateway(gateway, presentTime())
-    applyLimits(gateway, server)
+    applyCallerLimits(gateway, server)
   })
-  node.onLoad.push(() => applyLoadUpdate(gateway, node.loadNews, node.cfg.region, presentTime()))
-  gateway.pool.onConnect = (address, startedAt) => noteConnected(gateway, address, presentTime() - startedAt)
+  node.onLoad.push(() => applyLoadUpdate(gateway, node.loadUpdate, node.cfg.region, presentTime()))
+  gateway.pool.onConnect = (address, startedAt) => recordConnectTime(gateway, address, presentTime() - startedAt)
   own(stack, repeat(sweepMs, () => sweepConnections(gateway.pool, presentTime()), () => undefined))
   ownServer(stack, server)
   await listen(server, node.cfg.callers ?? '')
@@ -121,7 +121,7 @@
 function isServing (node: FleetNode, control: FleetControl | undefined): boolean {
   if (node.isLeaving) return false
   if (node.cfg.roles.includes('entry')) return isReadyForCallers(node)
-  return control !== undefined && stateAge(control, presentTime()) < node.cfg.times.staleMs
+  return control !== undefined && getStateAge(control, presentTime()) < node.cfg.times.staleMs
 }
 
 /** Whether callers may be sent to this VM. */
--- a/packages/daemon/src/core/fleet/presenceLoop.ts
+++ b/packages/daemon/src/core/fleet/presenceExchange.ts
@@ -5,7 +5,7 @@
 import { readPlacement, writePlacement } from '../../plugins/placementFile.js'
 import { presentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
-import { leads } from '../control/hostState.js'
+import { isLeading } from '../control/hostState.js'
 import { delay } from '../node/timers.js'
 import { callPeer } from '../rpc/rpcClient.js'
 import { leaderOf, submitRouteCommand } from './fleetControl.js'
@@ -82,7 +82,7 @@
   const now = presentTime()
   prunePresence(presence, now)
   const report: PresenceReport = { from: { rpc: node.cfg.rpc, region: node.cfg.region }, entries: reportedEntries(presence, now), heard: [...presence.heard], load: flushDigest(intake, now), weights: board.news.weights?.version ?? 0 }
-  if (leads(host)) {
+  if (isLeading(host)) {
     presence.heard.clear()
     presence.watching.clear()
     presence.exchangedAt = now
--- a/packages/daemon/src/core/gateway/callerFront.ts
+++ b/packages/daemon/src/core/gateway/callerServer.ts
@@ -23,7 +23,7 @@
 import { logRefusal, timeFields } from './requestLog.js'
 import type { RefusedCall } from './requestLog.js'
 import { serveCall } from './serving.js'
-import { knowsRoutes, waitForRoutes } from './stateWait.js'
+import { knowsRoutes, waitForRoutes } from './routeWait.js'
 
 /** Largest head that the parser takes; the routes' own limit may be lower. */
 const maxHeaderBytes = 65_536
@@ -35,7 +35,7 @@
 const notReadyRetryMs: Millis = 500
 
 /** Makes the server; it does not listen yet. */
-export function createCallerFront (gateway: Gateway): Server {
+export function createCallerServer (gateway: Gateway): Server {
   const server = createServer({ maxHeaderSize: maxHeaderBytes, requestTimeout: 0 }, (req, res) => {
     answerCall(gateway, req, res).catch((err: unknown) => {
       log(gateway.node.logs, 'route', 'error', 'Request not served.', { error: getErrorMessage(err) })
@@ -53,7 +53,7 @@
 }
 
 /** Takes changed limits over. */
-export function applyLimits (gateway: Gateway, server: Server): void {
+export function applyCallerLimits (gateway: Gateway, server: Server): void {
   server.keepAliveTimeout = gateway.limits.idleTimeoutMs + idleSlackMs
   server.headersTimeout = gateway.limits.headerTimeoutMs + idleSlackMs
 }
@@ -149,13 +149,13 @@
 
 /** The route of a request, and the service that its split gives it; undefined without a route. */
 function targetOf (gateway: Gateway, req: IncomingMessage): RoutedService | undefined {
-  const route = matchRoute(gateway.table, req.headers.host ?? '', req.url ?? '/')
+  const route = matchRoute(gateway.routeTable, req.headers.host ?? '', req.url ?? '/')
   return route === undefined ? undefined : { route, service: selectService(gateway.splits, route) }
 }
 
 async function serveRequest (gateway: Gateway, { req, body: coming, gone, arrival }: Taken, { route, service }: RoutedService): Promise<CallAnswer | undefined> {
   const { arrivedAt, readAt, caller, readTurn, workFrom } = arrival
-  const facts = gateway.callers.readCall(req.headers)
+  const facts = gateway.callers.parseCallFacts(req.headers)
   const deadline = arrivedAt + Math.min(facts.remainingMs ?? Infinity, route.timeoutMs)
   const refused: RefusedCall = { facts, route, service, arrivedAt, readAt, deadline }
   if (!fitsIterationBudget(readTurn, route.rank)) return refuseOverloaded(gateway, req, refused)
@@ -209,7 +209,7 @@
 }
 
 function refusal (gateway: Gateway, detail: string, retryAfterMs: Millis): CallAnswer {
-  return { status: 503, headers: gateway.callers.refusalHeaders(retryAfterMs), body: Buffer.from(`not run: ${detail}\n`) }
+  return { status: 503, headers: gateway.callers.buildRefusalHeaders(retryAfterMs), body: Buffer.from(`not run: ${detail}\n`) }
 }
 
 function ownAnswer (status: number, detail: string): CallAnswer {
@@ -230,7 +230,7 @@
   const listed = new Set(String(req.headers.connection ?? '').toLowerCase().split(',').map(name => name.trim()))
   const headers: HeaderMap = {}
   for (const [name, value] of Object.entries(req.headers)) {
-    if (value !== undefined && !isHopByHop(name) && !listed.has(name) && !gateway.callers.ownHeaders.has(name)) headers[name] = value
+    if (value !== undefined && !isHopByHop(name) && !listed.has(name) && !gateway.callers.reservedHeaders.has(name)) headers[name] = value
   }
   return headers
 }
--- a/packages/daemon/src/core/gateway/gateway.ts
+++ b/packages/daemon/src/core/gateway/gateway.ts
@@ -21,14 +21,14 @@
   readonly splits: SplitStates
   /** For the bound on how long requests lay unread. */
   readonly loop: LoopWatch
-  table: RouteTable
+  routeTable: RouteTable
   limits: CallerLimits
   /** Requests in this VM. */
   open: number
   /** Requests that are not answered yet, by the callers' connections. */
   readonly pipelines: Pipelines
   /** Requests that wait for the first state. */
-  waiting: number
+  waitingForRoutes: number
   /** Bytes of request bodies held. */
   heldBytes: number
 }
@@ -47,12 +47,12 @@
     splits: new Map(),
     retries: new Map(),
     loop,
-    table: buildRouteTable([]),
+    routeTable: buildRouteTable([]),
     limits: defaultCallerLimits,
     pipelines: new WeakMap(),
     open: 0,
     waitingForCapacity: new Map(),
-    waiting: 0,
+    waitingForRoutes: 0,
     heldBytes: 0
   }
 }
--- a/packages/daemon/src/core/gateway/requestLog.ts
+++ b/packages/daemon/src/core/gateway/requestLog.ts
@@ -68,7 +68,7 @@
 /** Version of the state that decided, and how long ago it was known to be the present one. */
 function stateFields (gateway: Gateway): LogFields {
   const { node } = gateway
-  return { stateVersion: node.config.version, stateAgeMs: Math.round(presentTime() - node.freshAt) }
+  return { stateVersion: node.config.version, stateAgeMs: Math.round(presentTime() - node.upToDateAt) }
 }
 
 /** For how long a request can have lain unread, and since when it is in this VM. */
--- a/packages/daemon/src/core/gateway/stateWait.ts
+++ b/packages/daemon/src/core/gateway/routeWait.ts
@@ -17,14 +17,14 @@
 
 /** Whether requests can be judged here: the present state was read, and it has routes. */
 export function knowsRoutes (gateway: Gateway): boolean {
-  return gateway.node.freshAt > -Infinity && gateway.table.size > 0
+  return gateway.node.upToDateAt > -Infinity && gateway.routeTable.size > 0
 }
 
 /** Holds a request until the routes are known, its caller is gone, or the time is over. */
 export async function waitForRoutes (gateway: Gateway, gone: Cancel): Promise<void> {
-  if (knowsRoutes(gateway) || gateway.waiting >= mostWaiting) return
+  if (knowsRoutes(gateway) || gateway.waitingForRoutes >= mostWaiting) return
   const { onChange } = gateway.node
-  gateway.waiting += 1
+  gateway.waitingForRoutes += 1
   await new Promise<void>(resolve => {
     const finish = (): void => {
       clearTimeout(timer)
@@ -39,5 +39,5 @@
     gone.on('abort', finish)
     onChange.push(check)
   })
-  gateway.waiting -= 1
+  gateway.waitingForRoutes -= 1
 }
--- a/packages/daemon/src/core/gateway/sending.ts
+++ b/packages/daemon/src/core/gateway/sending.ts
@@ -62,7 +62,7 @@
   const connection = takeConnection(gateway.pool, facts.address, !call.route.isIdempotent, now)
   const restedMs = connection.reused ? connection.restedMs : undefined
   const leftMs = Math.max(1, Math.floor(call.deadline - now))
-  const headers = { ...call.headers, ...gateway.servers.requestHeaders(call.facts, facts.id, leftMs) }
+  const headers = { ...call.headers, ...gateway.servers.buildRequestHeaders(call.facts, facts.id, leftMs) }
   const options: Dispatcher.DispatchOptions = { method: call.method as Dispatcher.HttpMethod, path: call.path, headers, body: call.body }
   const exchange = startExchange(connection.client, options, now + gateway.pool.connectTimeoutMs + openSlackMs, () => {
     noteTurn(gateway.loop)
@@ -104,7 +104,7 @@
 
 function takeAnswer (gateway: Gateway, call: Call, placed: Placement, connection: Connection, received: Received, openMs: Millis): SendResult {
   const { status, headers: raw, body } = received
-  const kind = gateway.servers.judge(call.facts, status, raw)
+  const kind = gateway.servers.classifyAnswer(call.facts, status, raw)
   const isCut = connection.wasReset && !isFramed(raw)
   if (body === undefined || isCut || kind === 'spoiled') {
     // An answer to another request, or one that is not the server's own: what follows on this connection can't be trusted either.
@@ -114,7 +114,7 @@
   releaseConnection(gateway.pool, connection, presentTime())
   // It comes from another server and is no sign of life of the one that was asked.
   if (kind === 'elsewhere') return { type: 'notRun', reason: 'elsewhere', status }
-  recordReply(gateway, placed.server, gateway.servers.readAhead(raw), presentTime())
+  recordReply(gateway, placed.server, gateway.servers.parseQueueDepth(raw), presentTime())
   if (kind === 'notRun') return { type: 'notRun', reason: 'full', status }
   return { type: 'answered', status, headers: passedHeaders(raw), body, connectMs: openMs }
 }
--- a/packages/daemon/src/core/gateway/serving.ts
+++ b/packages/daemon/src/core/gateway/serving.ts
@@ -87,7 +87,7 @@
 
 function refuse (gateway: Gateway, call: Call, run: RequestState, refused: Refusal): CallAnswer {
   logRefusal(gateway, call, run.sends, refused)
-  return { status: statusUnavailable, headers: gateway.callers.refusalHeaders(refused.retryAfterMs), body: Buffer.from(`not run: ${refused.reason}\n`) }
+  return { status: statusUnavailable, headers: gateway.callers.buildRefusalHeaders(refused.retryAfterMs), body: Buffer.from(`not run: ${refused.reason}\n`) }
 }
 
 function fail (gateway: Gateway, call: Call, run: RequestState, reason: Failure): CallAnswer {
--- a/packages/daemon/src/core/node/queries.ts
+++ b/packages/daemon/src/core/node/queries.ts
@@ -5,12 +5,12 @@
 import { refreshBackend, routeRequest } from '@lynxcourse/routing'
 import { listItems, findServiceProfile } from '@lynxcourse/state'
 import * as z from 'zod'
-import { confirmRead } from '../control/proposing.js'
-import { leads } from '../control/hostState.js'
+import { confirmRead } from '../control/proposals.js'
+import { isLeading } from '../control/hostState.js'
 import type { ControlHost } from '../control/hostState.js'
-import { judgeItem } from '../control/drainDuty.js'
+import { judgeItem } from '../control/drainTask.js'
 import type { LeaderDuties } from '../control/leaderState.js'
-import { measureShift } from '../control/shiftDuty.js'
+import { measureShift } from '../control/shiftTask.js'
 import { judgeInForce } from '../control/versionsInForce.js'
 import { callerInfo, placesFor } from '../entry/callerPlaces.js'
 import { refreshView } from '../entry/entry.js'
@@ -20,7 +20,7 @@
 import { callPeer } from '../rpc/rpcClient.js'
 import { addMethod } from '../rpc/rpcServer.js'
 import type { RpcServer } from '../rpc/rpcServer.js'
-import { leaderAddress } from './node.js'
+import { getLeaderAddress } from './node.js'
 import type { Node } from './node.js'
 
 /** Parts that questions are answered from. */
@@ -51,14 +51,14 @@
 function addLeaderQuery (rpc: RpcServer, parts: QueryParts, method: string, shape: z.ZodRawShape, answer: LeaderAnswer): void {
   addMethod(rpc, method, ['operator', 'vm'], z.strictObject({ ...shape, ...relayed }), async params => {
     const { node, control, duties } = parts
-    if (control !== undefined && duties !== undefined && leads(control)) {
+    if (control !== undefined && duties !== undefined && isLeading(control)) {
       await confirmRead(control)
       return answer(params, duties)
     }
-    if (params['relayed'] === true || leaderAddress(node) === '' || node.leader === node.cfg.vm) {
+    if (params['relayed'] === true || getLeaderAddress(node) === '' || node.leader === node.cfg.vm) {
       throw new LynxError('notLeader', 'no leader is known', { step: method })
     }
-    return await callPeer(node.client, leaderAddress(node), method, { ...params, relayed: true })
+    return await callPeer(node.client, getLeaderAddress(node), method, { ...params, relayed: true })
   })
 }
 
@@ -113,8 +113,8 @@
     region: node.cfg.region,
     failureDomain: node.cfg.failureDomain,
     roles: node.cfg.roles,
-    current: isLeaseValid(node.currency, now),
-    confirmedAgeMs: Number.isFinite(node.currency.confirmedAt) ? Math.round(now - node.currency.confirmedAt) : null,
+    current: isLeaseValid(node.configLease, now),
+    confirmedAgeMs: Number.isFinite(node.configLease.confirmedAt) ? Math.round(now - node.configLease.confirmedAt) : null,
     version: node.config.version,
     leader: node.leader,
     open: parts.entry?.open ?? 0,
@@ -155,7 +155,7 @@
     profile: profile.name,
     client,
     clientRegion: caller.region ?? null,
-    current: isLeaseValid(entry.node.currency, now),
+    current: isLeaseValid(entry.node.configLease, now),
     places,
     decision: decision.type === 'send' ? { server: decision.observed.backend.id, region: decision.place.region } : 'wait',
     passedOver: decision.passedOver,
--- a/packages/daemon/src/core/node/reporting.ts
+++ b/packages/daemon/src/core/node/reporting.ts
@@ -7,7 +7,7 @@
 import { presentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
 import { callPeer } from '../rpc/rpcClient.js'
-import { leaderAddress } from './node.js'
+import { getLeaderAddress } from './node.js'
 import type { Node } from './node.js'
 import { repeat } from './timers.js'
 
@@ -55,7 +55,7 @@
 }
 
 async function reportOnce (node: Node, source: ReportSource): Promise<void> {
-  const leader = leaderAddress(node)
+  const leader = getLeaderAddress(node)
   if (leader === '') return
   const askedAt = presentTime()
   const report: VmReport = {
--- a/packages/daemon/src/core/rpc/rpcClient.ts
+++ b/packages/daemon/src/core/rpc/rpcClient.ts
@@ -7,7 +7,7 @@
 import type { ErrorCode, Millis } from '@lynxcourse/base'
 import type { Metrics } from '../../utils/metrics.js'
 import { resetUnanswered } from '../../utils/resetUnanswered.js'
-import { packedCoding, unpackText } from './packing.js'
+import { packedCoding, unpackText } from './compression.js'
 
 /** What a client needs to reach other VMs. */
 export interface RpcClientCfg {
--- a/packages/daemon/src/core/rpc/rpcServer.ts
+++ b/packages/daemon/src/core/rpc/rpcServer.ts
@@ -15,7 +15,7 @@
 import type { RateLimit } from '../../utils/rateLimit.js'
 import { lookAtSender } from '../../utils/senderLook.js'
 import type { TlsFiles } from '../../plugins/tlsFiles.js'
-import { isWorthPacking, packText, packedCoding } from './packing.js'
+import { isWorthPacking, packText, packedCoding } from './compression.js'
 
 /** Who calls, by the certificate's name: `vm:NAME`, `operator:NAME` or `server:NAME`. */
 export interface RpcCaller {
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -6,8 +6,8 @@
 import { leaveGracefully, startDaemon } from './core/daemon.js'
 import { leaveFleet, startFleetDaemon } from './core/fleet/fleetDaemon.js'
 import type { FleetDaemon } from './core/fleet/fleetDaemon.js'
-import { reloadFleet } from './core/fleet/fleetNode.js'
-import { OwnCallerDialect, OwnServerDialect } from './core/gateway/dialects.js'
+import { reloadFleetSettings } from './core/fleet/fleetNode.js'
+import { DefaultCallerDialect, DefaultServerDialect } from './core/gateway/dialects.js'
 import { log } from './utils/logging.js'
 import { readAnySettings, readCallerBlocks } from './utils/readSettings.js'
 
@@ -48,7 +48,7 @@
 async function start (file: string): Promise<RunningVm> {
   const settings = readAnySettings(file)
   if (settings.kind === 'fleet') {
-    const vm = await startFleetDaemon(settings.cfg, { callers: new OwnCallerDialect(), servers: new OwnServerDialect() })
+    const vm = await startFleetDaemon(settings.cfg, { callers: new DefaultCallerDialect(), servers: new DefaultServerDialect() })
     process.on('SIGHUP', () => reloadFleetFile(vm, file))
     return { leave: async () => await leaveFleet(vm), [Symbol.asyncDispose]: async () => await vm[Symbol.asyncDispose]() }
   }
@@ -61,7 +61,7 @@
   try {
     const next = readAnySettings(file)
     if (next.kind !== 'fleet') throw new LynxError('badSettings', `${file}: fleet: is required, since this VM belongs to a fleet`, { step: 'reload', field: 'fleet' })
-    reloadFleet(node, next.cfg)
+    reloadFleetSettings(node, next.cfg)
     log(node.logs, 'daemon', 'info', 'Settings reloaded.', { seeds: node.cfg.seeds.join() })
   } catch (err) {
     log(node.logs, 'daemon', 'error', 'Settings were not reloaded. The previous settings stay in use.', { error: getErrorMessage(err) })
--- a/scripts/bench/memberHost.ts
+++ b/scripts/bench/memberHost.ts
@@ -38,7 +38,7 @@
   const cfg = settingsSchema.parse(settingsOf(plan, [...control, plan], ''))
   const daemon = await startDaemon(cfg, cfg.callerBlocks, { logs: silentLogs(), seed: number })
   let version = 0
-  daemon.node.onChange.push(() => {
+  daemon.node.changeListeners.push(() => {
     const now = daemon.node.config.version
     if (now === version) return
     for (let passed = version + 1; passed <= now; passed++) {
@@ -60,7 +60,7 @@
       return {}
     case 'versions': {
       const versions = [...reached].map(([version, { count, last }]) => [version, count, last] as const)
-      const current = daemons.filter(daemon => Number.isFinite(daemon.node.currency.confirmedAt)).length
+      const current = daemons.filter(daemon => Number.isFinite(daemon.node.configLease.confirmedAt)).length
       return { versions, nodes: daemons.length, current } satisfies MemberVersions
     }
     case 'cost': {
