--- a/packages/daemon/src/core/entry/announcements.ts
+++ b/packages/daemon/src/core/entry/announcements.ts
@@ -1,4 +1,4 @@
-/** Takes backend servers' announcements of themselves. */
+/** Processes the announcements by which backend servers register themselves. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { LynxError, isLynxError, getErrorMessage } from '@lynxcourse/base'
 import type { FailureDomainId, Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
@@ -28,100 +28,105 @@
 const announcementSchema = z.strictObject({
   server: createNameSchema<ServerId>(),
   service: createNameSchema<ServiceId>(),
-  /** Where this system reaches the server. */
+  /** Address at which this system reaches the server. */
   address: addressSchema,
   failureDomain: createNameSchema<FailureDomainId>(),
   slots: z.number().int().min(1).max(10_000),
   connections: z.number().int().min(1).max(1_000_000),
-  /** Requests that the server works on now. */
+  /** Number of requests in progress at the server. */
   load: z.number().min(0).max(1_000_000).default(0),
   state: z.enum(['starting', 'serving', 'leaving']),
-  /** Grows with each start of the server; its start time in Unix milliseconds will do. */
+  /** Increases with each start of the server, for example its start time in Unix milliseconds. */
   incarnation: z.number().int().min(1),
-  /** Grows with each announcement. */
+  /** Increases with each announcement. */
   seq: z.number().int().min(0)
 })
 
 type Announcement = z.output<typeof announcementSchema>
 
-/** What a server is told of its announcement. */
+/** Answer to an announcement. */
 export interface AnnouncementReply {
+  /** Time after which the announcement expires. */
   readonly lifetimeMs: Millis
+  /** Time after which the server should announce itself again. */
   readonly againAfterMs: Millis
 }
 
-/** Answers an announcement that comes by HTTP, where the sender's address is all that tells who it is. */
+/**
+ * Answers an announcement over HTTP, where only the sender's address identifies the server. Rejected if TLS is
+ * configured.
+ */
 export async function answerAnnouncement (entry: Entry, syncing: Syncing, req: IncomingMessage, res: ServerResponse): Promise<void> {
   const { node } = entry
   try {
     if (node.cfg.tls !== undefined) {
-      throw new LynxError('notAllowed', 'with TLS, servers announce themselves by the RPC method server.announce', { step: 'announce' })
+      throw new LynxError('notAllowed', 'with TLS, servers announce themselves through the RPC method server.announce', { step: 'announce' })
     }
     const body = await readBody(req, maxAnnouncementBytes)
-    const reply = announce(entry, syncing, parseAnnouncement(body.toString('utf8')), req.socket.remoteAddress ?? '')
+    const reply = handleAnnouncement(entry, syncing, parseAnnouncement(body.toString('utf8')), req.socket.remoteAddress ?? '')
     res.writeHead(200, { 'content-type': 'application/json' }).end(JSON.stringify(reply))
   } catch (err) {
     const status = isLynxError(err, 'notAllowed') ? 403 : isLynxError(err, 'tooLarge') ? 413 : isLynxError(err, 'overCapacity') ? 429 : 400
     node.metrics.refusals.inc({ reason: isLynxError(err) ? err.code : 'badRequest' })
-    log(node.logs, 'announce', 'warn', 'Announcement refused.', { peer: req.socket.remoteAddress, error: getErrorMessage(err) })
+    log(node.logs, 'announce', 'warn', 'Announcement rejected.', { peer: req.socket.remoteAddress, error: getErrorMessage(err) })
     const field = isLynxError(err) ? err.field : undefined
     res.writeHead(status, { 'content-type': 'application/json', connection: 'close' }).end(`${JSON.stringify({ detail: getErrorMessage(err), field })}\n`)
   }
 }
 
-/** Adds the method by which servers announce themselves over mutual TLS, under the name in their certificate. */
+/** Adds the RPC method by which servers announce themselves over mutual TLS, under the name in their certificate. */
 export function addAnnounceMethod (rpc: RpcServer, entry: Entry, syncing: Syncing): void {
   addMethod(rpc, 'server.announce', ['server'], announcementSchema, (announcement, caller) => {
     if (caller.role === 'server' && caller.name !== announcement.server) {
-      throw new LynxError('notAllowed', `server:${caller.name} announces ${announcement.server}`, { step: 'announce', field: 'server', peer: caller.name })
+      throw new LynxError('notAllowed', `server:${caller.name} may not announce ${announcement.server}`, { step: 'announce', field: 'server', peer: caller.name })
     }
-    return announce(entry, syncing, announcement, caller.address)
+    return handleAnnouncement(entry, syncing, announcement, caller.address)
   })
 }
 
-function announce (entry: Entry, syncing: Syncing, announcement: Announcement, peer: string): AnnouncementReply {
+function handleAnnouncement (entry: Entry, syncing: Syncing, announcement: Announcement, peer: string): AnnouncementReply {
   const { announceMs } = entry.node.cfg.times
-  if (!takeToken(entry.announceRate, peer, presentTime())) {
-    throw new LynxError('overCapacity', `more than ${entry.announceRate.perSecond} announcements a second`, { step: 'announce', peer })
+  if (!takeToken(entry.announcementRateLimit, peer, presentTime())) {
+    throw new LynxError('overCapacity', `more than ${entry.announcementRateLimit.perSecond} announcements per second`, { step: 'announce', peer })
   }
-  takeAnnouncement(entry, syncing, announcement, recordOf(entry.node, announcement, peer))
+  applyAnnouncement(entry, syncing, announcement, toServerRecord(entry.node, announcement, peer))
   return { lifetimeMs: announceMs, againAfterMs: Math.floor(announceMs / announcementsPerLifetime) }
 }
 
 /**
- * Checks the text of an announcement.
+ * Parses and validates an announcement.
  *
- * @throws LynxError naming the field
+ * @throws LynxError that names the invalid field
  */
 export function parseAnnouncement (text: string): Announcement {
   return checkBody(announcementSchema, text, 'announce')
 }
 
-function recordOf (node: Node, announcement: Announcement, peer: string): ServerRecord {
+function toServerRecord (node: Node, announcement: Announcement, peer: string): ServerRecord {
   const { host } = splitAddress(announcement.address)
-  const from = peer.replace('::ffff:', '')
-  if (host !== from) {
-    throw new LynxError('notAllowed', `address: ${host} was announced from ${from}`, { step: 'announce', field: 'address', peer: from })
+  const sender = peer.replace('::ffff:', '')
+  if (host !== sender) {
+    throw new LynxError('notAllowed', `address: ${host} was announced by a sender at ${sender}`, { step: 'announce', field: 'address', peer: sender })
   }
-  const region = regionOfDomain(node, announcement.failureDomain)
+  const region = findRegionOfDomain(node, announcement.failureDomain)
   if (region === undefined) {
-    throw new LynxError('badRequest', `failureDomain: no '${announcement.failureDomain}'`, { step: 'announce', field: 'failureDomain' })
+    throw new LynxError('badRequest', `failureDomain: '${announcement.failureDomain}' does not exist`, { step: 'announce', field: 'failureDomain' })
   }
   const { server, service, address, failureDomain, slots, connections, state, incarnation, seq } = announcement
   return { kind: 'server', key: server, incarnation, seq, state, service, region, failureDomain, address, slots, maxConnections: connections }
 }
 
-function regionOfDomain (node: Node, domain: FailureDomainId): RegionId | undefined {
+function findRegionOfDomain (node: Node, domain: FailureDomainId): RegionId | undefined {
   const regions = Object.entries(node.cfg.topology.regions)
   return regions.find(([, domains]) => (domains as readonly string[]).includes(domain))?.[0] as RegionId | undefined
 }
 
-function takeAnnouncement (entry: Entry, syncing: Syncing, announcement: Announcement, record: ServerRecord): void {
+function applyAnnouncement (entry: Entry, syncing: Syncing, announcement: Announcement, record: ServerRecord): void {
   const { node } = entry
-  const before = findServer(node.directory, record.key)
-  const isLive = before !== undefined && before.state !== 'gone'
-  if (isLive && before.address !== record.address && before.incarnation >= record.incarnation) {
-    throw new LynxError('notAllowed', `server: '${record.key}' is announced from ${before.address}`, { step: 'announce', field: 'server' })
+  const existing = findServer(node.directory, record.key)
+  const isRegistered = existing !== undefined && existing.state !== 'gone'
+  if (isRegistered && existing.address !== record.address && existing.incarnation >= record.incarnation) {
+    throw new LynxError('notAllowed', `server: '${record.key}' is already announced with address ${existing.address}`, { step: 'announce', field: 'server' })
   }
   const changed = putRecord(node.directory, record, 'direct', presentTime())
   const observed = entry.router.backends.byId.get(record.key)
--- a/packages/daemon/src/core/entry/attemptSteps.ts
+++ b/packages/daemon/src/core/entry/attemptSteps.ts
@@ -1,4 +1,4 @@
-/** Steps that repeatable and once-only requests share: getting a slot, running an attempt, logging. */
+/** Steps of all requests, idempotent or not: acquiring a slot, running an attempt, logging. */
 import { isFinal, nextState } from '@lynxcourse/base'
 import { isLeaseValid } from '@lynxcourse/membership'
 import { needsPoll, recordPoll } from '@lynxcourse/placement'
@@ -11,80 +11,89 @@
 import type { FinalAnswer } from '../../types/answers.js'
 import { runAttempt } from './attempts.js'
 import type { AttemptResult } from './attempts.js'
-import type { Serving } from './serving.js'
+import type { ServedRequest } from './serving.js'
 import { acquireSlot, limitGate, releaseSlot } from './slots.js'
-import type { NoSlot, Slot } from './serviceQueue.js'
+import type { SlotFailure, Slot } from './serviceQueue.js'
 
-/** Life of one request by the `attempt` chart. */
-export interface RequestLife {
+/** State of one request in the `attempt` chart. */
+export interface AttemptChartState {
   state: string
 }
 
-/** Moves a request on by its chart; an impossible step is a fault of this program. */
-export function takeAttemptEvent (serving: Serving, life: RequestLife, event: string): void {
+/**
+ * Applies an event of the `attempt` chart to a request. Throws if the chart does not allow the event in the present
+ * state.
+ */
+export function applyAttemptEvent (serving: ServedRequest, life: AttemptChartState, event: string): void {
   life.state = nextState(serving.entry.attemptChart, life.state, event)
 }
 
-/** Whether the request has its final answer. */
-export function isEnded (serving: Serving, life: RequestLife): boolean {
+/** Returns whether a request is in a final state of its chart. */
+export function hasEnded (serving: ServedRequest, life: AttemptChartState): boolean {
   return isFinal(serving.entry.attemptChart, life.state)
 }
 
 /**
- * Gets a slot that this VM may still use when it comes.
+ * Acquires a slot and checks that the request may still be sent: waiting for the slot may have taken longer than the
+ * caller's connection or the configuration lease lasted.
  *
- * @param lastSendAt when a slot is of no more use to the request
+ * @param latestSendTime the time after which the request no longer needs a slot
  */
-export async function getSlot (serving: Serving, tried: ReadonlySet<string>, lastSendAt: Millis): Promise<Slot | NoSlot> {
+export async function acquireUsableSlot (serving: ServedRequest, triedServers: ReadonlySet<string>, latestSendTime: Millis): Promise<Slot | SlotFailure> {
   const { entry, request, places, signal } = serving
   const gate = limitGate(entry, request.service, request.profile, presentTime)
-  const slot = await acquireSlot(entry, { service: request.service, places, triedServers: tried }, gate, lastSendAt, signal)
+  const slot = await acquireSlot(entry, { service: request.service, places, triedServers }, gate, latestSendTime, signal)
   if (typeof slot === 'string') return slot
-  await renewCallerView(serving)
+  await refreshCallerLiveness(serving)
   if (signal.aborted) {
     releaseSlot(entry, slot, 'cancelled')
     return 'gone'
   }
-  if (presentTime() < serving.request.deadline && mayStillSend(serving)) return slot
-  // The lease ran out while the request waited: a drain may have begun that this VM has not heard of.
+  if (presentTime() < serving.request.deadline && maySend(serving)) return slot
+  // The lease expired while the request waited: a drain may have started that this VM does not know of yet.
   releaseSlot(entry, slot, 'cancelled')
   return 'late'
 }
 
-async function renewCallerView ({ entry, caller, signal, request }: Serving): Promise<void> {
-  while (!signal.aborted && presentTime() < request.deadline && needsPoll(caller, presentTime())) recordPoll(caller, (await nextLook(entry.loop.looks)).beganAt)
+/** Waits until the sockets have been polled recently enough to rely on the caller still being connected. */
+async function refreshCallerLiveness ({ entry, liveness, signal, request }: ServedRequest): Promise<void> {
+  while (!signal.aborted && presentTime() < request.deadline && needsPoll(liveness, presentTime())) recordPoll(liveness, (await nextLook(entry.loop.looks)).beganAt)
 }
 
-function mayStillSend (serving: Serving): boolean {
+/**
+ * Returns whether the configuration is known to be current, or the request is a read that the profile allows without
+ * that.
+ */
+function maySend (serving: ServedRequest): boolean {
   const { entry, request } = serving
   const isLocalRead = request.profile.whenIsolated === 'local' && request.isIdempotent
   return isLocalRead || isLeaseValid(entry.node.currency, presentTime())
 }
 
-/** Runs an attempt in a slot and gives the slot back. */
-export async function attemptIn (serving: Serving, slot: Slot, signal: Cancel): Promise<AttemptResult> {
+/** Runs an attempt and releases its slot, for a streamed answer when the body closes. */
+export async function runAttemptInSlot (serving: ServedRequest, slot: Slot, signal: Cancel): Promise<AttemptResult> {
   logSent(serving, slot)
   const result = await runAttempt(serving.entry, serving.request, slot, signal)
   if (result.type === 'answered' && !Buffer.isBuffer(result.body)) {
-    result.body.once('close', () => releaseSlot(serving.entry, slot, endOf(result)))
+    result.body.once('close', () => releaseSlot(serving.entry, slot, getAttemptOutcome(result)))
     return result
   }
-  releaseSlot(serving.entry, slot, endOf(result))
+  releaseSlot(serving.entry, slot, getAttemptOutcome(result))
   return result
 }
 
-const firstServerError = 500
+const minServerErrorStatus = 500
 
-function endOf (result: AttemptResult): AttemptOutcome {
+function getAttemptOutcome (result: AttemptResult): AttemptOutcome {
   switch (result.type) {
-    case 'answered': return result.status >= firstServerError ? 'failed' : 'answered'
+    case 'answered': return result.status >= minServerErrorStatus ? 'failed' : 'answered'
     case 'shed': return 'shed'
     case 'notSent': return 'failed'
     case 'lost': return result.reason === 'gone' || result.reason === 'silent' ? 'cancelled' : 'failed'
   }
 }
 
-function logSent (serving: Serving, slot: Slot): void {
+function logSent (serving: ServedRequest, slot: Slot): void {
   const { entry, request } = serving
   if (!isLogged(entry.node.logs, 'route', 'info')) return
   log(entry.node.logs, 'route', 'info', 'Sent to a server.', {
@@ -94,18 +103,18 @@
     region: slot.place.region,
     shift: slot.place.shift,
     waitedMs: Math.round(slot.startedAt - request.arrivedAt),
-    passedOver: slot.passedOver.map(passed => `${passed.region}:${passed.reason}`).join(',') || undefined
+    passedOver: slot.passedOver.map(skipped => `${skipped.region}:${skipped.reason}`).join(',') || undefined
   })
 }
 
-/** Writes the line for a request that was not sent. */
-export function logRefused (serving: Serving, reason: string): void {
+/** Logs that a request ended without the answer of a server. */
+export function logNotServed (serving: ServedRequest, reason: string): void {
   const { entry, request } = serving
-  log(entry.node.logs, 'route', 'info', 'Not sent.', { service: request.service, id: request.id, reason })
+  log(entry.node.logs, 'route', 'info', 'Request not served.', { service: request.service, id: request.id, reason })
 }
 
-/** The caller's answer from a backend server's. */
-export function answerFrom (slot: Slot, result: Extract<AttemptResult, { type: 'answered' }>): FinalAnswer {
+/** Converts the answer of a backend server to the final answer of the request. */
+export function toFinalAnswer (slot: Slot, result: Extract<AttemptResult, { type: 'answered' }>): FinalAnswer {
   const { status, headers, body } = result
   return { outcome: 'done', status, headers, body, retryAfterMs: undefined, server: slot.observed.backend.id, detail: 'done' }
 }
--- a/packages/daemon/src/core/entry/attempts.ts
+++ b/packages/daemon/src/core/entry/attempts.ts
@@ -1,4 +1,4 @@
-/** One attempt: sends a request to a backend server over one connection and reads its answer. */
+/** Runs one attempt: sends a request to a backend server over one connection and reads the answer. */
 import type { Readable } from 'node:stream'
 import type { Dispatcher } from 'undici'
 import { getErrorMessage } from '@lynxcourse/base'
@@ -16,32 +16,35 @@
 import type { ForwardRequest } from './forwardRequest.js'
 import type { Slot } from './serviceQueue.js'
 
-/** Answers up to this are read whole before the caller gets any of it. */
-const wholeAnswerBytes = 65_536
+/**
+ * Answers with a declared length up to this are read completely before the caller receives any of them; others are
+ * streamed.
+ */
+const maxBufferedAnswerBytes = 65_536
 
-/** How an attempt ended. */
+/** Result of an attempt. */
 export type AttemptResult =
   | { readonly type: 'answered', readonly status: number, readonly headers: HeaderMap, readonly body: Buffer | Readable }
-  /** The server says that it did not start. */
+  /** The server states that it did not start the request. */
   | { readonly type: 'shed', readonly retryAfterMs: Millis | undefined }
-  /** No byte was handed to a connection. */
+  /** No byte of the request was written to a connection. */
   | { readonly type: 'notSent', readonly detail: string }
-  /** Sent, and no whole answer came. */
+  /** The request was sent, and no complete answer arrived. */
   | { readonly type: 'lost', readonly detail: string, readonly reason: 'failed' | 'deadline' | 'gone' | 'silent' }
 
 /**
- * Runs an attempt. The slot is still held when it resolves, unless the body streams on: then the
- * caller of this function releases it at the body's end.
+ * Runs an attempt. The calling function releases the slot: when the promise resolves or, for a streamed body, when the
+ * body closes.
  *
- * @param signal aborted when the caller is gone or another attempt won
+ * @param signal aborted when the caller disconnects or another attempt of the request gets an answer first
  */
 export async function runAttempt (entry: Entry, request: ForwardRequest, slot: Slot, signal: Cancel): Promise<AttemptResult> {
   const now = presentTime()
   const connection = takeConnection(entry.pool, slot.observed.backend.address, !request.isIdempotent, now)
   const watch = watchAttempt(entry, request, connection, signal, now)
   try {
-    const res = await connection.client.request({ ...requestOptions(request, now), signal: watch.signal })
-    watch.gotHeaders()
+    const res = await connection.client.request({ ...buildRequestOptions(request, now), signal: watch.signal })
+    watch.onHeaders()
     progressConnection(entry.pool, connection, presentTime())
     const load = Number(res.headers[loadHeader])
     if (res.headers[loadHeader] !== undefined) recordReportedLoad(slot.observed, load, presentTime())
@@ -49,7 +52,7 @@
       await res.body.dump()
       watch.stop()
       releaseConnection(entry.pool, connection, presentTime())
-      return { type: 'shed', retryAfterMs: retryAfterOf(res) }
+      return { type: 'shed', retryAfterMs: parseRetryAfter(res) }
     }
     return await readAnswer(entry, connection, res, watch)
   } catch (err) {
@@ -62,7 +65,7 @@
   }
 }
 
-function requestOptions (request: ForwardRequest, now: Millis): Dispatcher.RequestOptions {
+function buildRequestOptions (request: ForwardRequest, now: Millis): Dispatcher.RequestOptions {
   const headers: HeaderMap = { ...request.headers, [deadlineHeader]: String(Math.max(1, Math.floor(request.deadline - now))) }
   if (request.id !== undefined) headers[requestIdHeader] = request.id
   return { method: request.method as Dispatcher.HttpMethod, path: request.path, headers, body: request.body ?? null }
@@ -72,59 +75,63 @@
   return res.statusCode === 503 && res.headers[notStartedHeader] === 'true'
 }
 
-function retryAfterOf (res: Dispatcher.ResponseData): Millis | undefined {
+function parseRetryAfter (res: Dispatcher.ResponseData): Millis | undefined {
   const seconds = Number(res.headers['retry-after'])
   return Number.isFinite(seconds) && seconds >= 0 ? seconds * 1000 : undefined
 }
 
-interface Watch {
+/** Aborts an attempt when a timeout expires or the caller disconnects. */
+interface AttemptWatch {
+  /** Aborts the attempt. */
   readonly signal: Cancel
-  gotHeaders: () => void
+  /** Ends the check for silence, since the head of the answer has arrived. */
+  onHeaders: () => void
+  /** Returns why the attempt was aborted; `failed` if the watch did not abort it. */
   reason: () => 'failed' | 'deadline' | 'gone' | 'silent'
   stop: () => void
 }
 
 /**
- * Ends an attempt at its deadline, when the caller goes, or when a used connection stays silent. It
- * goes on until the answer's last byte: a body that stops half-way would else hold its slot, and its
- * part of a cap, beyond the deadline that grants rely on.
+ * Aborts an attempt at its deadline, when the outer signal is aborted, or when a reused connection stays silent. The
+ * deadline covers the answer up to its last byte: otherwise, a body that stalls would occupy its slot, and its share of
+ * a cap, past the deadline that the grants of caps rely on.
  */
-function watchAttempt (entry: Entry, request: ForwardRequest, connection: Connection, outer: Cancel, now: Millis): Watch {
-  const inner = new Cancel()
-  let reason: ReturnType<Watch['reason']> = 'failed'
+function watchAttempt (entry: Entry, request: ForwardRequest, connection: Connection, outerSignal: Cancel, now: Millis): AttemptWatch {
+  const attemptSignal = new Cancel()
+  let reason: ReturnType<AttemptWatch['reason']> = 'failed'
   let isOver = false
-  const end = (why: typeof reason) => (): void => {
+  const abortWith = (abortReason: typeof reason) => (): void => {
     if (isOver) return
-    reason = why
-    inner.abort()
+    reason = abortReason
+    attemptSignal.abort()
   }
-  const goneNow = end('gone')
-  outer.on('abort', goneNow)
-  if (outer.aborted) goneNow()
-  const deadlineTimer = setTimeout(afterLook(entry.loop.looks, end('deadline')), Math.max(1, request.deadline - now))
-  // Only a connection that carried requests before can have been lost track of; a new one that is
-  // slow tells of a slow server, and a second attempt would only add to its load.
-  const mayBeSilent = connection.reused && request.isIdempotent
-  const endSilent = end('silent')
-  const checkSilent = (): void => { if (isSilent(entry.pool.cfg, connection.state, presentTime())) endSilent() }
-  const silentTimer = mayBeSilent ? setTimeout(afterLook(entry.loop.looks, checkSilent), entry.pool.cfg.silentMs + 1) : undefined
+  const abortAsGone = abortWith('gone')
+  outerSignal.on('abort', abortAsGone)
+  if (outerSignal.aborted) abortAsGone()
+  const deadlineTimer = setTimeout(afterLook(entry.loop.looks, abortWith('deadline')), Math.max(1, request.deadline - now))
+  // A middlebox can lose track only of a connection that carried requests before. A new connection without an answer
+  // means that the server is slow, and a second attempt would only add to its load.
+  const detectsSilence = connection.reused && request.isIdempotent
+  const abortAsSilent = abortWith('silent')
+  const checkSilence = (): void => { if (isSilent(entry.pool.cfg, connection.state, presentTime())) abortAsSilent() }
+  const silenceTimer = detectsSilence ? setTimeout(afterLook(entry.loop.looks, checkSilence), entry.pool.cfg.silentMs + 1) : undefined
   return {
-    signal: inner,
-    gotHeaders: () => clearTimeout(silentTimer),
+    signal: attemptSignal,
+    onHeaders: () => clearTimeout(silenceTimer),
     reason: () => reason,
     stop: () => {
       isOver = true
-      clearTimeout(silentTimer)
+      clearTimeout(silenceTimer)
       clearTimeout(deadlineTimer)
-      outer.off('abort', goneNow)
+      outerSignal.off('abort', abortAsGone)
     }
   }
 }
 
-async function readAnswer (entry: Entry, connection: Connection, res: Dispatcher.ResponseData, watch: Watch): Promise<AttemptResult> {
+async function readAnswer (entry: Entry, connection: Connection, res: Dispatcher.ResponseData, watch: AttemptWatch): Promise<AttemptResult> {
   const headers = passedHeaders(res.headers)
   const length = Number(res.headers['content-length'] ?? NaN)
-  if (length <= wholeAnswerBytes) {
+  if (length <= maxBufferedAnswerBytes) {
     const body = Buffer.from(await res.body.arrayBuffer())
     watch.stop()
     releaseConnection(entry.pool, connection, presentTime())
@@ -133,7 +140,7 @@
   return { type: 'answered', status: res.statusCode, headers, body: streamBody(entry, connection, res, watch) }
 }
 
-function streamBody (entry: Entry, connection: Connection, res: Dispatcher.ResponseData, watch: Watch): Readable {
+function streamBody (entry: Entry, connection: Connection, res: Dispatcher.ResponseData, watch: AttemptWatch): Readable {
   const body = res.body
   body.on('data', () => progressConnection(entry.pool, connection, presentTime()))
   body.pause()
--- a/packages/daemon/src/core/entry/callerPlaces.ts
+++ b/packages/daemon/src/core/entry/callerPlaces.ts
@@ -1,26 +1,29 @@
-/** The order of regions for one caller at this VM. */
+/** Determines the candidate regions for a caller. */
 import { hashBlock, orderRegions, parseIpv4, findRegion } from '@lynxcourse/routing'
 import type { CandidateRegion } from '@lynxcourse/routing'
 import type { RegionId, ServiceId } from '@lynxcourse/base'
 import type { Profile } from '@lynxcourse/state'
 import type { Entry } from './entry.js'
 
-/** A caller by its address block. */
-export interface CallerBlockInfo {
+/** What the address block of a caller determines. */
+export interface CallerInfo {
   readonly hash: number
-  /** Region of the block; undefined if no block is known. */
+  /** Region of the block; undefined if the address belongs to no known block. */
   readonly region: RegionId | undefined
 }
 
-/** What is known of a caller from its address. */
-export function callerInfo (entry: Entry, address: string): CallerBlockInfo {
-  const number = parseIpv4(address)
-  if (number === undefined) return { hash: 0, region: undefined }
-  return { hash: hashBlock(number), region: findRegion(entry.blocks, number) }
+/** Looks up the address block of a caller. */
+export function callerInfo (entry: Entry, address: string): CallerInfo {
+  const ipv4 = parseIpv4(address)
+  if (ipv4 === undefined) return { hash: 0, region: undefined }
+  return { hash: hashBlock(ipv4), region: findRegion(entry.callerBlockTable, ipv4) }
 }
 
-/** Regions to try for a caller; where its block is unknown, as seen from this VM. */
-export function placesFor (entry: Entry, service: ServiceId, profile: Profile, caller: CallerBlockInfo): CandidateRegion[] {
+/**
+ * Returns the regions to try for a caller, in order. A caller of an unknown block is treated as one in this VM's
+ * region.
+ */
+export function placesFor (entry: Entry, service: ServiceId, profile: Profile, caller: CallerInfo): CandidateRegion[] {
   return orderRegions({
     service,
     places: profile.places,
--- a/packages/daemon/src/core/entry/callerServer.ts
+++ b/packages/daemon/src/core/entry/callerServer.ts
@@ -9,8 +9,8 @@
 import type { Syncing } from '../node/syncing.js'
 import { announcePath, answerAnnouncement } from './announcements.js'
 import type { Entry } from './entry.js'
-import { refusalAnswer, writeAnswer } from './finalAnswers.js'
-import { forward } from './forwarding.js'
+import { createRefusal, writeAnswer } from './finalAnswers.js'
+import { forwardRequest } from './forwarding.js'
 import { servicePath } from './forwardRequest.js'
 import { answerLookup, lookupPath } from './lookups.js'
 
@@ -18,7 +18,7 @@
 const requestTimeoutMs = 60_000
 const keepAliveTimeoutMs = 15_000
 
-/** Makes the server; slow or broken senders are cut off by Node's own time-outs. */
+/** Creates the server. Node's own timeouts close the connections of slow or broken senders. */
 export function createCallerServer (entry: Entry, syncing: Syncing): Server {
   const { limits } = entry.node.cfg
   const server = createServer({
@@ -26,17 +26,17 @@
     headersTimeout: headersTimeoutMs,
     requestTimeout: requestTimeoutMs,
     keepAliveTimeout: keepAliveTimeoutMs
-  }, (req, res) => handle(entry, syncing, req, res))
+  }, (req, res) => handleRequest(entry, syncing, req, res))
   server.maxConnections = limits.maxConnections
   server.on('connection', (socket: Socket) => {
     noteAccepted(entry.loop, socket, presentTime())
-    // Each of its open requests listens for its end.
+    // Each request in progress on the socket adds listeners.
     socket.setMaxListeners(0)
   })
   return server
 }
 
-function handle (entry: Entry, syncing: Syncing, req: IncomingMessage, res: ServerResponse): void {
+function handleRequest (entry: Entry, syncing: Syncing, req: IncomingMessage, res: ServerResponse): void {
   const url = req.url ?? ''
   if (entry.leaving) res.shouldKeepAlive = false
   if (url.startsWith(lookupPath)) {
@@ -44,16 +44,16 @@
     return
   }
   const work = url.startsWith(servicePath)
-    ? forward(entry, req, res)
+    ? forwardRequest(entry, req, res)
     : url === announcePath && req.method === 'POST'
       ? answerAnnouncement(entry, syncing, req, res)
-      : writeAnswer(entry.node, res, refusalAnswer(notFound(url)))
+      : writeAnswer(entry.node, res, createRefusal(createNotFoundError(url)))
   work.catch((err: unknown) => {
     log(entry.node.logs, 'daemon', 'error', 'Request failed.', { error: getErrorMessage(err) })
     res.destroy()
   })
 }
 
-function notFound (url: string): Error {
+function createNotFoundError (url: string): Error {
   return new LynxError('notFound', `path '${url.slice(0, 100)}'`, { step: 'receive', field: 'path' })
 }
--- a/packages/daemon/src/core/entry/claiming.ts
+++ b/packages/daemon/src/core/entry/claiming.ts
@@ -1,7 +1,7 @@
 /**
- * The entry VM's side of claims: sends them to the leader in batches and repeats them, under the same
- * token, until an answer comes or the time is over. A repeated claim by its own holder gets its first
- * answer, so a lost answer costs nothing but time.
+ * The entry VM's side of claims of request ids: sends commands to the leader in batches and repeats them, with the same
+ * token, until an answer arrives or the deadline passes. A repeated claim by the same holder gets the first answer again,
+ * so a lost answer costs only time.
  */
 import { LynxError, isLynxError, getErrorMessage } from '@lynxcourse/base'
 import type { Millis, RequestId } from '@lynxcourse/base'
@@ -15,116 +15,120 @@
 import { delay } from '../node/timers.js'
 import { callPeer } from '../rpc/rpcClient.js'
 
-interface Waiting {
+/** A command that waits for its answer. */
+interface PendingCommand {
   readonly command: ClaimCommand | SettleCommand
-  readonly until: Millis
+  readonly deadline: Millis
   readonly resolve: (reply: ClaimReply) => void
   readonly reject: (err: LynxError) => void
 }
 
+/** Commands of this VM to the register of claims. */
 export interface Claiming {
   readonly node: Node
-  waiting: Waiting[]
-  /** Commands waiting or under way. */
-  pending: number
+  /** Commands to be sent in the next batches. */
+  queue: PendingCommand[]
+  /** Number of commands in the queue and in flight. */
+  pendingCount: number
+  /** Whether sending the queue is scheduled. */
   scheduled: boolean
 }
 
-/** Most commands at once; over it new claims are refused. */
-const maxPending = 20_000
-const retryEveryMs = 100
+/** Maximum number of commands in the queue and in flight; beyond it, new commands are rejected. */
+const maxPendingCommands = 20_000
+const retryDelayMs = 100
 
-/** How long a settle is repeated; it is no caller that waits for it. */
-const settleForMs = 10_000
+/** How long an outcome is sent again for which no caller waits. */
+const backgroundRecordTimeoutMs = 10_000
 
 export function createClaiming (node: Node): Claiming {
-  return { node, waiting: [], pending: 0, scheduled: false }
+  return { node, queue: [], pendingCount: 0, scheduled: false }
 }
 
 /**
  * Claims a request id for this VM.
  *
- * @throws LynxError `noQuorum` when no answer came in time: the claim may stand in the register
+ * @throws LynxError `noQuorum` if no answer arrived in time: the register may have granted the claim nevertheless
  */
-export async function claimId (claiming: Claiming, id: RequestId, token: string, until: Millis): Promise<ClaimAnswer> {
+export async function claimRequestId (claimClient: Claiming, id: RequestId, token: string, deadline: Millis): Promise<ClaimAnswer> {
   const startedAt = presentTime()
-  const command: ClaimCommand = { type: 'claim', id, holder: claiming.node.holder, token }
-  const answer = await submit(claiming, command, until) as ClaimAnswer
-  claiming.node.metrics.claims.inc({ result: answer.result })
-  claiming.node.metrics.claimSeconds.observe((presentTime() - startedAt) / 1000)
+  const command: ClaimCommand = { type: 'claim', id, holder: claimClient.node.holder, token }
+  const answer = await submitCommand(claimClient, command, deadline) as ClaimAnswer
+  claimClient.node.metrics.claims.inc({ result: answer.result })
+  claimClient.node.metrics.claimSeconds.observe((presentTime() - startedAt) / 1000)
   return answer
 }
 
 /**
- * Records how a claim ended.
+ * Records the outcome of a claim in the register.
  *
- * @returns whether the register now says so in this holder's name
+ * @returns whether the register confirmed the outcome for the claim of this holder
  */
-export async function settleId (claiming: Claiming, id: RequestId, token: string, outcome: ClaimOutcome, answer: StoredAnswer | undefined, until: Millis): Promise<boolean> {
-  const command: SettleCommand = { type: 'settle', id, holder: claiming.node.holder, token, outcome, answer }
+export async function recordOutcome (claimClient: Claiming, id: RequestId, token: string, outcome: ClaimOutcome, answer: StoredAnswer | undefined, deadline: Millis): Promise<boolean> {
+  const command: SettleCommand = { type: 'settle', id, holder: claimClient.node.holder, token, outcome, answer }
   try {
-    const settled = await submit(claiming, command, until) as SettleAnswer
-    return settled.accepted
+    const reply = await submitCommand(claimClient, command, deadline) as SettleAnswer
+    return reply.accepted
   } catch (err) {
-    log(claiming.node.logs, 'claim', 'warn', 'Outcome was not recorded.', { id, outcome, error: getErrorMessage(err) })
+    log(claimClient.node.logs, 'claim', 'warn', 'Outcome of a claim was not recorded.', { id, outcome, error: getErrorMessage(err) })
     return false
   }
 }
 
-/** Records an end for which no caller waits. */
-export function settleLater (claiming: Claiming, id: RequestId, token: string, outcome: ClaimOutcome, answer: StoredAnswer | undefined): void {
-  settleId(claiming, id, token, outcome, answer, presentTime() + settleForMs).catch(() => undefined)
+/** Records the outcome of a claim without waiting for the register. */
+export function recordOutcomeInBackground (claimClient: Claiming, id: RequestId, token: string, outcome: ClaimOutcome, answer: StoredAnswer | undefined): void {
+  recordOutcome(claimClient, id, token, outcome, answer, presentTime() + backgroundRecordTimeoutMs).catch(() => undefined)
 }
 
-async function submit (claiming: Claiming, command: ClaimCommand | SettleCommand, until: Millis): Promise<ClaimReply> {
-  if (claiming.pending >= maxPending) throw new LynxError('overCapacity', `${maxPending} claims wait`, { step: 'claim' })
-  claiming.pending += 1
+async function submitCommand (claimClient: Claiming, command: ClaimCommand | SettleCommand, deadline: Millis): Promise<ClaimReply> {
+  if (claimClient.pendingCount >= maxPendingCommands) throw new LynxError('overCapacity', `${maxPendingCommands} commands to the register of claims are pending`, { step: 'claim' })
+  claimClient.pendingCount += 1
   try {
     return await new Promise<ClaimReply>((resolve, reject) => {
-      claiming.waiting.push({ command, until, resolve, reject })
-      schedule(claiming)
+      claimClient.queue.push({ command, deadline, resolve, reject })
+      scheduleSend(claimClient)
     })
   } finally {
-    claiming.pending -= 1
+    claimClient.pendingCount -= 1
   }
 }
 
-function schedule (claiming: Claiming): void {
-  if (claiming.scheduled) return
-  claiming.scheduled = true
-  // All claims of one turn of the loop share a message.
+function scheduleSend (claimClient: Claiming): void {
+  if (claimClient.scheduled) return
+  claimClient.scheduled = true
+  // All commands of one event loop iteration share a message.
   setImmediate(() => {
-    claiming.scheduled = false
-    while (claiming.waiting.length > 0) sendBatch(claiming, claiming.waiting.splice(0, maxClaimBatch)).catch(() => undefined)
+    claimClient.scheduled = false
+    while (claimClient.queue.length > 0) sendBatch(claimClient, claimClient.queue.splice(0, maxClaimBatch)).catch(() => undefined)
   })
 }
 
-async function sendBatch (claiming: Claiming, batch: readonly Waiting[]): Promise<void> {
-  const { node } = claiming
-  const started = presentTime()
-  const latest = Math.max(...batch.map(waiting => waiting.until))
-  const timeoutMs = Math.max(1, Math.min(node.cfg.times.rpcTimeoutMs, latest - started))
+async function sendBatch (claimClient: Claiming, batch: readonly PendingCommand[]): Promise<void> {
+  const { node } = claimClient
+  const startedAt = presentTime()
+  const latestDeadline = Math.max(...batch.map(pending => pending.deadline))
+  const timeoutMs = Math.max(1, Math.min(node.cfg.times.rpcTimeoutMs, latestDeadline - startedAt))
   try {
     const leader = leaderAddress(node)
     if (leader === '') throw new LynxError('notLeader', 'no leader is known', { step: 'claim' })
-    const replies = await callPeer<ClaimReply[]>(node.client, leader, 'claims.submit', { commands: batch.map(waiting => waiting.command) }, timeoutMs)
-    batch.forEach((waiting, place) => waiting.resolve(replies[place] as ClaimReply))
+    const replies = await callPeer<ClaimReply[]>(node.client, leader, 'claims.submit', { commands: batch.map(pending => pending.command) }, timeoutMs)
+    batch.forEach((pending, index) => pending.resolve(replies[index] as ClaimReply))
   } catch (err) {
-    await retryBatch(claiming, batch, err)
+    await retryBatch(claimClient, batch, err)
   }
 }
 
-async function retryBatch (claiming: Claiming, batch: readonly Waiting[], err: unknown): Promise<void> {
+async function retryBatch (claimClient: Claiming, batch: readonly PendingCommand[], err: unknown): Promise<void> {
   const isFinal = isLynxError(err, 'badRequest') || isLynxError(err, 'notAllowed')
-  log(claiming.node.logs, 'claim', isFinal ? 'error' : 'warn', 'Batch was not answered.', { commands: batch.length, peer: claiming.node.leader, error: getErrorMessage(err) })
-  if (!isFinal) await delay(retryEveryMs)
+  log(claimClient.node.logs, 'claim', isFinal ? 'error' : 'warn', 'Batch of claims was not answered.', { commands: batch.length, peer: claimClient.node.leader, error: getErrorMessage(err) })
+  if (!isFinal) await delay(retryDelayMs)
   const now = presentTime()
-  for (const waiting of batch) {
-    if (isFinal || now >= waiting.until) {
-      waiting.reject(new LynxError('noQuorum', getErrorMessage(err), { step: waiting.command.type, peer: claiming.node.leader ?? '', cause: err }))
+  for (const pending of batch) {
+    if (isFinal || now >= pending.deadline) {
+      pending.reject(new LynxError('noQuorum', getErrorMessage(err), { step: pending.command.type, peer: claimClient.node.leader ?? '', cause: err }))
     } else {
-      claiming.waiting.push(waiting)
+      claimClient.queue.push(pending)
     }
   }
-  if (claiming.waiting.length > 0) schedule(claiming)
+  if (claimClient.queue.length > 0) scheduleSend(claimClient)
 }
--- a/packages/daemon/src/core/entry/connectionPool.ts
+++ b/packages/daemon/src/core/entry/connectionPool.ts
@@ -1,4 +1,4 @@
-/** Connections to backend servers, one `undici` client each, judged by their chart. */
+/** Pools connections to backend servers, one `undici` client each, and tracks their states by the `connection` chart. */
 import type { Socket } from 'node:net'
 import { Client, buildConnector } from 'undici'
 import { createIdleConnectionHistory, isLateConnection, getMaxIdleMs, recordResetAfterIdle, recordUnansweredAfterIdle } from '@lynxcourse/placement'
@@ -11,81 +11,88 @@
 import { nextLook } from '../../utils/socketLooks.js'
 import type { Looks } from '../../utils/socketLooks.js'
 
-/** One connection. */
+/** A pooled connection. */
 export interface Connection {
   readonly client: Client
   readonly state: ConnectionState
   readonly address: string
-  /** Whether it has carried a request before. */
+  /** Whether the connection carried a request before the present one. */
   reused: boolean
-  /** How long it rested before the request that it carries now. */
+  /** How long the connection was idle before the present request. */
   restedMs: Millis
-  /** Whether the peer reset it: `undici` takes a reset for the end of a body that has no length. */
+  /** Whether the peer reset the connection: `undici` takes a reset for the end of a body without a length. */
   wasReset: boolean
 }
 
+/** Connections to backend servers. Disposing the pool closes all of them. */
 export interface ConnectionPool extends AsyncDisposable {
   readonly cfg: ConnectionCfg
   readonly chart: Chart
   readonly connectTimeoutMs: Millis
-  readonly looks: Looks
-  /** Called when a connection is open, with the time at which it was asked for. */
-  onConnect: ((address: string, startedAt: Millis) => void) | undefined
-  /** Connections to each server, the one used last at the end. */
+  /** Poll phases of the event loop that reads the sockets. */
+  readonly polls: Looks
+  /** Called when a connection is open, with the time at which it was requested. */
+  onConnect: ((address: string, requestedAt: Millis) => void) | undefined
+  /** Connections by server address, in the order in which they were opened. */
   readonly byAddress: Map<string, Connection[]>
-  readonly rests: IdleConnectionHistory
+  /** Resets and missing answers on reused connections; they limit the idle time for requests that must not repeat. */
+  readonly idleHistory: IdleConnectionHistory
 }
 
-/** A connection is closed this long before its server would, so that no request crosses the close. */
+/**
+ * A connection is closed this long before the idle timeout that its server announces, so that no request crosses the
+ * close.
+ */
 const closeBeforeServerMs: Millis = 1000
 
-export function createPool (cfg: ConnectionCfg, chart: Chart, connectTimeoutMs: Millis, looks: Looks): ConnectionPool {
+export function createPool (cfg: ConnectionCfg, chart: Chart, connectTimeoutMs: Millis, polls: Looks): ConnectionPool {
   const pool: ConnectionPool = {
     cfg,
     chart,
     connectTimeoutMs,
-    looks,
+    polls,
     onConnect: undefined,
     byAddress: new Map(),
-    rests: createIdleConnectionHistory(),
+    idleHistory: createIdleConnectionHistory(),
     [Symbol.asyncDispose]: async () => {
-      const all = [...pool.byAddress.values()].flat()
-      await Promise.all(all.map(async connection => await connection.client.destroy()))
+      const connections = [...pool.byAddress.values()].flat()
+      await Promise.all(connections.map(async connection => await connection.client.destroy()))
     }
   }
   return pool
 }
 
 /**
- * Takes a connection that may carry a request, or opens one; give it back with `releaseConnection`.
+ * Returns a connection that may carry a request, opening one if necessary. Pass it to `releaseConnection` or
+ * `dropConnection` afterwards.
  *
- * @param mustNotRepeat only a connection that showed life just now will do, or a new one
+ * @param mustNotRepeat whether the request must not run twice: then only a connection with very recent progress is reused
  */
 export function takeConnection (pool: ConnectionPool, address: string, mustNotRepeat: boolean, now: Millis): Connection {
-  const held = pool.byAddress.get(address) ?? []
-  for (let place = held.length - 1; place >= 0; place--) {
-    const connection = held[place] as Connection
+  const connections = pool.byAddress.get(address) ?? []
+  for (let index = connections.length - 1; index >= 0; index--) {
+    const connection = connections[index] as Connection
     if (!isReusable(pool.cfg, connection.state, mustNotRepeat, now)) continue
-    const restedMs = now - connection.state.progressAt
-    if (mustNotRepeat && restedMs > getMaxIdleMs(pool.rests, now)) continue
-    connection.restedMs = restedMs
+    const idleMs = now - connection.state.progressAt
+    if (mustNotRepeat && idleMs > getMaxIdleMs(pool.idleHistory, now)) continue
+    connection.restedMs = idleMs
     applyConnectionEvent(pool.chart, connection.state, 'take')
     connection.reused = true
     return connection
   }
   const connection = openConnection(pool, address, now)
-  pool.byAddress.set(address, [...held, connection])
+  pool.byAddress.set(address, [...connections, connection])
   return connection
 }
 
 function openConnection (pool: ConnectionPool, address: string, now: Millis): Connection {
-  const startedAt = now
+  const requestedAt = now
   const client = new Client(`http://${address}`, {
     pipelining: 1,
-    connect: watchedConnector(pool, () => connection, startedAt),
+    connect: createConnector(pool, () => connection, requestedAt),
     headersTimeout: 0,
     bodyTimeout: 0,
-    // Idle connections are closed by this pool's own judgement, never under its hands.
+    // The pool itself closes idle connections; `undici` must not close one that the pool considers usable.
     keepAliveTimeout: 600_000,
     keepAliveMaxTimeout: 600_000,
     keepAliveTimeoutThreshold: closeBeforeServerMs
@@ -99,88 +106,99 @@
 
 type Connector = ReturnType<typeof buildConnector>
 
-/** Opens connections and notes what only the socket tells: how long opening took, and whether it was reset. */
-function watchedConnector (pool: ConnectionPool, connection: () => Connection, startedAt: Millis): Connector {
-  // The kernel's keep-alive probes begin after a minute, when no connection is left; turning them on takes four system calls of nine.
+/**
+ * Creates a connector that records what only the socket shows: how long opening took, and whether the peer reset the
+ * connection.
+ */
+function createConnector (pool: ConnectionPool, getConnection: () => Connection, requestedAt: Millis): Connector {
+  // Keep-alive probes of the kernel would start after a minute, when every idle connection has been closed; enabling them
+  // takes four of the nine system calls of opening a connection.
   const connect = buildConnector({ timeout: pool.connectTimeoutMs, keepAlive: false })
   return (options, callback) => connect(options, (...result) => {
     const [err, socket] = result
     if (err === null) {
-      pool.onConnect?.(connection().address, startedAt)
-      // Where data and the reset arrive together, the event loop's library reports an ordinary end. The socket
-      // itself knows better: one that was reset has no peer any more, one that was closed still has.
-      socket.once('end', () => { if (socket.remoteAddress === undefined) connection().wasReset = true })
+      pool.onConnect?.(getConnection().address, requestedAt)
+      // If data and a reset arrive together, libuv reports an ordinary end. The socket still shows the difference: it has
+      // a remote address after a close, and none after a reset.
+      socket.once('end', () => { if (socket.remoteAddress === undefined) getConnection().wasReset = true })
       resetUnanswered(socket)
-      socket.on('error', failure => { if ((failure as NodeJS.ErrnoException).code === 'ECONNRESET') connection().wasReset = true })
+      socket.on('error', error => { if ((error as NodeJS.ErrnoException).code === 'ECONNRESET') getConnection().wasReset = true })
     }
-    if (err !== null || !isLateConnection(startedAt, presentTime())) callback(...result)
-    else handOver(pool.looks, socket, callback).catch(failure => callback(failure as Error, null))
+    if (err !== null || !isLateConnection(requestedAt, presentTime())) callback(...result)
+    else handOverAfterPoll(pool.polls, socket, callback).catch(error => callback(error as Error, null))
   })
 }
 
-/** Hands a connection over after a look at all sockets: the caller that it was opened for, or its server, may have closed meanwhile. */
-async function handOver (looks: Looks, socket: Socket, callback: buildConnector.Callback): Promise<void> {
-  await nextLook(looks)
-  // `undici` opens another connection, again and again, where it is handed one that has ended.
-  if (socket.destroyed || socket.readableEnded) callback(endedEarly(socket), null)
+/**
+ * Hands a connection over after all sockets have been polled: the caller that it was opened for, or the server, may
+ * have closed meanwhile.
+ */
+async function handOverAfterPoll (polls: Looks, socket: Socket, callback: buildConnector.Callback): Promise<void> {
+  await nextLook(polls)
+  // If `undici` is handed a connection that has ended, it opens another one, again and again.
+  if (socket.destroyed || socket.readableEnded) callback(abortEndedConnection(socket), null)
   else callback(null, socket)
 }
 
-function endedEarly (socket: Socket): Error {
+/** Destroys a connection that its server closed before it carried a request, and returns the error to report. */
+function abortEndedConnection (socket: Socket): Error {
   socket.destroy()
-  return Object.assign(new Error('the server closed the connection at once'), { code: 'ECONNRESET', syscall: 'connect' })
+  return Object.assign(new Error('the server closed the connection before it was used'), { code: 'ECONNRESET', syscall: 'connect' })
 }
 
-/** Notes that bytes came. */
+/** Records that bytes arrived on a connection. */
 export function progressConnection (pool: ConnectionPool, connection: Connection, now: Millis): void {
   if (connection.state.state === 'busy') recordProgress(pool.chart, connection.state, now)
 }
 
-/** Gives a connection back whose answer was read to its end. */
+/** Returns a connection to the pool after the answer was read completely. */
 export function releaseConnection (pool: ConnectionPool, connection: Connection, now: Millis): void {
   if (connection.state.state !== 'busy') return
   recordProgress(pool.chart, connection.state, now)
   applyConnectionEvent(pool.chart, connection.state, 'release')
 }
 
-/** Closes a connection for good: it failed, went silent, or its answer was not read to the end. */
+/** Closes a connection and removes it from the pool: it failed, went silent, or its answer was not read completely. */
 export function dropConnection (pool: ConnectionPool, connection: Connection, event: 'silent' | 'close' | 'quiet'): void {
   if (connection.state.state === 'closed') return
   applyConnectionEvent(pool.chart, connection.state, event)
-  const left = (pool.byAddress.get(connection.address) ?? []).filter(held => held !== connection)
-  if (left.length === 0) pool.byAddress.delete(connection.address)
-  else pool.byAddress.set(connection.address, left)
+  const remaining = (pool.byAddress.get(connection.address) ?? []).filter(other => other !== connection)
+  if (remaining.length === 0) pool.byAddress.delete(connection.address)
+  else pool.byAddress.set(connection.address, remaining)
   connection.client.destroy().catch(() => undefined)
 }
 
 /**
- * Closes a connection that went silent and the idle ones beside it: whatever lost track of one may have
- * lost track of all, and new ones cost a millisecond.
+ * Closes a connection that went silent and the idle connections to the same address: a middlebox that lost track of one
+ * may have lost track of all, and opening a new one takes about a millisecond.
  *
- * @param takenAt when the request that got no answer took it
+ * @param takenAt when the request without an answer took the connection from the pool
  */
 export function dropSilent (pool: ConnectionPool, connection: Connection, takenAt: Millis, now: Millis): void {
-  recordUnansweredAfterIdle(pool.rests, connection.address, connection.restedMs, takenAt, now)
+  recordUnansweredAfterIdle(pool.idleHistory, connection.address, connection.restedMs, takenAt, now)
   dropConnection(pool, connection, 'silent')
   for (const other of [...pool.byAddress.get(connection.address) ?? []]) {
     if (other.state.state === 'idle') dropConnection(pool, other, 'close')
   }
 }
 
-/** Notes that the server reset a connection before any byte of an answer came over it. */
+/** Records that the server reset a connection before any byte of an answer arrived. */
 export function noteUnanswered (pool: ConnectionPool, connection: Connection, now: Millis): void {
-  if (connection.reused) recordResetAfterIdle(pool.rests, connection.address, connection.restedMs, now)
+  if (connection.reused) recordResetAfterIdle(pool.idleHistory, connection.address, connection.restedMs, now)
 }
 
-/** Closes idle connections that were quiet too long. */
+/** Closes connections that have been idle for too long. */
 export function sweepConnections (pool: ConnectionPool, now: Millis): void {
   for (const connection of [...pool.byAddress.values()].flat()) {
-    const isQuiet = now - connection.state.progressAt >= pool.cfg.staleMs
-    if (connection.state.state === 'idle' && isQuiet) dropConnection(pool, connection, 'quiet')
+    const isStale = now - connection.state.progressAt >= pool.cfg.staleMs
+    if (connection.state.state === 'idle' && isStale) dropConnection(pool, connection, 'quiet')
   }
 }
 
-/** Whether an error is from opening a connection: no byte of the request was handed to it, so the request did not run. */
+/**
+ * Returns whether an error occurred while opening a connection: no byte of the request was written, so the request did
+ * not run.
+ */
 export function isConnectError (err: unknown): boolean {
   const { code, syscall } = err as NodeJS.ErrnoException
   return code === 'UND_ERR_CONNECT_TIMEOUT' || syscall === 'connect'
--- a/packages/daemon/src/core/entry/entry.ts
+++ b/packages/daemon/src/core/entry/entry.ts
@@ -1,4 +1,4 @@
-/** State of the entry role: what routing sees, kept up to date with directory and configuration. */
+/** State of the entry role: the inputs of routing, kept up to date with the directory and the configuration. */
 import { loadChart } from '@lynxcourse/base'
 import type { Chart, Millis, RegionId, ServiceId, VmId } from '@lynxcourse/base'
 import { isTombstone, listServers, listVms } from '@lynxcourse/membership'
@@ -21,40 +21,49 @@
 import type { LookupAnswer } from './lookupAnswer.js'
 import type { ServiceQueue } from './serviceQueue.js'
 
-/** A request in this VM, for counting. */
+/** Identifies a request in progress at this VM. */
 export interface OpenRequest {
   readonly id: number
 }
 
-/** State of the entry role. */
+/** State of a VM in the entry role. */
 export interface Entry extends ReportSource {
   readonly node: Node
   readonly router: Router
-  readonly blocks: BlockTable
+  readonly callerBlockTable: BlockTable
   readonly pool: ConnectionPool
   readonly loop: LoopWatch
   readonly attemptChart: Chart
   readonly claiming: Claiming
   lookupIndex: LookupIndex
-  /** Answers to look-ups by service and region, one for each bucket of callers; void when the view changes. */
+  /** Look-up answers by service and region, one for each bucket of callers; cleared by `refreshView`. */
   lookupCache: Map<ServiceId, Map<RegionId | undefined, LookupAnswer[]>>
-  /** Profiles by service; void when the view changes. */
+  /** Cache of the profiles by service; cleared by `refreshView`. */
   profiles: Map<ServiceId, Profile>
+  /** Regions that are being drained. */
   drained: ReadonlySet<RegionId>
   shifts: readonly ActiveShift[]
-  capped: ReadonlySet<string>
+  /** Resources with a cap. */
+  cappedResources: ReadonlySet<string>
   queues: Map<ServiceId, ServiceQueue>
-  budgets: Map<ServiceId, RetryBudget>
+  retryBudgets: Map<ServiceId, RetryBudget>
+  /** Number of requests in progress. */
   open: number
-  nextRequest: number
-  /** Look-ups answered and not yet counted in the metrics: a counter with labels costs too much for each. */
+  /** Source of queue order numbers and claim tokens. */
+  nextSequence: number
+  /**
+   * Look-ups answered since the last update of the metrics; updating a labelled counter for each look-up costs too
+   * much.
+   */
   lookupsAnswered: number
+  /** Whether this VM is shutting down: callers' connections are closed after their next answer. */
   leaving: boolean
-  readonly announceRate: RateLimit
-  viewDirty: boolean
+  readonly announcementRateLimit: RateLimit
+  /** Whether the directory or the configuration changed since the last `refreshView`. */
+  needsRefresh: boolean
 }
 
-/** Makes the entry part. */
+/** Creates the state of the entry role and marks it for a refresh on each change of the node. */
 export function createEntry (node: Node, blocks: readonly CallerBlock[], claiming: Claiming): Entry {
   const { times } = node.cfg
   const latencies = new Map(Object.entries(node.cfg.topology.latenciesMs))
@@ -71,7 +80,7 @@
   const entry: Entry = {
     node,
     router,
-    blocks: buildBlockTable(blocks),
+    callerBlockTable: buildBlockTable(blocks),
     pool: createPool({ staleMs: times.staleConnectionMs, silentMs: times.silentConnectionMs }, loadChart('connection'), times.connectTimeoutMs, loop.looks),
     loop,
     attemptChart: loadChart('attempt'),
@@ -81,47 +90,50 @@
     profiles: new Map(),
     drained: new Set(),
     shifts: [],
-    capped: new Set(),
+    cappedResources: new Set(),
     queues: new Map(),
-    budgets: new Map(),
+    retryBudgets: new Map(),
     open: 0,
-    nextRequest: 1,
+    nextSequence: 1,
     lookupsAnswered: 0,
     leaving: false,
-    announceRate: createRateLimit(node.cfg.limits.announcementsPerSecond),
-    viewDirty: true,
-    remaining: () => remainingByDrain(entry),
-    loads: () => loadsByRegion(entry)
+    announcementRateLimit: createRateLimit(node.cfg.limits.announcementsPerSecond),
+    needsRefresh: true,
+    remaining: () => countRemainingByDrain(entry),
+    loads: () => sumLoadsByRegion(entry)
   }
-  node.onChange.push(() => { entry.viewDirty = true })
+  node.onChange.push(() => { entry.needsRefresh = true })
   return entry
 }
 
-/** Brings the view up to date if directory or configuration changed; every decision starts here. */
+/**
+ * Updates the inputs of routing if the directory or the configuration changed. Needs to be called before every routing
+ * decision.
+ */
 export function refreshView (entry: Entry, now: Millis): void {
-  if (!entry.viewDirty) return
-  entry.viewDirty = false
+  if (!entry.needsRefresh) return
+  entry.needsRefresh = false
   const { node } = entry
   const drains = listActiveDrains(node.config)
   const regions = drains.filter(drain => drain.target.kind === 'region')
   entry.drained = new Set(regions.map(drain => drain.target.name as RegionId))
   entry.shifts = listActiveShifts(node.config).map(shift => ({ id: shift.key, service: shift.service, from: shift.from, to: shift.to, percent: shift.percent }))
-  entry.capped = new Set(listCaps(node.config).keys())
+  entry.cappedResources = new Set(listCaps(node.config).keys())
   const vms = listVms(node.directory).filter(vm => isOpenToCallers(vm, drains))
-  entry.lookupIndex = buildLookupIndex(vms.map(entryVmOf))
+  entry.lookupIndex = buildLookupIndex(vms.map(toEntryVm))
   entry.lookupCache = new Map()
   entry.profiles = new Map()
   for (const [service, queue] of entry.queues) queue.queue.limit = findServiceProfile(node.config, service)?.queueLimit ?? 0
-  entry.router.peers = peersByRegion(vms)
-  setBackends(entry.router.backends, listServers(node.directory).filter(server => !isTombstone(server)).map(server => backendOf(server, drains)), now)
+  entry.router.peers = groupPeersByRegion(vms)
+  setBackends(entry.router.backends, listServers(node.directory).filter(server => !isTombstone(server)).map(server => toBackend(server, drains)), now)
   node.metrics.records.set({ kind: 'vm' }, vms.length)
   node.metrics.records.set({ kind: 'server' }, entry.router.backends.byId.size)
 }
 
-/** The profile that a service runs under, in the view. */
-export function profileFor (entry: Entry, service: ServiceId): Profile | undefined {
-  const known = entry.profiles.get(service)
-  if (known !== undefined) return known
+/** Returns the profile of a service, or undefined if no profile serves it. */
+export function getProfile (entry: Entry, service: ServiceId): Profile | undefined {
+  const cached = entry.profiles.get(service)
+  if (cached !== undefined) return cached
   const profile = findServiceProfile(entry.node.config, service)
   if (profile !== undefined) entry.profiles.set(service, profile)
   return profile
@@ -139,18 +151,18 @@
   return kind === 'region' && vm.region === name
 }
 
-function coversBackend (drain: DrainItem, backend: Backend | ServerRecord, id: string): boolean {
+function coversBackend (drain: DrainItem, backend: Backend | ServerRecord, serverId: string): boolean {
   const { kind, name } = drain.target
-  if (kind === 'server') return id === name
+  if (kind === 'server') return serverId === name
   if (kind === 'failureDomain') return backend.failureDomain === name
   return kind === 'region' && backend.region === name
 }
 
-function entryVmOf (vm: VmRecord): EntryVm {
+function toEntryVm (vm: VmRecord): EntryVm {
   return { vm: vm.key, region: vm.region, failureDomain: vm.failureDomain, http: vm.http, suspected: vm.state === 'suspected' }
 }
 
-function backendOf (server: ServerRecord, drains: readonly DrainItem[]): Backend {
+function toBackend (server: ServerRecord, drains: readonly DrainItem[]): Backend {
   return {
     id: server.key,
     service: server.service,
@@ -164,13 +176,13 @@
   }
 }
 
-function peersByRegion (vms: readonly VmRecord[]): Map<RegionId, readonly VmId[]> {
+function groupPeersByRegion (vms: readonly VmRecord[]): Map<RegionId, readonly VmId[]> {
   const peers = new Map<RegionId, VmId[]>()
   for (const vm of vms) peers.set(vm.region, [...peers.get(vm.region) ?? [], vm.key].sort())
   return peers
 }
 
-function remainingByDrain (entry: Entry): DrainRemaining[] {
+function countRemainingByDrain (entry: Entry): DrainRemaining[] {
   return listActiveDrains(entry.node.config).map(drain => {
     let count = coversVm(drain, entry.node.self) ? entry.open : 0
     if (count === 0) {
@@ -182,7 +194,7 @@
   })
 }
 
-function loadsByRegion (entry: Entry): RegionLoad[] {
+function sumLoadsByRegion (entry: Entry): RegionLoad[] {
   const loads = new Map<string, RegionLoad>()
   for (const { backend, inFlight } of entry.router.backends.byId.values()) {
     const key = `${backend.service} ${backend.region}`
--- a/packages/daemon/src/core/entry/finalAnswers.ts
+++ b/packages/daemon/src/core/entry/finalAnswers.ts
@@ -1,4 +1,4 @@
-/** Makes and writes final answers. */
+/** Creates and writes final answers. */
 import type { ServerResponse } from 'node:http'
 import { pipeline } from 'node:stream/promises'
 import { isLynxError, getErrorMessage } from '@lynxcourse/base'
@@ -8,24 +8,24 @@
 import type { FinalAnswer, Outcome } from '../../types/answers.js'
 import type { Node } from '../node/node.js'
 
-const statusOf: Record<Exclude<Outcome, 'done'>, number> = {
+const statusByOutcome: Record<Exclude<Outcome, 'done'>, number> = {
   'not-run': 503,
   unknown: 502,
   'too-late': 504,
   refused: 400
 }
 
-/** An answer of this system's own. */
-export function ownAnswer (outcome: Exclude<Outcome, 'done'>, detail: string, retryAfterMs?: Millis, status: number = statusOf[outcome]): FinalAnswer {
+/** Creates an answer of this system, in contrast to the answer of a backend server. */
+export function createAnswer (outcome: Exclude<Outcome, 'done'>, detail: string, retryAfterMs?: Millis, status: number = statusByOutcome[outcome]): FinalAnswer {
   const body = Buffer.from(`${JSON.stringify({ outcome, detail })}\n`)
   return { outcome, status, headers: { 'content-type': 'application/json' }, body, retryAfterMs, server: undefined, detail }
 }
 
-/** The answer kept from a request that was done before. */
-export function keptAnswer (answer: StoredAnswer | undefined): FinalAnswer {
+/** Returns the stored answer of a request that completed earlier. */
+export function restoreStoredAnswer (answer: StoredAnswer | undefined): FinalAnswer {
   if (answer?.body === undefined) {
-    const body = Buffer.from(`${JSON.stringify({ outcome: 'done', detail: 'done before; its answer was too large to be kept' })}\n`)
-    return { outcome: 'done', status: answer?.status ?? 200, headers: { 'content-type': 'application/json' }, body, retryAfterMs: undefined, server: undefined, detail: 'done before' }
+    const body = Buffer.from(`${JSON.stringify({ outcome: 'done', detail: 'the request completed earlier; its answer was too large to be stored' })}\n`)
+    return { outcome: 'done', status: answer?.status ?? 200, headers: { 'content-type': 'application/json' }, body, retryAfterMs: undefined, server: undefined, detail: 'the request completed earlier' }
   }
   return {
     outcome: 'done',
@@ -34,11 +34,11 @@
     body: Buffer.from(answer.body, 'base64'),
     retryAfterMs: undefined,
     server: undefined,
-    detail: 'done before'
+    detail: 'the request completed earlier'
   }
 }
 
-const refusalStatus: Partial<Record<LynxError['code'], number>> = {
+const statusByErrorCode: Partial<Record<LynxError['code'], number>> = {
   badRequest: 400,
   badRequestId: 400,
   unknownService: 404,
@@ -49,13 +49,13 @@
   overCapacity: 503
 }
 
-/** The answer to a request that could not be taken. */
-export function refusalAnswer (err: unknown): FinalAnswer {
-  const status = isLynxError(err) ? refusalStatus[err.code] ?? 500 : 500
-  return ownAnswer('refused', getErrorMessage(err), undefined, status)
+/** Creates the answer to a request that failed with an error before a server could answer it. */
+export function createRefusal (err: unknown): FinalAnswer {
+  const status = isLynxError(err) ? statusByErrorCode[err.code] ?? 500 : 500
+  return createAnswer('refused', getErrorMessage(err), undefined, status)
 }
 
-function headersOf (node: Node, answer: FinalAnswer): Record<string, string | string[] | number> {
+function buildHeaders (node: Node, answer: FinalAnswer): Record<string, string | string[] | number> {
   const headers: Record<string, string | string[] | number> = { ...answer.headers, [outcomeHeader]: answer.outcome, [vmHeader]: node.cfg.vm }
   if (answer.server !== undefined) headers[serverHeader] = answer.server
   if (answer.retryAfterMs !== undefined) {
@@ -66,15 +66,15 @@
   return headers
 }
 
-/** Writes an answer; resolves when it is written or the caller is gone. */
+/** Writes an answer; resolves when it is written or the caller has disconnected. */
 export async function writeAnswer (node: Node, res: ServerResponse, answer: FinalAnswer): Promise<void> {
   if (res.destroyed) return
-  res.writeHead(answer.status, headersOf(node, answer))
+  res.writeHead(answer.status, buildHeaders(node, answer))
   if (Buffer.isBuffer(answer.body)) {
     res.end(answer.body)
     return
   }
-  // A body that breaks off half-way closes the connection, so that the caller sees a cut answer as
-  // one and does not take it for the whole.
+  // If the body breaks off, the connection is closed, so that the caller does not mistake a truncated answer for a
+  // complete one.
   await pipeline(answer.body, res).catch(() => res.destroy())
 }
--- a/packages/daemon/src/core/entry/forwardRequest.ts
+++ b/packages/daemon/src/core/entry/forwardRequest.ts
@@ -1,4 +1,4 @@
-/** Reads a caller's request to a service, with its checks. */
+/** Reads and validates a caller's request to a service. */
 import type { IncomingMessage } from 'node:http'
 import { Readable } from 'node:stream'
 import { LynxError, brandId, parseRequestId } from '@lynxcourse/base'
@@ -6,13 +6,13 @@
 import type { Profile } from '@lynxcourse/state'
 import { deadlineHeader, headerPrefix, requestIdHeader } from '../../types/answers.js'
 import type { HeaderMap } from '../../types/answers.js'
-import { profileFor, refreshView } from './entry.js'
+import { getProfile, refreshView } from './entry.js'
 import type { Entry } from './entry.js'
 
-/** Path under which services are reached: `/s/SERVICE/rest`. */
+/** Path prefix of requests to services: `/s/SERVICE/rest`. */
 export const servicePath = '/s/'
 
-/** A checked request to a service. */
+/** A validated request to a service. */
 export interface ForwardRequest {
   readonly service: ServiceId
   readonly profile: Profile
@@ -20,44 +20,44 @@
   /** Path at the backend server. */
   readonly path: string
   readonly headers: HeaderMap
-  /** Whether it may run twice without harm. */
+  /** Whether the request may run twice without harm. */
   readonly isIdempotent: boolean
   /** Set for requests that must not run twice. */
   readonly id: RequestId | undefined
   readonly arrivedAt: Millis
   readonly deadline: Millis
   readonly body: Buffer | Readable | undefined
-  /** Whether the body can be sent a second time. */
+  /** Whether the body is buffered and can be sent again. */
   readonly isReplayable: boolean
 }
 
 const idempotentMethods = new Set(['GET', 'HEAD', 'OPTIONS'])
-const notPassedOn = new Set(['host', 'connection', 'keep-alive', 'proxy-connection', 'transfer-encoding', 'te', 'trailer', 'upgrade', 'expect', 'content-length', requestIdHeader])
+const droppedHeaders = new Set(['host', 'connection', 'keep-alive', 'proxy-connection', 'transfer-encoding', 'te', 'trailer', 'upgrade', 'expect', 'content-length', requestIdHeader])
 
 /**
- * Reads the head of a request and as much of its body as is kept.
+ * Reads the head of a request, and its body up to the limit of the buffer; a longer body is streamed.
  *
- * @throws LynxError naming the header or part at fault
+ * @throws LynxError that names the invalid header or part
  */
 export async function readForwardRequest (entry: Entry, req: IncomingMessage, now: Millis): Promise<ForwardRequest> {
   refreshView(entry, now)
   const { service, path } = splitPath(req.url ?? '')
-  const profile = profileFor(entry, service)
+  const profile = getProfile(entry, service)
   if (profile === undefined) throw new LynxError('unknownService', `'${service}'`, { step: 'read request', field: 'path' })
   const method = req.method ?? 'GET'
   const isIdempotent = idempotentMethods.has(method)
   const deadline = now + readDeadline(req, profile)
-  const id = isIdempotent ? undefined : readId(req)
-  const { body, isReplayable } = hasBody(req) ? await beforeDeadline(readCallerBody(entry, req), deadline - now) : noBody
-  return { service, profile, method, path, headers: passedOn(req), isIdempotent, id, arrivedAt: now, deadline, body, isReplayable }
+  const id = isIdempotent ? undefined : readRequestId(req)
+  const { body, isReplayable } = hasBody(req) ? await awaitBeforeDeadline(readCallerBody(entry, req), deadline - now) : noBody
+  return { service, profile, method, path, headers: selectForwardedHeaders(req), isIdempotent, id, arrivedAt: now, deadline, body, isReplayable }
 }
 
 function splitPath (url: string): { service: ServiceId, path: string } {
-  const rest = url.slice(servicePath.length)
-  const end = rest.search(/[/?]/)
-  const service = end < 0 ? rest : rest.slice(0, end)
+  const remainder = url.slice(servicePath.length)
+  const end = remainder.search(/[/?]/)
+  const service = end < 0 ? remainder : remainder.slice(0, end)
   if (service === '') throw new LynxError('badRequest', 'path must be /s/SERVICE/...', { step: 'read request', field: 'path' })
-  const path = end < 0 ? '/' : rest.slice(end)
+  const path = end < 0 ? '/' : remainder.slice(end)
   return { service: brandId<ServiceId>(service), path: path.startsWith('/') ? path : `/${path}` }
 }
 
@@ -65,38 +65,43 @@
   const text = req.headers[deadlineHeader]
   if (text === undefined) return profile.deadlineMs
   const ms = Number(text)
-  if (!Number.isFinite(ms)) throw new LynxError('badRequest', `${deadlineHeader} must be milliseconds from now`, { step: 'read request', field: deadlineHeader })
+  if (!Number.isFinite(ms)) throw new LynxError('badRequest', `${deadlineHeader} must be a number of milliseconds from now`, { step: 'read request', field: deadlineHeader })
   if (ms <= 0) throw new LynxError('tooLate', `${deadlineHeader} is ${ms}`, { step: 'read request', field: deadlineHeader })
   return Math.min(ms, profile.maxDeadlineMs)
 }
 
-function readId (req: IncomingMessage): RequestId {
+function readRequestId (req: IncomingMessage): RequestId {
   const text = req.headers[requestIdHeader]
   if (typeof text !== 'string') {
-    throw new LynxError('badRequestId', `${req.method} needs an Idempotency-Key, a UUID v7`, { step: 'read request', field: 'Idempotency-Key' })
+    throw new LynxError('badRequestId', `${req.method} requests need an Idempotency-Key header with a UUID v7`, { step: 'read request', field: 'Idempotency-Key' })
   }
   return parseRequestId(text)
 }
 
-/** Headers for the backend server. A caller can't pose as this system: its `lynx-` headers stay here. */
-function passedOn (req: IncomingMessage): HeaderMap {
+/**
+ * Returns the headers for the backend server. Drops `lynx-` headers, so that a caller cannot impersonate this system.
+ */
+function selectForwardedHeaders (req: IncomingMessage): HeaderMap {
   const headers: HeaderMap = {}
   for (const [name, value] of Object.entries(req.headers)) {
-    if (value === undefined || notPassedOn.has(name) || name.startsWith(headerPrefix)) continue
+    if (value === undefined || droppedHeaders.has(name) || name.startsWith(headerPrefix)) continue
     headers[name] = value
   }
   headers['x-forwarded-for'] = req.socket.remoteAddress ?? ''
   return headers
 }
 
-/** A sender that is slower than its own deadline is told so; the part that it sent goes with its connection. */
-async function beforeDeadline<Value> (work: Promise<Value>, ms: Millis): Promise<Value> {
+/**
+ * Waits for the body. Rejects at the deadline, so that a slow sender gets an answer; its connection is closed after
+ * that.
+ */
+async function awaitBeforeDeadline<Value> (work: Promise<Value>, ms: Millis): Promise<Value> {
   let timer: NodeJS.Timeout | undefined
-  const late = new Promise<never>((_resolve, reject) => {
+  const timeout = new Promise<never>((_resolve, reject) => {
     timer = setTimeout(() => reject(new LynxError('tooLate', 'the body did not come before the deadline', { step: 'read request', field: 'body' })), ms)
   })
   try {
-    return await Promise.race([work, late])
+    return await Promise.race([work, timeout])
   } finally {
     clearTimeout(timer)
     work.catch(() => undefined)
@@ -116,8 +121,8 @@
 
 async function readCallerBody (entry: Entry, req: IncomingMessage): Promise<CallerBody> {
   const { maxBodyBytes, bufferBytes } = entry.node.cfg.limits
-  const announced = Number(req.headers['content-length'] ?? 0)
-  if (announced > maxBodyBytes) throw tooLarge(maxBodyBytes)
+  const contentLength = Number(req.headers['content-length'] ?? 0)
+  if (contentLength > maxBodyBytes) throw createTooLargeError(maxBodyBytes)
   const iterator = (req as AsyncIterable<Buffer>)[Symbol.asyncIterator]()
   const chunks: Buffer[] = []
   let size = 0
@@ -126,23 +131,24 @@
     if (next.done === true) return { body: Buffer.concat(chunks), isReplayable: true }
     chunks.push(next.value)
     size += next.value.length
-    if (size > maxBodyBytes) throw tooLarge(maxBodyBytes)
+    if (size > maxBodyBytes) throw createTooLargeError(maxBodyBytes)
   }
-  return { body: Readable.from(boundedRest(chunks, iterator, size, maxBodyBytes)), isReplayable: false }
+  return { body: Readable.from(limitRemainingBody(chunks, iterator, size, maxBodyBytes)), isReplayable: false }
 }
 
-async function * boundedRest (chunks: readonly Buffer[], iterator: AsyncIterator<Buffer>, read: number, maxBytes: number): AsyncGenerator<Buffer> {
+/** Yields the chunks already read and the rest of the body, up to `maxBytes` in total. */
+async function * limitRemainingBody (chunks: readonly Buffer[], iterator: AsyncIterator<Buffer>, bytesRead: number, maxBytes: number): AsyncGenerator<Buffer> {
   yield * chunks
-  let size = read
+  let size = bytesRead
   for (;;) {
     const next = await iterator.next()
     if (next.done === true) return
     size += next.value.length
-    if (size > maxBytes) throw tooLarge(maxBytes)
+    if (size > maxBytes) throw createTooLargeError(maxBytes)
     yield next.value
   }
 }
 
-function tooLarge (maxBytes: number): LynxError {
+function createTooLargeError (maxBytes: number): LynxError {
   return new LynxError('tooLarge', `body over ${maxBytes} bytes`, { step: 'read request', field: 'body' })
 }
--- a/packages/daemon/src/core/entry/forwarding.ts
+++ b/packages/daemon/src/core/entry/forwarding.ts
@@ -1,4 +1,4 @@
-/** Serves a caller's request to a service, from its head to its one final answer. */
+/** Serves a caller's request to a service, from reading its head to writing its only final answer. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { isLeaseValid } from '@lynxcourse/membership'
 import { createCallerLiveness } from '@lynxcourse/placement'
@@ -12,84 +12,85 @@
 import { callerInfo, placesFor } from './callerPlaces.js'
 import { refreshView } from './entry.js'
 import type { Entry } from './entry.js'
-import { ownAnswer, refusalAnswer, writeAnswer } from './finalAnswers.js'
+import { createAnswer, createRefusal, writeAnswer } from './finalAnswers.js'
 import { readForwardRequest } from './forwardRequest.js'
 import type { ForwardRequest } from './forwardRequest.js'
 import { serveOnce } from './serveOnce.js'
-import { serveRepeatable } from './serveRepeatable.js'
-import { budgetOf } from './serving.js'
-import type { Serving } from './serving.js'
-import { paceOf, waitingFor } from './slots.js'
+import { serveIdempotent } from './serveRepeatable.js'
+import { getRetryBudget } from './serving.js'
+import type { ServedRequest } from './serving.js'
+import { getCompletionIntervalMs, getQueueLength } from './slots.js'
 
-const busyRetryMs = 1000
+/** Retry delay sent to callers while this VM is at its limit of requests. */
+const fullRetryMs = 1000
 
-/** Serves a request. Exactly one final answer is written, unless the caller is gone. */
-export async function forward (entry: Entry, req: IncomingMessage, res: ServerResponse): Promise<void> {
+/** Serves a request. Writes exactly one final answer, unless the caller disconnects. */
+export async function forwardRequest (entry: Entry, req: IncomingMessage, res: ServerResponse): Promise<void> {
   const startedAt = arrivalTime(entry.loop, req.socket, presentTime())
   const { node } = entry
   if (entry.open >= node.cfg.limits.maxRequests) {
-    await writeAnswer(node, res, ownAnswer('refused', 'this VM is full; nothing was tried', busyRetryMs, 503))
+    await writeAnswer(node, res, createAnswer('refused', 'this VM is at its limit of concurrent requests; the request was not sent to a server', fullRetryMs, 503))
     return
   }
   entry.open += 1
   node.metrics.inFlight.set(entry.open)
-  const gone = new Cancel()
-  const leave = (): void => { if (!res.writableFinished) gone.abort() }
+  const signal = new Cancel()
+  const onDisconnect = (): void => { if (!res.writableFinished) signal.abort() }
   const { socket } = req
-  // The end of what the caller sends is read a turn of the event loop before the connection counts as closed.
-  socket.once('end', leave)
-  socket.once('close', leave)
+  // The end of the caller's data is read one event loop iteration before the connection is reported as closed.
+  socket.once('end', onDisconnect)
+  socket.once('close', onDisconnect)
   let service = 'none'
   try {
     const request = await readForwardRequest(entry, req, startedAt)
     service = request.service
-    const answer = await serve(entry, request, req.socket.remoteAddress ?? '', gone)
+    const answer = await serveRequest(entry, request, req.socket.remoteAddress ?? '', signal)
     node.metrics.requests.inc({ service, outcome: answer.outcome })
     await writeAnswer(node, res, answer)
   } catch (err) {
     node.metrics.requests.inc({ service, outcome: 'refused' })
-    // The rest of a refused body is not read: the connection can't be used again.
+    // The rest of the body is not read, so the connection cannot carry another request.
     res.setHeader('connection', 'close')
-    await writeAnswer(node, res, refusalAnswer(err))
+    await writeAnswer(node, res, createRefusal(err))
   } finally {
-    socket.off('end', leave)
-    socket.off('close', leave)
+    socket.off('end', onDisconnect)
+    socket.off('close', onDisconnect)
     entry.open -= 1
     node.metrics.inFlight.set(entry.open)
     node.metrics.requestSeconds.observe({ service }, (presentTime() - startedAt) / 1000)
   }
 }
 
-async function serve (entry: Entry, request: ForwardRequest, address: string, signal: Cancel): Promise<FinalAnswer> {
+async function serveRequest (entry: Entry, request: ForwardRequest, address: string, signal: Cancel): Promise<FinalAnswer> {
   const now = presentTime()
   refreshView(entry, now)
-  earnRetry(budgetOf(entry, request.service), request.profile.retryBudget)
-  const places = openPlaces(entry, request, address, now)
-  const serving: Serving = { entry, request, places, signal, caller: createCallerLiveness(), admission: admissionOf(entry, request, places, now) }
-  return request.isIdempotent ? await serveRepeatable(serving) : await serveOnce(serving)
+  earnRetry(getRetryBudget(entry, request.service), request.profile.retryBudget)
+  const places = getAllowedRegions(entry, request, address, now)
+  const serving: ServedRequest = { entry, request, places, signal, liveness: createCallerLiveness(), admission: getAdmissionInput(entry, request, places, now) }
+  return request.isIdempotent ? await serveIdempotent(serving) : await serveOnce(serving)
 }
 
 /**
- * Places open to a request. A VM without a lease on being current can't know of drains and shifts: it
- * has none, or for reads its own region if the profile says `local`.
+ * Returns the regions that may serve a request. A VM without a lease on the configuration cannot know of drains and
+ * shifts: it allows no region, or only its own for a read whose profile says `local`.
  */
-function openPlaces (entry: Entry, request: ForwardRequest, address: string, now: Millis): readonly CandidateRegion[] {
+function getAllowedRegions (entry: Entry, request: ForwardRequest, address: string, now: Millis): readonly CandidateRegion[] {
   const places = placesFor(entry, request.service, request.profile, callerInfo(entry, address))
   if (isLeaseValid(entry.node.currency, now)) return places
   const mayServeLocally = request.profile.whenIsolated === 'local' && request.isIdempotent
-  return mayServeLocally ? places.filter(place => place.region === entry.node.cfg.region && place.shift === undefined) : []
+  return mayServeLocally ? places.filter(candidate => candidate.region === entry.node.cfg.region && candidate.shift === undefined) : []
 }
 
-function admissionOf (entry: Entry, request: ForwardRequest, places: readonly CandidateRegion[], now: Millis): AdmissionInput {
-  const first = places[0]
-  const tripMs = first === undefined ? 0 : getRoundTripMs(entry.router, first.region)
+function getAdmissionInput (entry: Entry, request: ForwardRequest, places: readonly CandidateRegion[], now: Millis): AdmissionInput {
+  const firstRegion = places[0]
+  const roundTripMs = firstRegion === undefined ? 0 : getRoundTripMs(entry.router, firstRegion.region)
   const route = { service: request.service, places, triedServers: new Set<string>() }
   return {
     deadline: request.deadline,
     slots: countAvailableSlots(entry.router, route, now),
-    queueLength: waitingFor(entry, request.service),
+    queueLength: getQueueLength(entry, request.service),
     serviceMs: getMeanServiceMs(entry.router, request.service),
-    completionIntervalMs: paceOf(entry, request.service),
-    overheadMs: tripMs
+    completionIntervalMs: getCompletionIntervalMs(entry, request.service),
+    overheadMs: roundTripMs
   }
 }
--- a/packages/daemon/src/core/entry/lookupAnswer.ts
+++ b/packages/daemon/src/core/entry/lookupAnswer.ts
@@ -1,6 +1,6 @@
-/** Answers to look-ups, kept ready for callers that share one. */
+/** Cached answers to look-ups, shared by callers. */
 
-/** An answer ready to be written. */
+/** A serialized answer. */
 export interface LookupAnswer {
   readonly body: Buffer
   readonly headers: Readonly<Record<string, string | number>>
--- a/packages/daemon/src/core/entry/lookups.ts
+++ b/packages/daemon/src/core/entry/lookups.ts
@@ -1,4 +1,4 @@
-/** Look-ups: tells callers which entry VMs to use. */
+/** Answers look-ups: which entry VMs a caller should use for a service. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { ServiceId } from '@lynxcourse/base'
 import { isLeaseValid } from '@lynxcourse/membership'
@@ -8,30 +8,30 @@
 import { isLogged, log } from '../../utils/logging.js'
 import { presentTime } from '../../utils/clock.js'
 import { callerInfo, placesFor } from './callerPlaces.js'
-import type { CallerBlockInfo } from './callerPlaces.js'
-import { profileFor, refreshView } from './entry.js'
+import type { CallerInfo } from './callerPlaces.js'
+import { getProfile, refreshView } from './entry.js'
 import type { Entry } from './entry.js'
 import type { LookupAnswer } from './lookupAnswer.js'
 
 export const lookupPath = '/v1/lookup'
 
-const namePattern = /[?&]service=([a-z0-9.-]+)/
+const servicePattern = /[?&]service=([a-z0-9.-]+)/
 const clientPattern = /[?&]client=([0-9.]+)/
 
-/** Most query strings remembered; they are few where callers behave. */
-const maxQueries = 1000
+/** Maximum number of parsed query strings in the cache. Well-behaved callers use few different ones. */
+const maxCachedQueries = 1000
 
 interface LookupQuery {
   readonly service: ServiceId | undefined
   readonly client: string | undefined
 }
 
-const queries = new Map<string, LookupQuery>()
+const queryCache = new Map<string, LookupQuery>()
 
 /** Body of an answer to a look-up. */
 export interface LookupBody {
   readonly service: string
-  /** Version of the configuration that the answer rests on. */
+  /** Version of the configuration that the answer is based on. */
   readonly version: number
   readonly ttlSeconds: number
   readonly vms: ReadonlyArray<{ readonly vm: string, readonly region: string, readonly ip: string, readonly port: number }>
@@ -39,46 +39,46 @@
 
 /** Answers a look-up. */
 export function answerLookup (entry: Entry, req: IncomingMessage, res: ServerResponse): void {
-  const { service, client } = readQuery(req.url ?? '')
+  const { service, client } = parseQuery(req.url ?? '')
   if (service === undefined) {
-    refuseLookup(entry, res, 400, 'service: expected ?service=NAME')
+    rejectLookup(entry, res, 400, 'service: expected ?service=NAME')
     return
   }
   const now = presentTime()
   refreshView(entry, now)
-  const profile = profileFor(entry, service)
-  // Without a lease this VM may name VMs that are gone or drained; another VM knows better.
+  const profile = getProfile(entry, service)
+  // Without a lease on the configuration, this VM could name VMs that left or are being drained.
   if (!isLeaseValid(entry.node.currency, now) && profile?.whenIsolated !== 'local') {
-    refuseLookup(entry, res, 503, 'this VM can not learn the present state; ask another')
+    rejectLookup(entry, res, 503, 'this VM has no current configuration; ask another VM')
     return
   }
   if (profile === undefined) {
-    refuseLookup(entry, res, 404, `service: no profile serves '${service}'`)
+    rejectLookup(entry, res, 404, `service: no profile serves '${service}'`)
     return
   }
   const address = client ?? req.socket.remoteAddress ?? ''
-  const answer = lookupAnswer(entry, service, profile, callerInfo(entry, address))
+  const answer = getLookupAnswer(entry, service, profile, callerInfo(entry, address))
   entry.lookupsAnswered += 1
   if (isLogged(entry.node.logs, 'lookup', 'debug')) log(entry.node.logs, 'lookup', 'debug', 'Answered.', { service, client: address })
   res.writeHead(200, answer.headers).end(answer.body)
 }
 
-function readQuery (url: string): LookupQuery {
-  const known = queries.get(url)
-  if (known !== undefined) return known
-  const query = { service: namePattern.exec(url)?.[1] as ServiceId | undefined, client: clientPattern.exec(url)?.[1] }
-  if (queries.size < maxQueries) queries.set(url, query)
+function parseQuery (url: string): LookupQuery {
+  const cached = queryCache.get(url)
+  if (cached !== undefined) return cached
+  const query = { service: servicePattern.exec(url)?.[1] as ServiceId | undefined, client: clientPattern.exec(url)?.[1] }
+  if (queryCache.size < maxCachedQueries) queryCache.set(url, query)
   return query
 }
 
-function refuseLookup (entry: Entry, res: ServerResponse, status: number, detail: string): void {
+function rejectLookup (entry: Entry, res: ServerResponse, status: number, detail: string): void {
   entry.node.metrics.lookups.inc({ result: `refused${status}` })
   const retry: Record<string, string> = status === 503 ? { 'retry-after': '1' } : {}
   res.writeHead(status, { 'content-type': 'application/json', 'cache-control': 'no-store', ...retry }).end(`${JSON.stringify({ detail })}\n`)
 }
 
-/** The answer for a caller, made once for each bucket of callers. */
-function lookupAnswer (entry: Entry, service: ServiceId, profile: Profile, caller: CallerBlockInfo): LookupAnswer {
+/** Returns the answer for a caller, which all callers of the same region and bucket share. */
+function getLookupAnswer (entry: Entry, service: ServiceId, profile: Profile, caller: CallerInfo): LookupAnswer {
   const bucket = caller.hash % callerBucketCount
   let byRegion = entry.lookupCache.get(service)
   if (byRegion === undefined) {
@@ -90,14 +90,14 @@
     answers = []
     byRegion.set(caller.region, answers)
   }
-  const answer = answers[bucket] ?? makeAnswer(entry, service, profile, { region: caller.region, hash: bucket })
+  const answer = answers[bucket] ?? createLookupAnswer(entry, service, profile, { region: caller.region, hash: bucket })
   answers[bucket] = answer
   return answer
 }
 
-function makeAnswer (entry: Entry, service: ServiceId, profile: Profile, caller: CallerBlockInfo): LookupAnswer {
-  const places = placesFor(entry, service, profile, caller)
-  const vms = selectEntryVms(entry.lookupIndex, places, caller.hash).map(vm => {
+function createLookupAnswer (entry: Entry, service: ServiceId, profile: Profile, caller: CallerInfo): LookupAnswer {
+  const candidates = placesFor(entry, service, profile, caller)
+  const vms = selectEntryVms(entry.lookupIndex, candidates, caller.hash).map(vm => {
     const { host, port } = splitAddress(vm.http)
     return { vm: vm.vm, region: vm.region, ip: host, port }
   })
--- a/packages/daemon/src/core/entry/polling.ts
+++ b/packages/daemon/src/core/entry/polling.ts
@@ -1,6 +1,6 @@
 /**
- * Polls backend servers' own `/health` and `/load`. They lag or mislead, so they only add to what this
- * VM sees itself: a failed poll counts as one failure among others, a reported load as one report.
+ * Polls the `/load` endpoints of backend servers. Their answers can be late or wrong, so they only complement this VM's
+ * own observations: a failed poll counts as one failure among others, a reported load as one report.
  */
 import { request } from 'undici'
 import type { Millis } from '@lynxcourse/base'
@@ -11,32 +11,32 @@
 import { refreshView } from './entry.js'
 import type { Entry } from './entry.js'
 
-const pollEveryMs = 2000
+const pollIntervalMs = 2000
 const pollTimeoutMs = 1000
 
-/** A report younger than this makes a poll needless. */
-const freshReportMs = 2000
+/** A server is polled only if its last load report is older than this. */
+const maxReportAgeMs = 2000
 
-/** Most polls at once. */
-const maxPolls = 16
+/** Maximum number of concurrent polls. */
+const maxConcurrentPolls = 16
 
-/** Starts to poll the servers of this VM's own region. */
+/** Starts polling the servers in this VM's region. */
 export function startPolling (entry: Entry): AsyncDisposable {
-  return repeat(pollEveryMs, async () => await pollAll(entry), () => undefined)
+  return repeat(pollIntervalMs, async () => await pollAll(entry), () => undefined)
 }
 
 async function pollAll (entry: Entry): Promise<void> {
   const now = presentTime()
   refreshView(entry, now)
-  const due = [...entry.router.backends.byId.values()].filter(observed => isDue(entry, observed, now))
-  for (let first = 0; first < due.length; first += maxPolls) {
-    await Promise.all(due.slice(first, first + maxPolls).map(async observed => await pollOne(entry, observed)))
+  const serversToPoll = [...entry.router.backends.byId.values()].filter(observed => needsLoadPoll(entry, observed, now))
+  for (let first = 0; first < serversToPoll.length; first += maxConcurrentPolls) {
+    await Promise.all(serversToPoll.slice(first, first + maxConcurrentPolls).map(async observed => await pollOne(entry, observed)))
   }
 }
 
-function isDue (entry: Entry, observed: ObservedServer, now: Millis): boolean {
-  const isNear = observed.backend.region === entry.node.cfg.region
-  return isNear && observed.state !== 'gone' && now - observed.reportedAt > freshReportMs
+function needsLoadPoll (entry: Entry, observed: ObservedServer, now: Millis): boolean {
+  const isLocal = observed.backend.region === entry.node.cfg.region
+  return isLocal && observed.state !== 'gone' && now - observed.reportedAt > maxReportAgeMs
 }
 
 async function pollOne (entry: Entry, observed: ObservedServer): Promise<void> {
--- a/packages/daemon/src/core/entry/serveOnce.ts
+++ b/packages/daemon/src/core/entry/serveOnce.ts
@@ -1,152 +1,154 @@
-/** Serves requests that must not run twice, by the steps of `onceFlow`. */
+/** Serves requests that must not run twice: executes the effects that `OnceFlow` returns. */
 import { continueAfterAttempt, continueAfterClaim, continueAfterRecord, continueAfterSlot, createOnceFlow, getLatestResendTime, canRetryAfterSheds, startOnceFlow } from '@lynxcourse/routing'
 import type { OnceEffect, OnceFlow } from '@lynxcourse/routing'
 import type { ClaimAnswer, StoredAnswer } from '@lynxcourse/state'
 import type { Millis, RequestId } from '@lynxcourse/base'
 import { presentTime } from '../../utils/clock.js'
 import type { FinalAnswer, HeaderMap } from '../../types/answers.js'
-import { answerFrom, attemptIn, getSlot, logRefused } from './attemptSteps.js'
-import { claimId, settleId, settleLater } from './claiming.js'
-import { keptAnswer, ownAnswer } from './finalAnswers.js'
-import { comeBackAfter, isAdmitted } from './serving.js'
-import type { Serving } from './serving.js'
+import { toFinalAnswer, runAttemptInSlot, acquireUsableSlot, logNotServed } from './attemptSteps.js'
+import { claimRequestId, recordOutcome, recordOutcomeInBackground } from './claiming.js'
+import { restoreStoredAnswer, createAnswer } from './finalAnswers.js'
+import { getRetryDelayMs, canServeInTime } from './serving.js'
+import type { ServedRequest } from './serving.js'
 import type { AttemptResult } from './attempts.js'
-import { waitingFor } from './slots.js'
+import { getQueueLength } from './slots.js'
 import type { Slot } from './serviceQueue.js'
 
-/** How long a refusal waits for the register before the caller hears `unknown` instead. */
-const refusalMs = 1000
+/** Time to record a request as not run. After it, the caller receives `unknown` instead of `not-run`. */
+const notRunRecordTimeoutMs = 1000
 
-/** When to ask again after an id whose first copy is still under way. */
-const underWayRetryMs = 1000
+/** Retry delay sent to a caller whose request id is still in use by an earlier copy of the request. */
+const inProgressRetryMs = 1000
 
-interface Once {
-  readonly serving: Serving
+/** State of one request that must not run twice. */
+interface OnceRun {
+  readonly serving: ServedRequest
   readonly flow: OnceFlow
   readonly id: RequestId
   readonly token: string
-  readonly tried: Set<string>
+  readonly triedServers: Set<string>
+  /** How often servers shed the request. */
   sheds: number
   claimed: ClaimAnswer | undefined
   slot: Slot | undefined
   result: AttemptResult | undefined
 }
 
-/** Serves a request that must not run twice. */
-export async function serveOnce (serving: Serving): Promise<FinalAnswer> {
-  const once: Once = {
+/** Serves a request that must not run twice and returns its final answer. */
+export async function serveOnce (serving: ServedRequest): Promise<FinalAnswer> {
+  const run: OnceRun = {
     serving,
     flow: createOnceFlow(serving.entry.attemptChart),
     id: serving.request.id as RequestId,
-    token: `t${serving.entry.nextRequest++}`,
-    tried: new Set(),
+    token: `t${serving.entry.nextSequence++}`,
+    triedServers: new Set(),
     sheds: 0,
     claimed: undefined,
     slot: undefined,
     result: undefined
   }
-  let effect = startOnceFlow(once.flow, isAdmitted(serving))
-  while (effect.type !== 'answer') effect = await carryOut(once, effect)
-  return finish(once, effect)
+  let effect = startOnceFlow(run.flow, canServeInTime(serving))
+  while (effect.type !== 'answer') effect = await executeEffect(run, effect)
+  return finishRequest(run, effect)
 }
 
-async function carryOut (once: Once, effect: Exclude<OnceEffect, { type: 'answer' }>): Promise<OnceEffect> {
+async function executeEffect (run: OnceRun, effect: Exclude<OnceEffect, { type: 'answer' }>): Promise<OnceEffect> {
   switch (effect.type) {
-    case 'claim': return await claimStep(once)
-    case 'getSlot': return await slotStep(once)
-    case 'send': return await sendStep(once)
-    case 'recordNotRun': return await recordStep(once, effect.reason)
+    case 'claim': return await runClaimStep(run)
+    case 'getSlot': return await runSlotStep(run)
+    case 'send': return await runSendStep(run)
+    case 'recordNotRun': return await runRecordStep(run, effect.reason)
   }
 }
 
-async function claimStep (once: Once): Promise<OnceEffect> {
-  const { serving, flow } = once
+async function runClaimStep (run: OnceRun): Promise<OnceEffect> {
+  const { serving, flow } = run
   try {
-    once.claimed = await claimId(serving.entry.claiming, once.id, once.token, serving.request.deadline)
-    return continueAfterClaim(flow, once.claimed.result)
+    run.claimed = await claimRequestId(serving.entry.claiming, run.id, run.token, serving.request.deadline)
+    return continueAfterClaim(flow, run.claimed.result)
   } catch {
     return continueAfterClaim(flow, 'noAnswer')
   }
 }
 
-async function slotStep (once: Once): Promise<OnceEffect> {
-  const slot = await getSlot(once.serving, once.tried, lastSendAt(once))
-  if (typeof slot === 'string') return continueAfterSlot(once.flow, slot === 'full' ? 'queue is full' : 'no slot in time')
-  once.slot = slot
-  once.tried.add(slot.observed.backend.id)
-  return continueAfterSlot(once.flow, undefined)
+async function runSlotStep (run: OnceRun): Promise<OnceEffect> {
+  const slot = await acquireUsableSlot(run.serving, run.triedServers, getLatestSendTime(run))
+  if (typeof slot === 'string') return continueAfterSlot(run.flow, slot === 'full' ? 'queue is full' : 'no slot in time')
+  run.slot = slot
+  run.triedServers.add(slot.observed.backend.id)
+  return continueAfterSlot(run.flow, undefined)
 }
 
-async function sendStep (once: Once): Promise<OnceEffect> {
-  const result = await attemptIn(once.serving, once.slot as Slot, once.serving.signal)
-  once.result = result
+async function runSendStep (run: OnceRun): Promise<OnceEffect> {
+  const result = await runAttemptInSlot(run.serving, run.slot as Slot, run.serving.signal)
+  run.result = result
   if (result.type === 'shed') {
-    // The server is left alone for a moment by all of this VM's requests; it is no failed try.
-    once.tried.delete((once.slot as Slot).observed.backend.id)
-    once.sheds += 1
+    // A shed is not a failed attempt. Routing keeps all requests of this VM away from the server for a short time anyway.
+    run.triedServers.delete((run.slot as Slot).observed.backend.id)
+    run.sheds += 1
   }
-  return continueAfterAttempt(once.flow, result.type, mayTryAgain(once))
+  return continueAfterAttempt(run.flow, result.type, canSendAgain(run))
 }
 
-function mayTryAgain (once: Once): boolean {
-  const { request } = once.serving
-  const hasTries = once.tried.size < request.profile.maxAttempts && canRetryAfterSheds(once.sheds, waitingFor(once.serving.entry, request.service))
-  return request.isReplayable && hasTries && presentTime() < lastSendAt(once)
+function canSendAgain (run: OnceRun): boolean {
+  const { request } = run.serving
+  const hasAttemptsLeft = run.triedServers.size < request.profile.maxAttempts && canRetryAfterSheds(run.sheds, getQueueLength(run.serving.entry, request.service))
+  return request.isReplayable && hasAttemptsLeft && presentTime() < getLatestSendTime(run)
 }
 
-function lastSendAt (once: Once): Millis {
-  const { arrivedAt, deadline } = once.serving.request
-  return once.sheds === 0 ? deadline : getLatestResendTime(arrivedAt, deadline)
+function getLatestSendTime (run: OnceRun): Millis {
+  const { arrivedAt, deadline } = run.serving.request
+  return run.sheds === 0 ? deadline : getLatestResendTime(arrivedAt, deadline)
 }
 
-async function recordStep (once: Once, reason: string): Promise<OnceEffect> {
-  logRefused(once.serving, reason)
-  const recorded = await settleId(once.serving.entry.claiming, once.id, once.token, 'notRun', undefined, presentTime() + refusalMs)
-  return continueAfterRecord(recorded, reason)
+async function runRecordStep (run: OnceRun, reason: string): Promise<OnceEffect> {
+  logNotServed(run.serving, reason)
+  const isRecorded = await recordOutcome(run.serving.entry.claiming, run.id, run.token, 'notRun', undefined, presentTime() + notRunRecordTimeoutMs)
+  return continueAfterRecord(isRecorded, reason)
 }
 
-function finish (once: Once, effect: Extract<OnceEffect, { type: 'answer' }>): FinalAnswer {
-  const { serving, result } = once
+function finishRequest (run: OnceRun, effect: Extract<OnceEffect, { type: 'answer' }>): FinalAnswer {
+  const { serving, result } = run
   if (effect.record !== undefined) {
-    settleLater(serving.entry.claiming, once.id, once.token, effect.record, answerToKeep(serving, result))
+    recordOutcomeInBackground(serving.entry.claiming, run.id, run.token, effect.record, toStoredAnswer(serving, result))
   }
   switch (effect.callerOutcome) {
-    case 'done': return answerFrom(once.slot as Slot, result as Extract<AttemptResult, { type: 'answered' }>)
-    case 'notRun': return ownAnswer('not-run', effect.reason, comeBackAfter(serving))
+    case 'done': return toFinalAnswer(run.slot as Slot, result as Extract<AttemptResult, { type: 'answered' }>)
+    case 'notRun': return createAnswer('not-run', effect.reason, getRetryDelayMs(serving))
     case 'unknown':
-      logRefused(serving, `outcome unknown: ${effect.reason}`)
-      return ownAnswer('unknown', effect.reason, result === undefined ? comeBackAfter(serving) : undefined)
-    default: return registerAnswer(serving, once.claimed)
+      logNotServed(serving, `outcome unknown: ${effect.reason}`)
+      return createAnswer('unknown', effect.reason, result === undefined ? getRetryDelayMs(serving) : undefined)
+    default: return answerUngrantedClaim(serving, run.claimed)
   }
 }
 
-/** What the register said instead of granting the claim. */
-function registerAnswer (serving: Serving, claimed: ClaimAnswer | undefined): FinalAnswer {
-  if (claimed?.result === 'taken') return takenAnswer(claimed.state, claimed.answer)
+/** Returns the answer for a claim that the register did not grant. */
+function answerUngrantedClaim (serving: ServedRequest, claimed: ClaimAnswer | undefined): FinalAnswer {
+  if (claimed?.result === 'taken') return answerTakenId(claimed.state, claimed.answer)
   if (claimed?.result === 'refused' && claimed.code === 'registerFull') {
-    return ownAnswer('unknown', claimed.detail, comeBackAfter(serving), 503)
+    return createAnswer('unknown', claimed.detail, getRetryDelayMs(serving), 503)
   }
-  return ownAnswer('refused', `Idempotency-Key: ${claimed?.result === 'refused' ? claimed.detail : 'not usable'}`, undefined, 400)
+  return createAnswer('refused', `Idempotency-Key: ${claimed?.result === 'refused' ? claimed.detail : 'unusable'}`, undefined, 400)
 }
 
-/** What a later copy of a request hears. */
-function takenAnswer (state: string, answer: StoredAnswer | undefined): FinalAnswer {
+/** Returns the answer for a request whose id is already claimed by an earlier copy. */
+function answerTakenId (state: string, answer: StoredAnswer | undefined): FinalAnswer {
   switch (state) {
-    case 'done': return keptAnswer(answer)
-    case 'notRun': return ownAnswer('not-run', 'this id was refused before; give the request a new one', undefined)
-    case 'unknown': return ownAnswer('unknown', 'an earlier copy may have run', undefined)
-    default: return ownAnswer('unknown', 'an earlier copy is under way', underWayRetryMs, 409)
+    case 'done': return restoreStoredAnswer(answer)
+    case 'notRun': return createAnswer('not-run', 'an earlier request with this id was rejected; use a new id', undefined)
+    case 'unknown': return createAnswer('unknown', 'an earlier request with this id may have run', undefined)
+    default: return createAnswer('unknown', 'an earlier request with this id is in progress', inProgressRetryMs, 409)
   }
 }
 
-function answerToKeep (serving: Serving, result: AttemptResult | undefined): StoredAnswer | undefined {
+function toStoredAnswer (serving: ServedRequest, result: AttemptResult | undefined): StoredAnswer | undefined {
   if (result?.type !== 'answered') return undefined
   const { body, status, headers } = result
-  const isSmall = Buffer.isBuffer(body) && body.length <= serving.entry.node.cfg.limits.keptAnswerBytes
-  return { status, contentType: contentTypeOf(headers), body: isSmall ? (body as Buffer).toString('base64') : undefined }
+  const isBodyStored = Buffer.isBuffer(body) && body.length <= serving.entry.node.cfg.limits.keptAnswerBytes
+  return { status, contentType: getContentType(headers), body: isBodyStored ? (body as Buffer).toString('base64') : undefined }
 }
 
-function contentTypeOf (headers: HeaderMap): string {
+function getContentType (headers: HeaderMap): string {
   const type = headers['content-type']
   return typeof type === 'string' ? type.slice(0, 200) : 'application/octet-stream'
 }
--- a/packages/daemon/src/core/entry/serveRepeatable.ts
+++ b/packages/daemon/src/core/entry/serveRepeatable.ts
@@ -1,124 +1,138 @@
-/** Serves requests that may run twice: tries elsewhere, within a budget, and hedges if told to. */
+/**
+ * Serves requests that may run twice: retries them at other servers within the retry budget, and hedges if the profile
+ * says so.
+ */
 import { canRetryAfterSheds, spendRetry } from '@lynxcourse/routing'
 import { linkedCancel } from '../../utils/cancel.js'
 import type { Cancel } from '../../utils/cancel.js'
 import { presentTime } from '../../utils/clock.js'
 import type { FinalAnswer } from '../../types/answers.js'
-import { answerFrom, attemptIn, getSlot, isEnded, logRefused, takeAttemptEvent } from './attemptSteps.js'
-import type { RequestLife } from './attemptSteps.js'
+import { toFinalAnswer, runAttemptInSlot, acquireUsableSlot, hasEnded, logNotServed, applyAttemptEvent } from './attemptSteps.js'
+import type { AttemptChartState } from './attemptSteps.js'
 import type { AttemptResult } from './attempts.js'
-import { ownAnswer } from './finalAnswers.js'
-import { budgetOf, comeBackAfter, isAdmitted } from './serving.js'
-import type { Serving } from './serving.js'
-import { waitingFor } from './slots.js'
+import { createAnswer } from './finalAnswers.js'
+import { getRetryBudget, getRetryDelayMs, canServeInTime } from './serving.js'
+import type { ServedRequest } from './serving.js'
+import { getQueueLength } from './slots.js'
 import type { Slot } from './serviceQueue.js'
 
-interface Run {
-  readonly serving: Serving
-  readonly life: RequestLife
-  readonly tried: Set<string>
+/** State of one idempotent request. */
+interface IdempotentRun {
+  readonly serving: ServedRequest
+  readonly life: AttemptChartState
+  readonly triedServers: Set<string>
+  /** Number of attempts, without those that servers shed. */
   attempts: number
+  /** How often servers shed the request. */
   sheds: number
+  /** Whether an attempt was sent and got no complete answer, so the request may have run. */
   sent: boolean
 }
 
-interface Finished {
+/** Result of an attempt, with the slot that it used. */
+interface FinishedAttempt {
   readonly slot: Slot
   readonly result: AttemptResult
 }
 
-/** Serves an idempotent request. */
-export async function serveRepeatable (serving: Serving): Promise<FinalAnswer> {
+/** Serves an idempotent request and returns its final answer. */
+export async function serveIdempotent (serving: ServedRequest): Promise<FinalAnswer> {
   const life = { state: serving.entry.attemptChart.initial }
-  const run: Run = { serving, life, tried: new Set(), attempts: 0, sheds: 0, sent: false }
-  if (!isAdmitted(serving)) return giveUp(run, 'no capacity in time')
-  while (!isEnded(serving, life)) {
-    const slot = await getSlot(serving, run.tried, serving.request.deadline)
-    if (typeof slot === 'string') return giveUp(run, slot === 'full' ? 'queue is full' : 'no slot in time')
-    takeAttemptEvent(serving, life, 'send')
-    const finished = await attemptOrHedge(run, slot)
+  const run: IdempotentRun = { serving, life, triedServers: new Set(), attempts: 0, sheds: 0, sent: false }
+  if (!canServeInTime(serving)) return failRequest(run, 'no capacity in time')
+  while (!hasEnded(serving, life)) {
+    const slot = await acquireUsableSlot(serving, run.triedServers, serving.request.deadline)
+    if (typeof slot === 'string') return failRequest(run, slot === 'full' ? 'queue is full' : 'no slot in time')
+    applyAttemptEvent(serving, life, 'send')
+    const finished = await runHedgedAttempt(run, slot)
     if (finished.result.type === 'answered') {
-      takeAttemptEvent(serving, life, 'answer')
-      return answerFrom(finished.slot, finished.result)
+      applyAttemptEvent(serving, life, 'answer')
+      return toFinalAnswer(finished.slot, finished.result)
     }
-    const last = noteFailed(run, finished.result)
-    if (last !== undefined) return last
+    const finalAnswer = handleFailedAttempt(run, finished.result)
+    if (finalAnswer !== undefined) return finalAnswer
   }
-  return giveUp(run, 'ended')
+  return failRequest(run, 'ended')
 }
 
-/** Notes a failed attempt; an answer if there is to be no other. */
-function noteFailed (run: Run, result: Exclude<AttemptResult, { type: 'answered' }>): FinalAnswer | undefined {
+/** Records a failed attempt. Returns the final answer, or undefined if another attempt may follow. */
+function handleFailedAttempt (run: IdempotentRun, result: Exclude<AttemptResult, { type: 'answered' }>): FinalAnswer | undefined {
   const { serving } = run
-  takeAttemptEvent(serving, run.life, result.type === 'shed' ? 'shed' : 'fail')
+  applyAttemptEvent(serving, run.life, result.type === 'shed' ? 'shed' : 'fail')
   if (result.type === 'lost') run.sent = true
-  const isOver = result.type === 'lost' && (result.reason === 'deadline' || result.reason === 'gone')
-  if (isOver || presentTime() >= serving.request.deadline) return giveUp(run, 'deadline passed')
-  const mayRetry = run.attempts < serving.request.profile.maxAttempts && canRetryAfterSheds(run.sheds, waitingFor(serving.entry, serving.request.service)) && serving.request.isReplayable
-  // A shed costs the server nothing, so it takes nothing from the budget.
-  const hasBudget = result.type === 'shed' || spendRetry(budgetOf(serving.entry, serving.request.service))
-  if (!mayRetry || !hasBudget) return giveUp(run, result.type === 'shed' ? 'servers shed' : 'attempts failed')
+  const isTerminal = result.type === 'lost' && (result.reason === 'deadline' || result.reason === 'gone')
+  if (isTerminal || presentTime() >= serving.request.deadline) return failRequest(run, 'deadline passed')
+  const mayRetry = run.attempts < serving.request.profile.maxAttempts && canRetryAfterSheds(run.sheds, getQueueLength(serving.entry, serving.request.service)) && serving.request.isReplayable
+  // A shed costs the server no work, so a retry after it spends nothing from the retry budget.
+  const hasBudget = result.type === 'shed' || spendRetry(getRetryBudget(serving.entry, serving.request.service))
+  if (!mayRetry || !hasBudget) return failRequest(run, result.type === 'shed' ? 'servers shed' : 'attempts failed')
   return undefined
 }
 
-function giveUp (run: Run, reason: string): FinalAnswer {
+function failRequest (run: IdempotentRun, reason: string): FinalAnswer {
   const { serving } = run
-  logRefused(serving, reason)
+  logNotServed(serving, reason)
   const isLate = presentTime() >= serving.request.deadline || run.sent
-  return ownAnswer(isLate ? 'too-late' : 'not-run', reason, comeBackAfter(serving))
+  return createAnswer(isLate ? 'too-late' : 'not-run', reason, getRetryDelayMs(serving))
 }
 
-async function startAttempt (run: Run, slot: Slot, signal: Cancel): Promise<Finished> {
+async function runCountedAttempt (run: IdempotentRun, slot: Slot, signal: Cancel): Promise<FinishedAttempt> {
   const { id } = slot.observed.backend
   run.attempts += 1
-  run.tried.add(id)
-  const result = await attemptIn(run.serving, slot, signal)
-  // The connection was at fault, not the server: a new one to the same server may well do.
-  if (result.type === 'lost' && result.reason === 'silent') run.tried.delete(id)
-  // A server that shed is left alone for a moment by all of this VM's requests; it is no failed try.
+  run.triedServers.add(id)
+  const result = await runAttemptInSlot(run.serving, slot, signal)
+  // A silent connection is not the server's fault: a new connection to the same server may succeed.
+  if (result.type === 'lost' && result.reason === 'silent') run.triedServers.delete(id)
+  // A shed is not a failed attempt. Routing keeps all requests of this VM away from the server for a short time anyway.
   if (result.type === 'shed') {
-    run.tried.delete(id)
+    run.triedServers.delete(id)
     run.attempts -= 1
     run.sheds += 1
   }
   return { slot, result }
 }
 
-/** Runs an attempt; if it is slow and the budget allows, a second one beside it. The first answer wins. */
-async function attemptOrHedge (run: Run, slot: Slot): Promise<Finished> {
+/**
+ * Runs an attempt. If it is slow and the retry budget allows, runs a second attempt in parallel; the first answer wins.
+ */
+async function runHedgedAttempt (run: IdempotentRun, slot: Slot): Promise<FinishedAttempt> {
   const { serving } = run
   const { hedgeAfterMs, maxAttempts } = serving.request.profile
   const mayHedge = hedgeAfterMs > 0 && run.attempts + 1 < maxAttempts && serving.request.isReplayable
-  if (!mayHedge) return await startAttempt(run, slot, serving.signal)
-  const firstStop = linkedCancel(serving.signal)
-  const first = startAttempt(run, slot, firstStop)
-  const early = await orAfter(first, hedgeAfterMs)
-  if (early !== undefined) return early
-  if (!spendRetry(budgetOf(serving.entry, serving.request.service))) return await first
-  const secondSlot = await getSlot(serving, run.tried, serving.request.deadline)
+  if (!mayHedge) return await runCountedAttempt(run, slot, serving.signal)
+  const firstCancel = linkedCancel(serving.signal)
+  const first = runCountedAttempt(run, slot, firstCancel)
+  const earlyResult = await awaitAtMost(first, hedgeAfterMs)
+  if (earlyResult !== undefined) return earlyResult
+  if (!spendRetry(getRetryBudget(serving.entry, serving.request.service))) return await first
+  const secondSlot = await acquireUsableSlot(serving, run.triedServers, serving.request.deadline)
   if (typeof secondSlot === 'string') return await first
-  const secondStop = linkedCancel(serving.signal)
-  const second = startAttempt(run, secondSlot, secondStop)
-  return await firstAnswer(first, second, firstStop, secondStop)
+  const secondCancel = linkedCancel(serving.signal)
+  const second = runCountedAttempt(run, secondSlot, secondCancel)
+  return await raceAttempts(first, second, firstCancel, secondCancel)
 }
 
-async function firstAnswer (first: Promise<Finished>, second: Promise<Finished>, firstStop: Cancel, secondStop: Cancel): Promise<Finished> {
+/**
+ * Returns the attempt that ends first and cancels the other one; if the first got no answer, waits for the other one.
+ */
+async function raceAttempts (first: Promise<FinishedAttempt>, second: Promise<FinishedAttempt>, firstCancel: Cancel, secondCancel: Cancel): Promise<FinishedAttempt> {
   const winner = await Promise.race([
-    first.then(finished => ({ finished, other: second, otherStop: secondStop })),
-    second.then(finished => ({ finished, other: first, otherStop: firstStop }))
+    first.then(finished => ({ finished, other: second, otherCancel: secondCancel })),
+    second.then(finished => ({ finished, other: first, otherCancel: firstCancel }))
   ])
   if (winner.finished.result.type !== 'answered') return await winner.other
-  winner.otherStop.abort()
-  winner.other.then(discard).catch(() => undefined)
+  winner.otherCancel.abort()
+  winner.other.then(discardLoser).catch(() => undefined)
   return winner.finished
 }
 
-/** A loser that answered all the same: its streamed body is closed, which gives its slot back. */
-function discard (loser: Finished): void {
+/** Closes the streamed body of a cancelled attempt that answered nevertheless, which releases its slot. */
+function discardLoser (loser: FinishedAttempt): void {
   if (loser.result.type === 'answered' && !Buffer.isBuffer(loser.result.body)) loser.result.body.destroy()
 }
 
-async function orAfter<Value> (work: Promise<Value>, ms: number): Promise<Value | undefined> {
+/** Waits for a promise; returns undefined after `ms` milliseconds without a result. */
+async function awaitAtMost<Value> (work: Promise<Value>, ms: number): Promise<Value | undefined> {
   let timer: NodeJS.Timeout | undefined
   const timeout = new Promise<undefined>(resolve => { timer = setTimeout(() => resolve(undefined), ms) })
   try {
--- a/packages/daemon/src/core/entry/serving.ts
+++ b/packages/daemon/src/core/entry/serving.ts
@@ -1,4 +1,4 @@
-/** One request being served: what the ways of serving it share. */
+/** A request in progress, as both ways of serving it need it: at most once, or with retries. */
 import { canCompleteInTime, createRetryBudget, getRetryAfterMs } from '@lynxcourse/routing'
 import type { CallerLiveness } from '@lynxcourse/placement'
 import type { AdmissionInput, CandidateRegion, RetryBudget } from '@lynxcourse/routing'
@@ -8,33 +8,34 @@
 import type { Entry } from './entry.js'
 import type { ForwardRequest } from './forwardRequest.js'
 
-/** A request on its way, with all that its service needs. */
-export interface Serving {
+/** A request in progress, with the inputs of its routing. */
+export interface ServedRequest {
   readonly entry: Entry
   readonly request: ForwardRequest
+  /** Regions that may serve the request, in order. */
   readonly places: readonly CandidateRegion[]
-  /** Aborted when the caller is gone. */
+  /** Aborted when the caller disconnects. */
   readonly signal: Cancel
-  readonly caller: CallerLiveness
+  readonly liveness: CallerLiveness
   readonly admission: AdmissionInput
 }
 
-/** Whether a request can be served in time, as far as can be told now. */
-export function isAdmitted (serving: Serving): boolean {
+/** Returns whether a region may serve the request and is expected to complete it before the deadline. */
+export function canServeInTime (serving: ServedRequest): boolean {
   return serving.places.length > 0 && canCompleteInTime(serving.admission, presentTime())
 }
 
-/** When a refused caller should come back. */
-export function comeBackAfter (serving: Serving): Millis {
+/** Returns the delay after which a rejected caller should retry. */
+export function getRetryDelayMs (serving: ServedRequest): Millis {
   return getRetryAfterMs(serving.admission)
 }
 
-/** The retry budget of a service. */
-export function budgetOf (entry: Entry, service: ServiceId): RetryBudget {
-  let budget = entry.budgets.get(service)
+/** Returns the retry budget of a service, creating it on first use. */
+export function getRetryBudget (entry: Entry, service: ServiceId): RetryBudget {
+  let budget = entry.retryBudgets.get(service)
   if (budget === undefined) {
     budget = createRetryBudget()
-    entry.budgets.set(service, budget)
+    entry.retryBudgets.set(service, budget)
   }
   return budget
 }
--- a/packages/daemon/src/core/entry/slots.ts
+++ b/packages/daemon/src/core/entry/slots.ts
@@ -1,4 +1,6 @@
-/** Waiting for a slot: requests stand by deadline and are given up as soon as they can't be served in time. */
+/**
+ * Queues of requests that wait for a slot, by deadline. A request is rejected as soon as it cannot be served in time.
+ */
 import type { Millis, ServiceId } from '@lynxcourse/base'
 import { acquireCapacity, releaseCapacity, hasCapacity, recordDemand } from '@lynxcourse/limits'
 import {
@@ -12,108 +14,111 @@
 import { presentTime } from '../../utils/clock.js'
 import { refreshView } from './entry.js'
 import type { Entry } from './entry.js'
-import type { NoSlot, ServiceQueue, Slot, Waiter } from './serviceQueue.js'
+import type { SlotFailure, ServiceQueue, Slot, Waiter } from './serviceQueue.js'
 
-/** How many of the first waiters are tried when a slot comes free; the places of later ones may differ. */
-const maxTried = 8
+/**
+ * Number of waiting requests that are tried, in order of deadline, since those after the first may accept other
+ * regions.
+ */
+const maxTriedWaiters = 8
 
-/** Waiters are looked at again after this, since pauses and grants end without a message. */
-const pumpEveryMs = 10
+/** Interval between checks of a queue that is not empty. Pauses of servers and grants of caps end without an event. */
+const queueCheckIntervalMs = 10
 
-/** How often waiters that can't be served in time are looked for. */
-const pruneEveryMs = 20
+/** Minimum interval between two searches for waiting requests that cannot be served in time. */
+const pruneIntervalMs = 20
 
-/** Limits of a profile as routing asks them for a service. */
+/** Creates the gate through which routing checks the caps of a profile for a service. */
 export function limitGate (entry: Entry, service: ServiceId, profile: Profile, now: () => Millis): LimitGate {
   const { node } = entry
   return {
-    getResources: place => {
-      const resources = [createRegionResourceId(profile, place.region)]
-      if (place.region !== node.cfg.region) resources.push(createLinkResourceId(profile, node.cfg.region, place.region))
-      if (place.shift !== undefined) resources.push(createShiftResourceId(place.shift))
-      return resources.filter(resource => entry.capped.has(resource))
+    getResources: candidate => {
+      const resources = [createRegionResourceId(profile, candidate.region)]
+      if (candidate.region !== node.cfg.region) resources.push(createLinkResourceId(profile, node.cfg.region, candidate.region))
+      if (candidate.shift !== undefined) resources.push(createShiftResourceId(candidate.shift))
+      return resources.filter(resource => entry.cappedResources.has(resource))
     },
     hasCapacity: resources => {
       const isOpen = hasCapacity(node.limits, resources, now())
-      // All who wait are wanted for: a share that grew by one with each report would take seconds.
-      const extra = 1 + waitingFor(entry, service)
-      if (!isOpen) for (const resource of resources) recordDemand(node.limits, resource, extra)
+      // The demand counts all waiting requests. A share that grew by one with each report would take seconds to suffice.
+      const demand = 1 + getQueueLength(entry, service)
+      if (!isOpen) for (const resource of resources) recordDemand(node.limits, resource, demand)
       return isOpen
     }
   }
 }
 
-function queueOf (entry: Entry, service: ServiceId): ServiceQueue {
-  const known = entry.queues.get(service)
-  if (known !== undefined) return known
+function getServiceQueue (entry: Entry, service: ServiceId): ServiceQueue {
+  const existing = entry.queues.get(service)
+  if (existing !== undefined) return existing
   const limit = findServiceProfile(entry.node.config, service)?.queueLimit ?? 0
-  const made: ServiceQueue = { queue: createDeadlineQueue(limit), pace: createCompletionRate(), timer: undefined, prunedAt: 0 }
-  entry.queues.set(service, made)
-  return made
+  const created: ServiceQueue = { queue: createDeadlineQueue(limit), completionRate: createCompletionRate(), timer: undefined, prunedAt: 0 }
+  entry.queues.set(service, created)
+  return created
 }
 
-/** Requests of a service that wait. */
-export function waitingFor (entry: Entry, service: ServiceId): number {
+/** Returns the number of requests that wait for a slot of a service. */
+export function getQueueLength (entry: Entry, service: ServiceId): number {
   return entry.queues.get(service)?.queue.heap.length ?? 0
 }
 
-/** Smoothed time between two requests of a service that ended while others waited. */
-export function paceOf (entry: Entry, service: ServiceId): Millis {
-  return entry.queues.get(service)?.pace.intervalMs ?? 0
+/** Returns the smoothed interval between completions of a service while other requests wait; 0 while unknown. */
+export function getCompletionIntervalMs (entry: Entry, service: ServiceId): Millis {
+  return entry.queues.get(service)?.completionRate.intervalMs ?? 0
 }
 
 /**
- * Gets a slot, waiting for one if need be.
+ * Acquires a slot, waiting for one if necessary.
  *
- * @param signal ends the wait when the caller is gone
+ * @param signal ends the wait when the caller disconnects
  */
-export async function acquireSlot (entry: Entry, request: RouteRequest, gate: LimitGate, deadline: Millis, signal: Cancel): Promise<Slot | NoSlot> {
+export async function acquireSlot (entry: Entry, request: RouteRequest, gate: LimitGate, deadline: Millis, signal: Cancel): Promise<Slot | SlotFailure> {
   const now = presentTime()
   refreshView(entry, now)
-  const service = queueOf(entry, request.service)
-  // Those who wait already go first.
-  const slot = service.queue.heap.length === 0 ? trySlot(entry, request, gate, now) : undefined
+  const serviceQueue = getServiceQueue(entry, request.service)
+  // Requests that already wait go first.
+  const slot = serviceQueue.queue.heap.length === 0 ? tryAcquireSlot(entry, request, gate, now) : undefined
   if (slot !== undefined) return slot
-  return await waitForSlot(entry, service, { request, gate, deadline, signal })
+  return await waitForSlot(entry, serviceQueue, { request, gate, deadline, signal })
 }
 
-interface WaitInput {
+interface WaitOptions {
   readonly request: RouteRequest
   readonly gate: LimitGate
   readonly deadline: Millis
   readonly signal: Cancel
 }
 
-async function waitForSlot (entry: Entry, service: ServiceQueue, input: WaitInput): Promise<Slot | NoSlot> {
-  const { request, gate, deadline, signal } = input
+async function waitForSlot (entry: Entry, serviceQueue: ServiceQueue, options: WaitOptions): Promise<Slot | SlotFailure> {
+  const { request, gate, deadline, signal } = options
   return await new Promise(resolve => {
     const waiter: Waiter = {
       deadline,
-      order: entry.nextRequest++,
+      order: entry.nextSequence++,
       request,
       gate,
       resolve: result => {
-        signal.off('abort', leave)
+        signal.off('abort', onAborted)
         resolve(result)
       }
     }
-    function leave (): void {
-      if (removeItem(service.queue, waiter)) waiter.resolve('gone')
+    function onAborted (): void {
+      if (removeItem(serviceQueue.queue, waiter)) waiter.resolve('gone')
     }
     if (signal.aborted) {
       resolve('gone')
       return
     }
-    if (!enqueue(service.queue, waiter)) {
+    if (!enqueue(serviceQueue.queue, waiter)) {
       resolve('full')
       return
     }
-    signal.on('abort', leave)
-    pumpQueue(entry, request.service)
+    signal.on('abort', onAborted)
+    processQueue(entry, request.service)
   })
 }
 
-function trySlot (entry: Entry, request: RouteRequest, gate: LimitGate, now: Millis): Slot | undefined {
+function tryAcquireSlot (entry: Entry, request: RouteRequest, gate: LimitGate, now: Millis): Slot | undefined {
   const decision = routeRequest(entry.router, request, gate, now)
   if (decision.type === 'wait') return undefined
   beginAttempt(decision.observed)
@@ -122,64 +127,64 @@
   return { observed, place, resources, passedOver, startedAt: now }
 }
 
-/** Gives a slot back and serves those who wait. */
+/** Releases a slot and serves the requests that wait. */
 export function releaseSlot (entry: Entry, slot: Slot, end: AttemptOutcome): void {
   const now = presentTime()
   endAttempt(entry.router, slot.observed, end, now - slot.startedAt, now)
   releaseCapacity(entry.node.limits, slot.resources)
   entry.node.metrics.attempts.inc({ end })
-  noteServed(entry, slot.observed.backend.service, end, now)
-  pumpQueue(entry, slot.observed.backend.service)
+  recordServed(entry, slot.observed.backend.service, end, now)
+  processQueue(entry, slot.observed.backend.service)
 }
 
 /**
- * Notes the pace at which requests end while others wait. Sheds don't count: where several VMs go for
- * the same slots, most grants may end so, and a pace of grants would promise what is not there.
+ * Records the completion rate of a service while other requests wait. Sheds do not count: if several VMs compete for the
+ * same slots, most attempts may be shed, and a rate that included them would promise capacity that does not exist.
  */
-function noteServed (entry: Entry, name: ServiceId, end: AttemptOutcome, now: Millis): void {
-  const service = entry.queues.get(name)
-  if (service !== undefined && service.queue.heap.length > 0 && end !== 'shed') recordCompletion(service.pace, now)
+function recordServed (entry: Entry, service: ServiceId, end: AttemptOutcome, now: Millis): void {
+  const serviceQueue = entry.queues.get(service)
+  if (serviceQueue !== undefined && serviceQueue.queue.heap.length > 0 && end !== 'shed') recordCompletion(serviceQueue.completionRate, now)
 }
 
-/** Serves those who wait, by deadline; gives up those who can't be served in time any more. */
-export function pumpQueue (entry: Entry, name: ServiceId): void {
-  const service = entry.queues.get(name)
-  if (service === undefined) return
+/** Serves the waiting requests of a service, by deadline, and rejects those that can no longer be served in time. */
+export function processQueue (entry: Entry, service: ServiceId): void {
+  const serviceQueue = entry.queues.get(service)
+  if (serviceQueue === undefined) return
   const now = presentTime()
   refreshView(entry, now)
-  dropLate(entry, service, name, now)
-  serveFirst(entry, service, now)
-  keepPumping(entry, service, name)
+  rejectUnservable(entry, serviceQueue, service, now)
+  serveWaiters(entry, serviceQueue, now)
+  scheduleQueueCheck(entry, serviceQueue, service)
 }
 
-function dropLate (entry: Entry, service: ServiceQueue, name: ServiceId, now: Millis): void {
-  if (now - service.prunedAt < pruneEveryMs) return
-  service.prunedAt = now
-  const leastMs = getMeanServiceMs(entry.router, name) / 2
-  for (const waiter of findUnservable(service.queue.heap, service.pace, leastMs, now)) {
-    removeItem(service.queue, waiter)
+function rejectUnservable (entry: Entry, serviceQueue: ServiceQueue, service: ServiceId, now: Millis): void {
+  if (now - serviceQueue.prunedAt < pruneIntervalMs) return
+  serviceQueue.prunedAt = now
+  const minServiceMs = getMeanServiceMs(entry.router, service) / 2
+  for (const waiter of findUnservable(serviceQueue.queue.heap, serviceQueue.completionRate, minServiceMs, now)) {
+    removeItem(serviceQueue.queue, waiter)
     waiter.resolve('late')
   }
 }
 
-function serveFirst (entry: Entry, service: ServiceQueue, now: Millis): void {
-  const passed: Waiter[] = []
-  while (passed.length < maxTried) {
-    const waiter = dequeue(service.queue)
+function serveWaiters (entry: Entry, serviceQueue: ServiceQueue, now: Millis): void {
+  const unserved: Waiter[] = []
+  while (unserved.length < maxTriedWaiters) {
+    const waiter = dequeue(serviceQueue.queue)
     if (waiter === undefined) break
-    const slot = trySlot(entry, waiter.request, waiter.gate, now)
-    if (slot === undefined) passed.push(waiter)
+    const slot = tryAcquireSlot(entry, waiter.request, waiter.gate, now)
+    if (slot === undefined) unserved.push(waiter)
     else waiter.resolve(slot)
   }
-  for (const waiter of passed) enqueue(service.queue, waiter)
+  for (const waiter of unserved) enqueue(serviceQueue.queue, waiter)
 }
 
-function keepPumping (entry: Entry, service: ServiceQueue, name: ServiceId): void {
-  const isEmpty = service.queue.heap.length === 0
-  if (isEmpty) pauseCompletionRate(service.pace)
-  if (isEmpty || service.timer !== undefined) return
-  service.timer = setTimeout(() => {
-    service.timer = undefined
-    pumpQueue(entry, name)
-  }, pumpEveryMs)
+function scheduleQueueCheck (entry: Entry, serviceQueue: ServiceQueue, service: ServiceId): void {
+  const isEmpty = serviceQueue.queue.heap.length === 0
+  if (isEmpty) pauseCompletionRate(serviceQueue.completionRate)
+  if (isEmpty || serviceQueue.timer !== undefined) return
+  serviceQueue.timer = setTimeout(() => {
+    serviceQueue.timer = undefined
+    processQueue(entry, service)
+  }, queueCheckIntervalMs)
 }
