--- a/packages/daemon/__tests__/badInput.test.ts
+++ b/packages/daemon/__tests__/badInput.test.ts
@@ -1,4 +1,7 @@
-/** Bad input of every kind: a clear error with the field, nothing lost, and the daemon runs on. */
+/**
+ * Invalid input from callers, servers, peers and operators gets an error that names the field, and the daemon keeps
+ * serving.
+ */
 import assert from 'node:assert/strict'
 import { connect } from 'node:net'
 import { Readable } from 'node:stream'
@@ -27,7 +30,7 @@
 
 interface Reply { status: number, outcome: unknown, detail: string }
 
-async function ask (path: string, options: Parameters<typeof request>[1] = {}): Promise<Reply> {
+async function sendRequest (path: string, options: Parameters<typeof request>[1] = {}): Promise<Reply> {
   const res = await request(`${rig.http}${path}`, options)
   const text = await res.body.text()
   let detail = text
@@ -39,109 +42,109 @@
   return { status: res.statusCode, outcome: res.headers['lynx-outcome'], detail }
 }
 
-async function stillServes (): Promise<void> {
-  const reply = await ask('/s/offers/list', { headers: { 'x-echo': 'yes' } })
+async function assertStillServes (): Promise<void> {
+  const reply = await sendRequest('/s/offers/list', { headers: { 'x-echo': 'yes' } })
   assert.deepEqual([reply.status, reply.outcome, reply.detail], [200, 'done', 'echo yes'])
 }
 
-test('requests', async () => {
+test('invalid requests get an error that names the field', async () => {
   const post = { method: 'POST' as const }
   const id = createRequestId(presentTime(), createRandom(testSeed))
   const cases: Array<[string, string, Parameters<typeof request>[1], number, RegExp]> = [
-    ['no service in a look-up', '/v1/lookup', {}, 400, /^service/],
-    ['unknown service in a look-up', '/v1/lookup?service=none', {}, 404, /none/],
-    ['no service in a path', '/s/', {}, 400, /SERVICE/],
+    ['look-up without a service', '/v1/lookup', {}, 400, /^service/],
+    ['look-up of an unknown service', '/v1/lookup?service=none', {}, 404, /none/],
+    ['path without a service', '/s/', {}, 400, /SERVICE/],
     ['unknown service', '/s/none/x', {}, 404, /none/],
     ['unknown path', '/x', {}, 404, /path/],
-    ['no request id', '/s/offers/x', post, 400, /Idempotency-Key/],
-    ['a request id that is no UUID v7', '/s/offers/x', { ...post, headers: { 'idempotency-key': 'abc' } }, 400, /UUID v7/],
-    ['an old request id', '/s/offers/x', { ...post, headers: { 'idempotency-key': createRequestId(presentTime() - 3_600_000, createRandom(1)) } }, 400, /Idempotency-Key: issued/],
-    ['a deadline in the past', '/s/offers/x', { headers: { 'lynx-deadline-ms': '-5' } }, 400, /lynx-deadline-ms/],
-    ['a deadline that is no number', '/s/offers/x', { headers: { 'lynx-deadline-ms': 'soon' } }, 400, /lynx-deadline-ms/],
-    ['a body over the limit', '/s/offers/x', { ...post, headers: { 'idempotency-key': id }, body: 'x'.repeat(10_001) }, 413, /body over/]
+    ['missing request id', '/s/offers/x', post, 400, /Idempotency-Key/],
+    ['request id that is not a UUID v7', '/s/offers/x', { ...post, headers: { 'idempotency-key': 'abc' } }, 400, /UUID v7/],
+    ['expired request id', '/s/offers/x', { ...post, headers: { 'idempotency-key': createRequestId(presentTime() - 3_600_000, createRandom(1)) } }, 400, /Idempotency-Key: issued/],
+    ['deadline in the past', '/s/offers/x', { headers: { 'lynx-deadline-ms': '-5' } }, 400, /lynx-deadline-ms/],
+    ['deadline that is not a number', '/s/offers/x', { headers: { 'lynx-deadline-ms': 'soon' } }, 400, /lynx-deadline-ms/],
+    ['body over the limit', '/s/offers/x', { ...post, headers: { 'idempotency-key': id }, body: 'x'.repeat(10_001) }, 413, /body over/]
   ]
-  for (const [what, path, options, status, detail] of cases) {
-    const reply = await ask(path, options)
-    assert.equal(reply.status, status, what)
-    assert.match(reply.detail, detail, what)
+  for (const [description, path, options, status, detail] of cases) {
+    const reply = await sendRequest(path, options)
+    assert.equal(reply.status, status, description)
+    assert.match(reply.detail, detail, description)
   }
   assert.equal(backend.runs.size, 0)
-  await stillServes()
+  await assertStillServes()
 })
 
-test('a body over the limit that comes in pieces ends the request', async () => {
+test('a chunked body that exceeds the limit ends the request', async () => {
   const id = createRequestId(presentTime(), createRandom(testSeed + 1))
-  async function * pieces (): AsyncGenerator<string> { for (let n = 0; n < 20; n++) yield 'x'.repeat(1000) }
-  const reply = await ask('/s/offers/x', { method: 'POST', headers: { 'idempotency-key': id }, body: Readable.from(pieces()) }).catch(() => undefined)
+  async function * chunks (): AsyncGenerator<string> { for (let n = 0; n < 20; n++) yield 'x'.repeat(1000) }
+  const reply = await sendRequest('/s/offers/x', { method: 'POST', headers: { 'idempotency-key': id }, body: Readable.from(chunks()) }).catch(() => undefined)
   assert.notEqual(reply?.status, 200)
-  await stillServes()
+  await assertStillServes()
 })
 
-async function raw (text: string): Promise<string> {
+async function sendRaw (text: string): Promise<string> {
   return await new Promise(resolve => {
     const socket = connect(Number(rig.http.slice(rig.http.lastIndexOf(':') + 1)), '127.0.0.1', () => socket.write(text))
-    let heard = ''
-    socket.on('data', chunk => { heard += chunk.toString() })
-    socket.on('close', () => resolve(heard))
-    socket.on('error', () => resolve(heard))
+    let received = ''
+    socket.on('data', chunk => { received += chunk.toString() })
+    socket.on('close', () => resolve(received))
+    socket.on('error', () => resolve(received))
   })
 }
 
-test('heads that are too large, broken or not HTTP', async () => {
-  assert.match(await raw(`GET /s/offers/x HTTP/1.1\r\nhost: x\r\nbig: ${'x'.repeat(20_000)}\r\n\r\n`), / 431 /)
-  assert.match(await raw('NONSENSE\r\n\r\n'), / 400 /)
-  await stillServes()
+test('request heads that are too large or not HTTP are rejected', async () => {
+  assert.match(await sendRaw(`GET /s/offers/x HTTP/1.1\r\nhost: x\r\nbig: ${'x'.repeat(20_000)}\r\n\r\n`), / 431 /)
+  assert.match(await sendRaw('NONSENSE\r\n\r\n'), / 400 /)
+  await assertStillServes()
 })
 
-test('a sender that stops half-way hears so at its deadline, and one that goes is forgotten', async () => {
+test('a sender that stalls within the body gets an error at its deadline, and a request whose sender disconnects is dropped', async () => {
   const id = createRequestId(presentTime(), createRandom(testSeed + 2))
   const head = `POST /s/offers/x HTTP/1.1\r\nhost: x\r\nidempotency-key: ${id}\r\nlynx-deadline-ms: 200\r\ncontent-length: 100\r\n\r\n`
-  assert.match(await raw(`${head}only a part`), / 400 .*body did not come/s)
-  const gone = connect(Number(rig.http.slice(rig.http.lastIndexOf(':') + 1)), '127.0.0.1', () => gone.write(head, () => gone.destroy()))
-  await soon('the request is forgotten', () => rig.daemon.entry?.open === 0)
+  assert.match(await sendRaw(`${head}only a part`), / 400 .*body did not come/s)
+  const socket = connect(Number(rig.http.slice(rig.http.lastIndexOf(':') + 1)), '127.0.0.1', () => socket.write(head, () => socket.destroy()))
+  await soon('the request is dropped', () => rig.daemon.entry?.open === 0)
   assert.equal(backend.runs.has(id), false)
-  await stillServes()
+  await assertStillServes()
 })
 
-test('announcements', async () => {
+test('invalid announcements are rejected', async () => {
   const cases: Array<[object, number]> = [
     [{ slots: -1 }, 400], [{ slots: 1.5 }, 400], [{ address: '127.0.0.9:80' }, 403], [{ address: 'x' }, 400], [{ failureDomain: 'delhi-a' }, 400],
     [{ state: 'happy' }, 400], [{ extra: 1 }, 400], [{ service: 'No Good' }, 400], [{ load: -3 }, 400]
   ]
   for (const [fields, status] of cases) assert.equal(await backend.announce({ server: 'bad-1', ...fields }), status, JSON.stringify(fields))
-  const huge = await ask('/v1/announce', { method: 'POST', body: 'x'.repeat(5000) })
+  const huge = await sendRequest('/v1/announce', { method: 'POST', body: 'x'.repeat(5000) })
   assert.equal(huge.status, 413)
-  await stillServes()
+  await assertStillServes()
 })
 
-test('any announcement is taken or refused with a field', async () => {
+test('announcements with random bodies are rejected as invalid', async () => {
   await fc.assert(fc.asyncProperty(fc.oneof(fc.string(), fc.json()), async text => {
-    const reply = await ask('/v1/announce', { method: 'POST', body: text })
+    const reply = await sendRequest('/v1/announce', { method: 'POST', body: text })
     assert.equal(reply.status, 400)
   }), { seed: testSeed, numRuns: 60 })
-  await stillServes()
+  await assertStillServes()
 })
 
-async function rpc (body: string): Promise<{ status: number, text: string }> {
+async function sendRpc (body: string): Promise<{ status: number, text: string }> {
   const res = await request(`http://${rig.rpc}/rpc`, { method: 'POST', body })
   return { status: res.statusCode, text: await res.body.text() }
 }
 
-test('RPC messages that are none, of unknown methods, or with bad parameters', async () => {
-  assert.match((await rpc('nonsense')).text, /-32700/)
-  assert.match((await rpc('{"jsonrpc":"2.0","id":1,"method":"no.such","params":{}}')).text, /-32601/)
-  assert.match((await rpc('{"jsonrpc":"2.0","id":1,"method":"sync.ask","params":{"self":3}}')).text, /self/)
-  assert.match((await rpc('{"jsonrpc":"2.0","id":1,"method":"log.message","params":{"cluster":"c","from":"x","to":"y","message":{}}}')).text, /from/)
+test('RPC messages that are malformed, name an unknown method or have invalid parameters get an error', async () => {
+  assert.match((await sendRpc('nonsense')).text, /-32700/)
+  assert.match((await sendRpc('{"jsonrpc":"2.0","id":1,"method":"no.such","params":{}}')).text, /-32601/)
+  assert.match((await sendRpc('{"jsonrpc":"2.0","id":1,"method":"sync.ask","params":{"self":3}}')).text, /self/)
+  assert.match((await sendRpc('{"jsonrpc":"2.0","id":1,"method":"log.message","params":{"cluster":"c","from":"x","to":"y","message":{}}}')).text, /from/)
   const methods = ['sync.ask', 'leader.report', 'claims.submit', 'log.message', 'change.submit', 'cluster.init', 'cluster.join', 'query.explain']
   await fc.assert(fc.asyncProperty(fc.constantFrom(...methods), fc.jsonValue(), async (method, params) => {
-    const reply = await rpc(JSON.stringify({ jsonrpc: '2.0', id: 1, method, params }))
+    const reply = await sendRpc(JSON.stringify({ jsonrpc: '2.0', id: 1, method, params }))
     assert.equal(reply.status, 200)
     assert.match(reply.text, /"error"/)
   }), { seed: testSeed, numRuns: 100 })
-  await stillServes()
+  await assertStillServes()
 })
 
-test('an RPC message over size is cut off', async () => {
+test('an RPC message over the size limit is rejected', async () => {
   const small = await startRig({ limits: { maxRpcBytes: 65_536 } })
   try {
     const res = await request(`http://${small.rpc}/rpc`, { method: 'POST', body: 'x'.repeat(70_000) }).catch(() => undefined)
@@ -152,13 +155,13 @@
   }
 })
 
-test('changes', async () => {
+test('invalid changes get an error that names the field', async () => {
   const publish = (profile: object, expectedVersion = 1): Promise<{ ok: boolean }> => rig.change({ type: 'publishProfile', expectedVersion, profile: { name: 'desk', places: ['kochi'], ...profile } })
-  const field = async (work: Promise<unknown>): Promise<string | undefined> => await work.then(() => 'accepted', (err: unknown) => isLynxError(err, 'badRequest') ? err.field : 'other')
-  assert.equal(await field(publish({ regionCaps: { kochi: -1 } })), 'change.profile.regionCaps.kochi')
-  assert.equal(await field(publish({ places: ['delhi'] })), 'change.profile.places.0')
-  assert.equal(await field(rig.change({ type: 'startDrain', drain: 'd', target: { kind: 'region', name: 'delhi' } })), 'change.target.name')
-  assert.equal(await field(rig.change({ type: 'nonsense' })), 'change.type')
+  const getErrorField = async (work: Promise<unknown>): Promise<string | undefined> => await work.then(() => 'accepted', (err: unknown) => isLynxError(err, 'badRequest') ? err.field : 'other')
+  assert.equal(await getErrorField(publish({ regionCaps: { kochi: -1 } })), 'change.profile.regionCaps.kochi')
+  assert.equal(await getErrorField(publish({ places: ['delhi'] })), 'change.profile.places.0')
+  assert.equal(await getErrorField(rig.change({ type: 'startDrain', drain: 'd', target: { kind: 'region', name: 'delhi' } })), 'change.target.name')
+  assert.equal(await getErrorField(rig.change({ type: 'nonsense' })), 'change.type')
   assert.equal((await publish({}, 7)).ok, false, 'wrong version')
-  await stillServes()
+  await assertStillServes()
 })
--- a/packages/daemon/__tests__/lateConnection.test.ts
+++ b/packages/daemon/__tests__/lateConnection.test.ts
@@ -1,4 +1,4 @@
-/** Connections to servers that open late, when their server has closed them meanwhile. */
+/** Connections to servers that take long to open, and that the server may have closed meanwhile. */
 import assert from 'node:assert/strict'
 import { once } from 'node:events'
 import { createServer } from 'node:net'
@@ -8,14 +8,14 @@
 import { createPool, openLoopWatch, presentTime, startExchange, takeConnection } from '@lynxcourse/daemon'
 
 const connectTimeoutMs = 10_000
-/** The connection was asked for so long ago that all sockets are looked at before it is used. */
-const lateMs = 200
-/** Ends a loop of connections. */
-const mostConnections = 20
+/** Age of the connection request. It counts as late, so all sockets are polled before the connection is used. */
+const connectionAgeMs = 200
+/** The server stops after this number of connections, which ends an endless loop of reconnections. */
+const maxConnections = 20
 
-async function startClosing (onOpened: (server: Server) => void): Promise<Server> {
+async function startClosingServer (onConnection: (server: Server) => void): Promise<Server> {
   const server = createServer(socket => {
-    onOpened(server)
+    onConnection(server)
     socket.destroy()
   })
   server.listen(0, '127.0.0.1')
@@ -23,17 +23,20 @@
   return server
 }
 
-/** Guards against this failure: a late connection that has ended is handed over, and another is opened, again and again, for one request. */
-test('a late connection that its server has closed carries no request and is not opened anew', async () => {
+/**
+ * Guards against this failure: a late connection that has ended is handed over, and `undici` opens another one, again
+ * and again.
+ */
+test('a late connection that its server has closed carries no request and is not reopened', async () => {
   let opened = 0
-  const server = await startClosing(each => {
+  const server = await startClosingServer(self => {
     opened += 1
-    if (opened === mostConnections) each.close()
+    if (opened === maxConnections) self.close()
   })
   await using loop = openLoopWatch()
   await using pool = createPool({ staleMs: Infinity, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.looks)
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
-  const { client } = takeConnection(pool, address, false, presentTime() - lateMs)
+  const { client } = takeConnection(pool, address, false, presentTime() - connectionAgeMs)
   const exchange = startExchange(client, { method: 'GET', path: '/' }, Infinity, () => undefined)
   await assert.rejects(exchange.answer, { code: 'ECONNRESET', syscall: 'connect' })
   assert.equal(exchange.startedAt, undefined)
@@ -41,14 +44,17 @@
   server.close()
 })
 
-/** Guards against this failure: a connection that could not be opened is taken for a fault of another kind, and its request for one that may have run. */
-test('a connection that fails late fails with its own error', async () => {
-  const server = await startClosing(() => undefined)
+/**
+ * Guards against this failure: an error while opening a connection is not recognized as such, and the request counts as
+ * one that may have run.
+ */
+test('a late connection that fails to open fails with the error of the connect call', async () => {
+  const server = await startClosingServer(() => undefined)
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
   await new Promise(resolve => server.close(resolve))
   await using loop = openLoopWatch()
   await using pool = createPool({ staleMs: Infinity, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.looks)
-  const { client } = takeConnection(pool, address, false, presentTime() - lateMs)
+  const { client } = takeConnection(pool, address, false, presentTime() - connectionAgeMs)
   const exchange = startExchange(client, { method: 'GET', path: '/' }, Infinity, () => undefined)
   await assert.rejects(exchange.answer, { code: 'ECONNREFUSED', syscall: 'connect' })
 })
