--- a/packages/daemon/src/core/entry/attempts.ts
+++ b/packages/daemon/src/core/entry/attempts.ts
@@ -13,7 +13,7 @@
 import { dropConnection, dropSilent, isConnectError, progressConnection, releaseConnection, takeConnection } from './connectionPool.js'
 import type { Connection } from './connectionPool.js'
 import type { Entry } from './entry.js'
-import type { ForwardRequest } from './forwardRequest.js'
+import type { ServiceRequest } from './forwardRequest.js'
 import type { Slot } from './serviceQueue.js'
 
 /**
@@ -38,7 +38,7 @@
  *
  * @param signal aborted when the caller disconnects or another attempt of the request gets an answer first
  */
-export async function runAttempt (entry: Entry, request: ForwardRequest, slot: Slot, signal: Cancel): Promise<AttemptResult> {
+export async function runAttempt (entry: Entry, request: ServiceRequest, slot: Slot, signal: Cancel): Promise<AttemptResult> {
   const now = presentTime()
   const connection = takeConnection(entry.pool, slot.observed.backend.address, !request.isIdempotent, now)
   const watch = watchAttempt(entry, request, connection, signal, now)
@@ -65,7 +65,7 @@
   }
 }
 
-function buildRequestOptions (request: ForwardRequest, now: Millis): Dispatcher.RequestOptions {
+function buildRequestOptions (request: ServiceRequest, now: Millis): Dispatcher.RequestOptions {
   const headers: HeaderMap = { ...request.headers, [deadlineHeader]: String(Math.max(1, Math.floor(request.deadline - now))) }
   if (request.id !== undefined) headers[requestIdHeader] = request.id
   return { method: request.method as Dispatcher.HttpMethod, path: request.path, headers, body: request.body ?? null }
@@ -96,7 +96,7 @@
  * deadline covers the answer up to its last byte: otherwise, a body that stalls would occupy its slot, and its share of
  * a cap, past the deadline that the grants of caps rely on.
  */
-function watchAttempt (entry: Entry, request: ForwardRequest, connection: Connection, outerSignal: Cancel, now: Millis): AttemptWatch {
+function watchAttempt (entry: Entry, request: ServiceRequest, connection: Connection, outerSignal: Cancel, now: Millis): AttemptWatch {
   const attemptSignal = new Cancel()
   let reason: ReturnType<AttemptWatch['reason']> = 'failed'
   let isOver = false
--- a/packages/daemon/src/core/entry/forwardRequest.ts
+++ b/packages/daemon/src/core/entry/forwardRequest.ts
@@ -13,7 +13,7 @@
 export const servicePath = '/s/'
 
 /** A validated request to a service. */
-export interface ForwardRequest {
+export interface ServiceRequest {
   readonly service: ServiceId
   readonly profile: Profile
   readonly method: string
@@ -39,7 +39,7 @@
  *
  * @throws LynxError that names the invalid header or part
  */
-export async function readForwardRequest (entry: Entry, req: IncomingMessage, now: Millis): Promise<ForwardRequest> {
+export async function readServiceRequest (entry: Entry, req: IncomingMessage, now: Millis): Promise<ServiceRequest> {
   refreshView(entry, now)
   const { service, path } = splitPath(req.url ?? '')
   const profile = getProfile(entry, service)
--- a/packages/daemon/src/core/entry/forwarding.ts
+++ b/packages/daemon/src/core/entry/forwarding.ts
@@ -13,8 +13,8 @@
 import { refreshView } from './entry.js'
 import type { Entry } from './entry.js'
 import { createAnswer, createRefusal, writeAnswer } from './finalAnswers.js'
-import { readForwardRequest } from './forwardRequest.js'
-import type { ForwardRequest } from './forwardRequest.js'
+import { readServiceRequest } from './forwardRequest.js'
+import type { ServiceRequest } from './forwardRequest.js'
 import { serveOnce } from './serveOnce.js'
 import { serveIdempotent } from './serveRepeatable.js'
 import { getRetryBudget } from './serving.js'
@@ -42,7 +42,7 @@
   socket.once('close', onDisconnect)
   let service = 'none'
   try {
-    const request = await readForwardRequest(entry, req, startedAt)
+    const request = await readServiceRequest(entry, req, startedAt)
     service = request.service
     const answer = await serveRequest(entry, request, req.socket.remoteAddress ?? '', signal)
     node.metrics.requests.inc({ service, outcome: answer.outcome })
@@ -61,7 +61,7 @@
   }
 }
 
-async function serveRequest (entry: Entry, request: ForwardRequest, address: string, signal: Cancel): Promise<FinalAnswer> {
+async function serveRequest (entry: Entry, request: ServiceRequest, address: string, signal: Cancel): Promise<FinalAnswer> {
   const now = presentTime()
   refreshView(entry, now)
   earnRetry(getRetryBudget(entry, request.service), request.profile.retryBudget)
@@ -74,14 +74,14 @@
  * Returns the regions that may serve a request. A VM without a lease on the configuration cannot know of drains and
  * shifts: it allows no region, or only its own for a read whose profile says `local`.
  */
-function getAllowedRegions (entry: Entry, request: ForwardRequest, address: string, now: Millis): readonly CandidateRegion[] {
+function getAllowedRegions (entry: Entry, request: ServiceRequest, address: string, now: Millis): readonly CandidateRegion[] {
   const places = placesFor(entry, request.service, request.profile, callerInfo(entry, address))
   if (isLeaseValid(entry.node.currency, now)) return places
   const mayServeLocally = request.profile.whenIsolated === 'local' && request.isIdempotent
   return mayServeLocally ? places.filter(candidate => candidate.region === entry.node.cfg.region && candidate.shift === undefined) : []
 }
 
-function getAdmissionInput (entry: Entry, request: ForwardRequest, places: readonly CandidateRegion[], now: Millis): AdmissionInput {
+function getAdmissionInput (entry: Entry, request: ServiceRequest, places: readonly CandidateRegion[], now: Millis): AdmissionInput {
   const firstRegion = places[0]
   const roundTripMs = firstRegion === undefined ? 0 : getRoundTripMs(entry.router, firstRegion.region)
   const route = { service: request.service, places, triedServers: new Set<string>() }
--- a/packages/daemon/src/core/entry/serving.ts
+++ b/packages/daemon/src/core/entry/serving.ts
@@ -6,12 +6,12 @@
 import type { Cancel } from '../../utils/cancel.js'
 import { presentTime } from '../../utils/clock.js'
 import type { Entry } from './entry.js'
-import type { ForwardRequest } from './forwardRequest.js'
+import type { ServiceRequest } from './forwardRequest.js'
 
 /** A request in progress, with the inputs of its routing. */
 export interface ServedRequest {
   readonly entry: Entry
-  readonly request: ForwardRequest
+  readonly request: ServiceRequest
   /** Regions that may serve the request, in order. */
   readonly places: readonly CandidateRegion[]
   /** Aborted when the caller disconnects. */
