--- a/packages/cli/src/core/commands/fleets.ts
+++ b/packages/cli/src/core/commands/fleets.ts
@@ -1,7 +1,7 @@
 /** Commands that show a fleet's routes: `fleet routes`, `fleet match`. */
 import type { Command } from 'commander'
 import { LynxError } from '@lynxcourse/base'
-import type { RoutesRead } from '@lynxcourse/daemon'
+import type { RoutesReadResult } from '@lynxcourse/daemon'
 import { buildRouteTable, matchRoute } from '@lynxcourse/routing'
 import { getRouteServices } from '@lynxcourse/state'
 import type { Route } from '@lynxcourse/state'
@@ -29,7 +29,7 @@
  *
  * @throws LynxError `notFound` when no route fits
  */
-export function explainMatch (read: RoutesRead, host: string, path: string): Row {
+export function explainMatch (read: RoutesReadResult, host: string, path: string): Row {
   const routes = read.set?.routes ?? []
   const chosen = matchRoute(buildRouteTable(routes), host, path)
   if (chosen === undefined) throw new LynxError('notFound', `no route for ${host}${path} in version ${read.routesVersion}`, { step: 'match' })
@@ -41,13 +41,13 @@
 export function addFleetCommands (program: Command): void {
   const fleet = program.command('fleet').description('routes of a fleet, read through a quorum of its control VMs')
   fleet.command('routes').description('list routes').action(action(async session => {
-    const read = await call<RoutesRead>(session, 'fleet.read')
+    const read = await call<RoutesReadResult>(session, 'fleet.read')
     const columns = ['name', 'host', 'pathPrefix', 'services', 'idempotent', 'rank', 'aimMs', 'timeoutMs', 'maxAttempts', 'homes']
     printRows(session.output, (read.set?.routes ?? []).map(routeRow), columns)
     return exitCodes.ok
   }))
   fleet.command('match <host> <path>').description('show which route a request would take, and what fits less well').action(action(async (session, [host, path]) => {
-    const read = await call<RoutesRead>(session, 'fleet.read')
+    const read = await call<RoutesReadResult>(session, 'fleet.read')
     printOne(session.output, explainMatch(read, host ?? '', path ?? ''))
     return exitCodes.ok
   }))
--- a/packages/daemon/__tests__/badInput.test.ts
+++ b/packages/daemon/__tests__/badInput.test.ts
@@ -8,19 +8,19 @@
 import { after, before, test } from 'node:test'
 import fc from 'fast-check'
 import { isLynxError, createRandom, createRequestId } from '@lynxcourse/base'
-import { callPeer, presentTime } from '@lynxcourse/daemon'
+import { callPeer, getCurrentTime } from '@lynxcourse/daemon'
 import { request } from 'undici'
-import { soon, startBackend, startRig, testSeed } from './support/rig.js'
-import type { Backend, Rig } from './support/rig.js'
+import { waitForEvent, startTestBackend, startDaemonFixture, testSeed } from './support/daemonFixture.js'
+import type { TestBackend, DaemonFixture } from './support/daemonFixture.js'
 
 console.log(`seed ${testSeed}`)
 
-let rig: Rig
-let backend: Backend
+let rig: DaemonFixture
+let backend: TestBackend
 
 before(async () => {
-  rig = await startRig({ limits: { maxBodyBytes: 10_000, bufferBytes: 1000 } })
-  backend = await startBackend(rig)
+  rig = await startDaemonFixture({ limits: { maxBodyBytes: 10_000, bufferBytes: 1000 } })
+  backend = await startTestBackend(rig)
 })
 
 after(async () => {
@@ -49,7 +49,7 @@
 
 test('invalid requests get an error that names the field', async () => {
   const post = { method: 'POST' as const }
-  const id = createRequestId(presentTime(), createRandom(testSeed))
+  const id = createRequestId(getCurrentTime(), createRandom(testSeed))
   const cases: Array<[string, string, Parameters<typeof request>[1], number, RegExp]> = [
     ['look-up without a service', '/v1/lookup', {}, 400, /^service/],
     ['look-up of an unknown service', '/v1/lookup?service=none', {}, 404, /none/],
@@ -58,7 +58,7 @@
     ['unknown path', '/x', {}, 404, /path/],
     ['missing request id', '/s/offers/x', post, 400, /Idempotency-Key/],
     ['request id that is not a UUID v7', '/s/offers/x', { ...post, headers: { 'idempotency-key': 'abc' } }, 400, /UUID v7/],
-    ['expired request id', '/s/offers/x', { ...post, headers: { 'idempotency-key': createRequestId(presentTime() - 3_600_000, createRandom(1)) } }, 400, /Idempotency-Key: issued/],
+    ['expired request id', '/s/offers/x', { ...post, headers: { 'idempotency-key': createRequestId(getCurrentTime() - 3_600_000, createRandom(1)) } }, 400, /Idempotency-Key: issued/],
     ['deadline in the past', '/s/offers/x', { headers: { 'lynx-deadline-ms': '-5' } }, 400, /lynx-deadline-ms/],
     ['deadline that is not a number', '/s/offers/x', { headers: { 'lynx-deadline-ms': 'soon' } }, 400, /lynx-deadline-ms/],
     ['body over the limit', '/s/offers/x', { ...post, headers: { 'idempotency-key': id }, body: 'x'.repeat(10_001) }, 413, /body over/]
@@ -68,12 +68,12 @@
     assert.equal(reply.status, status, description)
     assert.match(reply.detail, detail, description)
   }
-  assert.equal(backend.runs.size, 0)
+  assert.equal(backend.requestCounts.size, 0)
   await assertStillServes()
 })
 
 test('a chunked body that exceeds the limit ends the request', async () => {
-  const id = createRequestId(presentTime(), createRandom(testSeed + 1))
+  const id = createRequestId(getCurrentTime(), createRandom(testSeed + 1))
   async function * chunks (): AsyncGenerator<string> { for (let n = 0; n < 20; n++) yield 'x'.repeat(1000) }
   const reply = await sendRequest('/s/offers/x', { method: 'POST', headers: { 'idempotency-key': id }, body: Readable.from(chunks()) }).catch(() => undefined)
   assert.notEqual(reply?.status, 200)
@@ -97,12 +97,12 @@
 })
 
 test('a sender that stalls within the body gets an error at its deadline, and a request whose sender disconnects is dropped', async () => {
-  const id = createRequestId(presentTime(), createRandom(testSeed + 2))
+  const id = createRequestId(getCurrentTime(), createRandom(testSeed + 2))
   const head = `POST /s/offers/x HTTP/1.1\r\nhost: x\r\nidempotency-key: ${id}\r\nlynx-deadline-ms: 200\r\ncontent-length: 100\r\n\r\n`
   assert.match(await sendRaw(`${head}only a part`), / 400 .*body did not come/s)
   const socket = connect(Number(rig.http.slice(rig.http.lastIndexOf(':') + 1)), '127.0.0.1', () => socket.write(head, () => socket.destroy()))
-  await soon('the request is dropped', () => rig.daemon.entry?.open === 0)
-  assert.equal(backend.runs.has(id), false)
+  await waitForEvent('the request is dropped', () => rig.daemon.entry?.open === 0)
+  assert.equal(backend.requestCounts.has(id), false)
   await assertStillServes()
 })
 
@@ -145,7 +145,7 @@
 })
 
 test('an RPC message over the size limit is rejected', async () => {
-  const small = await startRig({ limits: { maxRpcBytes: 65_536 } })
+  const small = await startDaemonFixture({ limits: { maxRpcBytes: 65_536 } })
   try {
     const res = await request(`http://${small.rpc}/rpc`, { method: 'POST', body: 'x'.repeat(70_000) }).catch(() => undefined)
     if (res !== undefined) assert.equal(res.statusCode, 413)
--- a/packages/daemon/__tests__/fleetControl.test.ts
+++ b/packages/daemon/__tests__/fleetControl.test.ts
@@ -6,19 +6,19 @@
 import type { Replica } from '@lynxcourse/agreement'
 import type { FailureDomainId, HolderId } from '@lynxcourse/base'
 import { brandId } from '@lynxcourse/base'
-import { callPeer, presentTime, readRoutes, stateAge, submitRouteCommand } from '@lynxcourse/daemon'
+import { callPeer, getCurrentTime, readRoutes, getStateAge, submitRouteCommand } from '@lynxcourse/daemon'
 import type { FleetControl } from '@lynxcourse/daemon'
 import { findItem } from '@lynxcourse/state'
-import { controlOf, publish, replaceOrder, routeTo, startRig, startVm, submit, until } from './support/fleetRig.js'
+import { getControl, publishRoutes, createReplaceRoutesCommand, createRouteToDesk, startFleetFixture, startVm, submitCommand, waitUntil } from './support/fleetFixture.js'
 
 /** Guards against an order that lay at a frozen control VM and takes effect after newer ones. */
 test('a control VM that missed the last evacuation of a failure domain can\'t undo it', async () => {
-  await using rig = await startRig(1)
-  await publish(rig, [], [routeTo('read')])
+  await using rig = await startFleetFixture(1)
+  await publishRoutes(rig, [], [createRouteToDesk('read')])
   const failureDomain = brandId<FailureDomainId>('kochi-a')
-  await submit(rig, { type: 'evacuate', failureDomain, isActive: true })
-  const behind = controlOf(rig, 1)
-  await until(() => findItem(behind.host.machine.config, 'evacuation', failureDomain)?.isActive === true)
+  await submitCommand(rig, { type: 'evacuate', failureDomain, isActive: true })
+  const behind = getControl(rig, 1)
+  await waitUntil(() => findItem(behind.host.machine.config, 'evacuation', failureDomain)?.isActive === true)
   const present = behind.host.machine.config.version
   behind.host.machine.config.version = 1
   const judged = submitRouteCommand(behind, { type: 'evacuate', failureDomain, isActive: false })
@@ -26,57 +26,57 @@
   const answer = await judged
   assert.ok(!answer.ok && answer.code === 'versionConflict')
   assert.equal(findItem(behind.host.machine.config, 'evacuation', failureDomain)?.isActive, true)
-  await until(async () => (await submit(rig, { type: 'evacuate', failureDomain, isActive: false })).ok)
+  await waitUntil(async () => (await submitCommand(rig, { type: 'evacuate', failureDomain, isActive: false })).ok)
 })
 
 test('a control VM that lost its disk returns as a new member and the group bears the next loss', async () => {
-  await using rig = await startRig(0)
-  assert.equal((await submit(rig, replaceOrder('one', 0, 1, [routeTo('read')]))).ok, true)
+  await using rig = await startFleetFixture(0)
+  assert.equal((await submitCommand(rig, createReplaceRoutesCommand('one', 0, 1, [createRouteToDesk('read')]))).ok, true)
   const cfg = rig.settings[2] as (typeof rig.settings)[number]
   await rig.daemons[2]?.[Symbol.asyncDispose]()
   await rm(cfg.dataFolder ?? '', { recursive: true, force: true })
   rig.daemons[2] = await startVm({ ...cfg, isFirstStart: false })
-  await until(() => controlOf(rig, 2).host.replica?.members.some(member => member.id === controlOf(rig, 2).host.id && member.voter) ?? false)
+  await waitUntil(() => getControl(rig, 2).host.replica?.members.some(member => member.id === getControl(rig, 2).host.id && member.voter) ?? false)
   await rig.daemons[0]?.[Symbol.asyncDispose]()
   rig.daemons[0] = undefined
-  assert.equal((await submit(rig, replaceOrder('two', 1, 2, [routeTo('other')]))).ok, true)
-  assert.equal((await readRoutes(controlOf(rig, 2))).routesVersion, 2)
+  assert.equal((await submitCommand(rig, createReplaceRoutesCommand('two', 1, 2, [createRouteToDesk('other')]))).ok, true)
+  assert.equal((await readRoutes(getControl(rig, 2))).routesVersion, 2)
 })
 
 /** Guards against this failure: a control VM takes no part any more, although its disk works again. */
 
 /** Guards against this failure: a control VM that lost its disk never returns while no seed leads, and the next losses lose what was confirmed. */
 test('a blank control VM is let in by members that do not lead, too', async () => {
-  await using rig = await startRig(0)
+  await using rig = await startFleetFixture(0)
   const leads = ({ host }: FleetControl): boolean => host.replica !== undefined && host.replica.leader === host.id
-  const controls = [0, 1, 2].map(place => controlOf(rig, place))
-  await until(() => controls.some(leads))
+  const controls = [0, 1, 2].map(place => getControl(rig, place))
+  await waitUntil(() => controls.some(leads))
   const leader = controls.find(leads) as FleetControl
   const follower = controls.find(control => !leads(control)) as FleetControl
   const id = '127.0.0.1:1/blank' as HolderId
-  await until(async () => await callPeer(follower.node.client, follower.node.cfg.rpc, 'cluster.join', { id }).then(() => true, () => false))
-  await until(() => leader.host.replica?.members.some(member => member.id === id) === true)
+  await waitUntil(async () => await callPeer(follower.node.client, follower.node.cfg.rpc, 'cluster.join', { id }).then(() => true, () => false))
+  await waitUntil(() => leader.host.replica?.members.some(member => member.id === id) === true)
 })
 
 test('a copy whose disk failed takes part again once the disk works', async () => {
-  await using rig = await startRig(0)
-  await submit(rig, replaceOrder('one', 0, 1, [routeTo('read')]))
-  const { host } = controlOf(rig, 0)
+  await using rig = await startFleetFixture(0)
+  await submitCommand(rig, createReplaceRoutesCommand('one', 0, 1, [createRouteToDesk('read')]))
+  const { host } = getControl(rig, 0)
   const failing = host.storage
   await failing.file.close()
-  await submit(rig, replaceOrder('two', 1, 2, [routeTo('other')]))
+  await submitCommand(rig, createReplaceRoutesCommand('two', 1, 2, [createRouteToDesk('other')]))
   // Seen by its storage being another one: where this VM led, it has failed and come back before the change is through.
-  await until(() => host.storage !== failing && host.failed === undefined && host.replica?.commit === controlOf(rig, 1).host.replica?.commit)
-  assert.equal((await readRoutes(controlOf(rig, 0))).routesVersion, 2)
+  await waitUntil(() => host.storage !== failing && host.failed === undefined && host.replica?.commit === getControl(rig, 1).host.replica?.commit)
+  assert.equal((await readRoutes(getControl(rig, 0))).routesVersion, 2)
 })
 
 /** Guards against this failure: an entry VM that starts is ready without a route or a server, and refuses all. */
 test('a control VM does not vouch for entries that wait for its disk', async () => {
-  await using rig = await startRig(0)
-  await submit(rig, replaceOrder('one', 0, 1, [routeTo('read')]))
-  const control = controlOf(rig, 2)
+  await using rig = await startFleetFixture(0)
+  await submitCommand(rig, createReplaceRoutesCommand('one', 0, 1, [createRouteToDesk('read')]))
+  const control = getControl(rig, 2)
   const { host } = control
-  await until(() => host.machine.config.version > 0)
+  await waitUntil(() => host.machine.config.version > 0)
   for (const place of [0, 1]) {
     await rig.daemons[place]?.[Symbol.asyncDispose]()
     rig.daemons[place] = undefined
@@ -92,14 +92,14 @@
   const from = replica.members.find(member => member.id !== host.id)?.id as HolderId
   const version = host.machine.config.version
   const [index, term] = [lastIndex(replica) + 1, replica.term + 1]
-  const command = replaceOrder('two', 1, 2, [routeTo('other')])
-  const message = { type: 'append', term, prevIndex: index - 1, prevTerm: replica.entries.at(-1)?.term ?? 0, entries: [{ index, term, at: presentTime(), body: { type: 'command', command } }], commit: index, round: 1 }
-  const sentAt = presentTime()
+  const command = createReplaceRoutesCommand('two', 1, 2, [createRouteToDesk('other')])
+  const message = { type: 'append', term, prevIndex: index - 1, prevTerm: replica.entries.at(-1)?.term ?? 0, entries: [{ index, term, at: getCurrentTime(), body: { type: 'command', command } }], commit: index, round: 1 }
+  const sentAt = getCurrentTime()
   await callPeer(control.node.client, control.node.cfg.rpc, 'log.message', { cluster: replica.cluster, from, to: host.id, message })
-  await until(() => replica.commit === index)
-  const vouchedAt = presentTime() - stateAge(control, presentTime())
+  await waitUntil(() => replica.commit === index)
+  const vouchedAt = getCurrentTime() - getStateAge(control, getCurrentTime())
   assert.deepEqual([host.machine.config.version, vouchedAt < sentAt], [version, true])
   release()
-  await until(() => host.machine.config.version > version)
-  await until(() => presentTime() - stateAge(control, presentTime()) >= sentAt)
+  await waitUntil(() => host.machine.config.version > version)
+  await waitUntil(() => getCurrentTime() - getStateAge(control, getCurrentTime()) >= sentAt)
 })
--- a/packages/daemon/__tests__/lateConnection.test.ts
+++ b/packages/daemon/__tests__/lateConnection.test.ts
@@ -5,7 +5,7 @@
 import type { AddressInfo, Server } from 'node:net'
 import { test } from 'node:test'
 import { loadChart } from '@lynxcourse/base'
-import { createPool, openLoopWatch, presentTime, startExchange, takeConnection } from '@lynxcourse/daemon'
+import { createPool, startLoopMonitor, getCurrentTime, startExchange, takeConnection } from '@lynxcourse/daemon'
 
 const connectTimeoutMs = 10_000
 /** Age of the connection request. It counts as late, so all sockets are polled before the connection is used. */
@@ -33,10 +33,10 @@
     opened += 1
     if (opened === maxConnections) self.close()
   })
-  await using loop = openLoopWatch()
-  await using pool = createPool({ staleMs: Infinity, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.looks)
+  await using loop = startLoopMonitor()
+  await using pool = createPool({ staleMs: Infinity, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.polls)
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
-  const { client } = takeConnection(pool, address, false, presentTime() - connectionAgeMs)
+  const { client } = takeConnection(pool, address, false, getCurrentTime() - connectionAgeMs)
   const exchange = startExchange(client, { method: 'GET', path: '/' }, Infinity, () => undefined)
   await assert.rejects(exchange.answer, { code: 'ECONNRESET', syscall: 'connect' })
   assert.equal(exchange.startedAt, undefined)
@@ -52,9 +52,9 @@
   const server = await startClosingServer(() => undefined)
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
   await new Promise(resolve => server.close(resolve))
-  await using loop = openLoopWatch()
-  await using pool = createPool({ staleMs: Infinity, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.looks)
-  const { client } = takeConnection(pool, address, false, presentTime() - connectionAgeMs)
+  await using loop = startLoopMonitor()
+  await using pool = createPool({ staleMs: Infinity, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.polls)
+  const { client } = takeConnection(pool, address, false, getCurrentTime() - connectionAgeMs)
   const exchange = startExchange(client, { method: 'GET', path: '/' }, Infinity, () => undefined)
   await assert.rejects(exchange.answer, { code: 'ECONNREFUSED', syscall: 'connect' })
 })
--- a/packages/daemon/__tests__/presence.test.ts
+++ b/packages/daemon/__tests__/presence.test.ts
@@ -1,13 +1,13 @@
 /** Which servers the leader takes for lost while control VMs are cut off from each other. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { createPresence, isInTouch, missedServers, noteEntry, noteReported, noteWatching, presentTime, reportedEntries, takeAnnouncement, takePresenceReport } from '@lynxcourse/daemon'
+import { createPresence, isInTouch, missedServers, noteEntry, noteReported, noteWatching, getCurrentTime, reportedEntries, handleAnnouncement, takePresenceReport } from '@lynxcourse/daemon'
 import type { PresenceReport } from '@lynxcourse/daemon'
 import { createLoadBoard, storeLoadUpdate } from '@lynxcourse/placement'
 import type { EntryPresence, LoadDigest, LoadUpdate } from '@lynxcourse/placement'
 import { brandId, isLynxError } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServerId } from '@lynxcourse/base'
-import { controlOf, replaceOrder, routeTo, startRig, startServer, submit, until } from './support/fleetRig.js'
+import { getControl, createReplaceRoutesCommand, createRouteToDesk, startFleetFixture, startTestServer, submitCommand, waitUntil } from './support/fleetFixture.js'
 
 const server = brandId<ServerId>('i-1')
 const missMs = 4500
@@ -32,17 +32,17 @@
 
 /** Guards against this failure: servers that tell no load with their answers are taken for lost while a control VM is cut off. */
 test('a control VM that does not reach the leader turns announcements away, so that servers go to another one', async () => {
-  await using rig = await startRig(0)
-  await submit(rig, replaceOrder('one', 0, 1, [routeTo('read')]))
-  await using known = await startServer('s1', (_req, res) => res.end())
-  await submit(rig, { type: 'announce', facts: known.facts })
-  const control = controlOf(rig, 2)
-  await until(async () => await takeAnnouncement(control, known.facts, presentTime()).then(() => true, () => false))
+  await using rig = await startFleetFixture(0)
+  await submitCommand(rig, createReplaceRoutesCommand('one', 0, 1, [createRouteToDesk('read')]))
+  await using known = await startTestServer('s1', (_req, res) => res.end())
+  await submitCommand(rig, { type: 'announce', facts: known.facts })
+  const control = getControl(rig, 2)
+  await waitUntil(async () => await handleAnnouncement(control, known.facts, getCurrentTime()).then(() => true, () => false))
   for (const place of [0, 1]) {
     await rig.daemons[place]?.[Symbol.asyncDispose]()
     rig.daemons[place] = undefined
   }
-  await until(async () => await takeAnnouncement(control, known.facts, presentTime()).then(() => false, err => isLynxError(err, 'notLeader')))
+  await waitUntil(async () => await handleAnnouncement(control, known.facts, getCurrentTime()).then(() => false, err => isLynxError(err, 'notLeader')))
 })
 
 test('what a VM hears reaches the leader until some exchanges in a row were missed', () => {
--- a/packages/daemon/__tests__/stateCopy.test.ts
+++ b/packages/daemon/__tests__/stateCompression.test.ts
@@ -5,8 +5,8 @@
 import { request } from 'undici'
 import { brandId } from '@lynxcourse/base'
 import type { ServerId } from '@lynxcourse/base'
-import { presentTime, takeAnnouncement } from '@lynxcourse/daemon'
-import { controlOf, publish, routeTo, startRig, startServer, until } from './support/fleetRig.js'
+import { getCurrentTime, handleAnnouncement } from '@lynxcourse/daemon'
+import { getControl, publishRoutes, createRouteToDesk, startFleetFixture, startTestServer, waitUntil } from './support/fleetFixture.js'
 
 /** Servers of the largest deployment that was played, and what its entry VMs' links carry in a quarter of a second. */
 const servers = 315
@@ -18,13 +18,13 @@
  * and 36.8 s, the first of them had all callers, and the callers' requests waited in the same links.
  */
 test('the first copy of a large state takes an entry VM\'s link a quarter of a second at most', async () => {
-  await using rig = await startRig(1)
-  await using server = await startServer('s-0', (_req, res) => res.end('ok'))
-  await publish(rig, [server], [routeTo('read')])
+  await using rig = await startFleetFixture(1)
+  await using server = await startTestServer('s-0', (_req, res) => res.end('ok'))
+  await publishRoutes(rig, [server], [createRouteToDesk('read')])
   for (let made = 1; made < servers; made++) {
     const id = brandId<ServerId>(`i-${(made * 2_654_435_761 % 2 ** 32).toString(16)}`)
     const address = `10.${made % 9}.64.${made % 250}:${8000 + made}`
-    await until(async () => await takeAnnouncement(controlOf(rig, 0), { ...server.facts, id, address }, presentTime()).then(() => true, () => false))
+    await waitUntil(async () => await handleAnnouncement(getControl(rig, 0), { ...server.facts, id, address }, getCurrentTime()).then(() => true, () => false))
   }
   const self = { name: 'asking', address: '127.0.0.1:1', failureDomain: 'kochi-a', region: 'kochi', isReady: false }
   const watch = { jsonrpc: '2.0', id: 1, method: 'fleet.watch', params: { version: 0, waitMs: 0, weights: 0, self } }
--- a/packages/daemon/src/core/entry/announcements.ts
+++ b/packages/daemon/src/core/entry/announcements.ts
@@ -8,9 +8,9 @@
 import { createNameSchema } from '@lynxcourse/state'
 import * as z from 'zod'
 import { addressSchema } from '../../types/settings.js'
-import { checkBody } from '../../utils/checkedBody.js'
-import { presentTime } from '../../utils/clock.js'
-import { readBody, splitAddress } from '../../utils/httpServer.js'
+import { parseJsonBody } from '../../utils/validation.js'
+import { getCurrentTime } from '../../utils/clock.js'
+import { readBody, parseAddress } from '../../utils/httpServer.js'
 import { log } from '../../utils/logging.js'
 import { notifyChange } from '../node/node.js'
 import type { Node } from '../node/node.js'
@@ -86,7 +86,7 @@
 
 function handleAnnouncement (entry: Entry, syncing: Syncing, announcement: Announcement, peer: string): AnnouncementReply {
   const { announceMs } = entry.node.cfg.times
-  if (!takeToken(entry.announcementRateLimit, peer, presentTime())) {
+  if (!takeToken(entry.announcementRateLimit, peer, getCurrentTime())) {
     throw new LynxError('overCapacity', `more than ${entry.announcementRateLimit.perSecond} announcements per second`, { step: 'announce', peer })
   }
   applyAnnouncement(entry, syncing, announcement, toServerRecord(entry.node, announcement, peer))
@@ -99,11 +99,11 @@
  * @throws LynxError that names the invalid field
  */
 export function parseAnnouncement (text: string): Announcement {
-  return checkBody(announcementSchema, text, 'announce')
+  return parseJsonBody(announcementSchema, text, 'announce')
 }
 
 function toServerRecord (node: Node, announcement: Announcement, peer: string): ServerRecord {
-  const { host } = splitAddress(announcement.address)
+  const { host } = parseAddress(announcement.address)
   const sender = peer.replace('::ffff:', '')
   if (host !== sender) {
     throw new LynxError('notAllowed', `address: ${host} was announced by a sender at ${sender}`, { step: 'announce', field: 'address', peer: sender })
@@ -128,11 +128,11 @@
   if (isRegistered && existing.address !== record.address && existing.incarnation >= record.incarnation) {
     throw new LynxError('notAllowed', `server: '${record.key}' is already announced with address ${existing.address}`, { step: 'announce', field: 'server' })
   }
-  const changed = putRecord(node.directory, record, 'direct', presentTime())
+  const changed = putRecord(node.directory, record, 'direct', getCurrentTime())
   const observed = entry.router.backends.byId.get(record.key)
-  if (observed !== undefined) recordReportedLoad(observed, announcement.load, presentTime())
+  if (observed !== undefined) recordReportedLoad(observed, announcement.load, getCurrentTime())
   if (!changed) return
   log(node.logs, 'announce', 'info', 'Server announced itself.', { server: record.key, service: record.service, state: record.state, address: record.address, slots: record.slots })
   notifyChange(node)
-  syncing.urge()
+  syncing.syncSoon()
 }
--- a/packages/daemon/src/core/entry/attemptSteps.ts
+++ b/packages/daemon/src/core/entry/attemptSteps.ts
@@ -4,10 +4,10 @@
 import { needsPoll, recordPoll } from '@lynxcourse/placement'
 import type { Millis } from '@lynxcourse/base'
 import type { AttemptOutcome } from '@lynxcourse/routing'
-import type { Cancel } from '../../utils/cancel.js'
-import { presentTime } from '../../utils/clock.js'
+import type { CancelSignal } from '../../utils/cancelSignal.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { isLogged, log } from '../../utils/logging.js'
-import { nextLook } from '../../utils/socketLooks.js'
+import { waitForPoll } from '../../utils/pollPhase.js'
 import type { FinalAnswer } from '../../types/answers.js'
 import { runAttempt } from './attempts.js'
 import type { AttemptResult } from './attempts.js'
@@ -41,7 +41,7 @@
  */
 export async function acquireUsableSlot (serving: ServedRequest, triedServers: ReadonlySet<string>, latestSendTime: Millis): Promise<Slot | SlotFailure> {
   const { entry, request, places, signal } = serving
-  const gate = limitGate(entry, request.service, request.profile, presentTime)
+  const gate = limitGate(entry, request.service, request.profile, getCurrentTime)
   const slot = await acquireSlot(entry, { service: request.service, places, triedServers }, gate, latestSendTime, signal)
   if (typeof slot === 'string') return slot
   await refreshCallerLiveness(serving)
@@ -49,7 +49,7 @@
     releaseSlot(entry, slot, 'cancelled')
     return 'gone'
   }
-  if (presentTime() < serving.request.deadline && maySend(serving)) return slot
+  if (getCurrentTime() < serving.request.deadline && maySend(serving)) return slot
   // The lease expired while the request waited: a drain may have started that this VM does not know of yet.
   releaseSlot(entry, slot, 'cancelled')
   return 'late'
@@ -57,7 +57,7 @@
 
 /** Waits until the sockets have been polled recently enough to rely on the caller still being connected. */
 async function refreshCallerLiveness ({ entry, liveness, signal, request }: ServedRequest): Promise<void> {
-  while (!signal.aborted && presentTime() < request.deadline && needsPoll(liveness, presentTime())) recordPoll(liveness, (await nextLook(entry.loop.looks)).beganAt)
+  while (!signal.aborted && getCurrentTime() < request.deadline && needsPoll(liveness, getCurrentTime())) recordPoll(liveness, (await waitForPoll(entry.loop.polls)).beganAt)
 }
 
 /**
@@ -67,11 +67,11 @@
 function maySend (serving: ServedRequest): boolean {
   const { entry, request } = serving
   const isLocalRead = request.profile.whenIsolated === 'local' && request.isIdempotent
-  return isLocalRead || isLeaseValid(entry.node.currency, presentTime())
+  return isLocalRead || isLeaseValid(entry.node.configLease, getCurrentTime())
 }
 
 /** Runs an attempt and releases its slot, for a streamed answer when the body closes. */
-export async function runAttemptInSlot (serving: ServedRequest, slot: Slot, signal: Cancel): Promise<AttemptResult> {
+export async function runAttemptInSlot (serving: ServedRequest, slot: Slot, signal: CancelSignal): Promise<AttemptResult> {
   logSent(serving, slot)
   const result = await runAttempt(serving.entry, serving.request, slot, signal)
   if (result.type === 'answered' && !Buffer.isBuffer(result.body)) {
--- a/packages/daemon/src/core/entry/attempts.ts
+++ b/packages/daemon/src/core/entry/attempts.ts
@@ -4,10 +4,10 @@
 import { getErrorMessage } from '@lynxcourse/base'
 import type { Millis } from '@lynxcourse/base'
 import { isSilent, recordReportedLoad } from '@lynxcourse/routing'
-import { Cancel } from '../../utils/cancel.js'
-import { presentTime } from '../../utils/clock.js'
-import { afterLook } from '../../utils/socketLooks.js'
-import { passedHeaders } from '../../utils/headers.js'
+import { CancelSignal } from '../../utils/cancelSignal.js'
+import { getCurrentTime } from '../../utils/clock.js'
+import { afterPoll } from '../../utils/pollPhase.js'
+import { removeHopByHopHeaders } from '../../utils/headers.js'
 import { deadlineHeader, loadHeader, notStartedHeader, requestIdHeader } from '../../types/answers.js'
 import type { HeaderMap } from '../../types/answers.js'
 import { dropConnection, dropSilent, isConnectError, progressConnection, releaseConnection, takeConnection } from './connectionPool.js'
@@ -38,27 +38,27 @@
  *
  * @param signal aborted when the caller disconnects or another attempt of the request gets an answer first
  */
-export async function runAttempt (entry: Entry, request: ServiceRequest, slot: Slot, signal: Cancel): Promise<AttemptResult> {
-  const now = presentTime()
+export async function runAttempt (entry: Entry, request: ServiceRequest, slot: Slot, signal: CancelSignal): Promise<AttemptResult> {
+  const now = getCurrentTime()
   const connection = takeConnection(entry.pool, slot.observed.backend.address, !request.isIdempotent, now)
   const watch = watchAttempt(entry, request, connection, signal, now)
   try {
     const res = await connection.client.request({ ...buildRequestOptions(request, now), signal: watch.signal })
     watch.onHeaders()
-    progressConnection(entry.pool, connection, presentTime())
+    progressConnection(entry.pool, connection, getCurrentTime())
     const load = Number(res.headers[loadHeader])
-    if (res.headers[loadHeader] !== undefined) recordReportedLoad(slot.observed, load, presentTime())
+    if (res.headers[loadHeader] !== undefined) recordReportedLoad(slot.observed, load, getCurrentTime())
     if (isShed(res)) {
       await res.body.dump()
       watch.stop()
-      releaseConnection(entry.pool, connection, presentTime())
+      releaseConnection(entry.pool, connection, getCurrentTime())
       return { type: 'shed', retryAfterMs: parseRetryAfter(res) }
     }
     return await readAnswer(entry, connection, res, watch)
   } catch (err) {
     watch.stop()
     const wasSent = !isConnectError(err)
-    if (watch.reason() === 'silent') dropSilent(entry.pool, connection, now, presentTime())
+    if (watch.reason() === 'silent') dropSilent(entry.pool, connection, now, getCurrentTime())
     else dropConnection(entry.pool, connection, 'close')
     if (!wasSent) return { type: 'notSent', detail: getErrorMessage(err) }
     return { type: 'lost', detail: getErrorMessage(err), reason: watch.reason() }
@@ -83,7 +83,7 @@
 /** Aborts an attempt when a timeout expires or the caller disconnects. */
 interface AttemptWatch {
   /** Aborts the attempt. */
-  readonly signal: Cancel
+  readonly signal: CancelSignal
   /** Ends the check for silence, since the head of the answer has arrived. */
   onHeaders: () => void
   /** Returns why the attempt was aborted; `failed` if the watch did not abort it. */
@@ -96,8 +96,8 @@
  * deadline covers the answer up to its last byte: otherwise, a body that stalls would occupy its slot, and its share of
  * a cap, past the deadline that the grants of caps rely on.
  */
-function watchAttempt (entry: Entry, request: ServiceRequest, connection: Connection, outerSignal: Cancel, now: Millis): AttemptWatch {
-  const attemptSignal = new Cancel()
+function watchAttempt (entry: Entry, request: ServiceRequest, connection: Connection, outerSignal: CancelSignal, now: Millis): AttemptWatch {
+  const attemptSignal = new CancelSignal()
   let reason: ReturnType<AttemptWatch['reason']> = 'failed'
   let isOver = false
   const abortWith = (abortReason: typeof reason) => (): void => {
@@ -108,13 +108,13 @@
   const abortAsGone = abortWith('gone')
   outerSignal.on('abort', abortAsGone)
   if (outerSignal.aborted) abortAsGone()
-  const deadlineTimer = setTimeout(afterLook(entry.loop.looks, abortWith('deadline')), Math.max(1, request.deadline - now))
+  const deadlineTimer = setTimeout(afterPoll(entry.loop.polls, abortWith('deadline')), Math.max(1, request.deadline - now))
   // A middlebox can lose track only of a connection that carried requests before. A new connection without an answer
   // means that the server is slow, and a second attempt would only add to its load.
   const detectsSilence = connection.reused && request.isIdempotent
   const abortAsSilent = abortWith('silent')
-  const checkSilence = (): void => { if (isSilent(entry.pool.cfg, connection.state, presentTime())) abortAsSilent() }
-  const silenceTimer = detectsSilence ? setTimeout(afterLook(entry.loop.looks, checkSilence), entry.pool.cfg.silentMs + 1) : undefined
+  const checkSilence = (): void => { if (isSilent(entry.pool.cfg, connection.state, getCurrentTime())) abortAsSilent() }
+  const silenceTimer = detectsSilence ? setTimeout(afterPoll(entry.loop.polls, checkSilence), entry.pool.cfg.silentMs + 1) : undefined
   return {
     signal: attemptSignal,
     onHeaders: () => clearTimeout(silenceTimer),
@@ -129,12 +129,12 @@
 }
 
 async function readAnswer (entry: Entry, connection: Connection, res: Dispatcher.ResponseData, watch: AttemptWatch): Promise<AttemptResult> {
-  const headers = passedHeaders(res.headers)
+  const headers = removeHopByHopHeaders(res.headers)
   const length = Number(res.headers['content-length'] ?? NaN)
   if (length <= maxBufferedAnswerBytes) {
     const body = Buffer.from(await res.body.arrayBuffer())
     watch.stop()
-    releaseConnection(entry.pool, connection, presentTime())
+    releaseConnection(entry.pool, connection, getCurrentTime())
     return { type: 'answered', status: res.statusCode, headers, body }
   }
   return { type: 'answered', status: res.statusCode, headers, body: streamBody(entry, connection, res, watch) }
@@ -142,10 +142,10 @@
 
 function streamBody (entry: Entry, connection: Connection, res: Dispatcher.ResponseData, watch: AttemptWatch): Readable {
   const body = res.body
-  body.on('data', () => progressConnection(entry.pool, connection, presentTime()))
+  body.on('data', () => progressConnection(entry.pool, connection, getCurrentTime()))
   body.pause()
   body.once('close', () => {
-    if (body.readableEnded) releaseConnection(entry.pool, connection, presentTime())
+    if (body.readableEnded) releaseConnection(entry.pool, connection, getCurrentTime())
     else dropConnection(entry.pool, connection, 'close')
     watch.stop()
   })
--- a/packages/daemon/src/core/entry/callerServer.ts
+++ b/packages/daemon/src/core/entry/callerServer.ts
@@ -3,9 +3,9 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
 import { LynxError, getErrorMessage } from '@lynxcourse/base'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
-import { noteAccepted } from '../../utils/loopWatch.js'
+import { recordAcceptedConnection } from '../../utils/loopMonitor.js'
 import type { Syncing } from '../node/syncing.js'
 import { announcePath, answerAnnouncement } from './announcements.js'
 import type { Entry } from './entry.js'
@@ -29,7 +29,7 @@
   }, (req, res) => handleRequest(entry, syncing, req, res))
   server.maxConnections = limits.maxConnections
   server.on('connection', (socket: Socket) => {
-    noteAccepted(entry.loop, socket, presentTime())
+    recordAcceptedConnection(entry.loop, socket, getCurrentTime())
     // Each request in progress on the socket adds listeners.
     socket.setMaxListeners(0)
   })
--- a/packages/daemon/src/core/entry/claiming.ts
+++ b/packages/daemon/src/core/entry/claiming.ts
@@ -6,11 +6,11 @@
 import { LynxError, isLynxError, getErrorMessage } from '@lynxcourse/base'
 import type { Millis, RequestId } from '@lynxcourse/base'
 import type { ClaimAnswer, ClaimCommand, ClaimOutcome, StoredAnswer, SettleAnswer, SettleCommand } from '@lynxcourse/state'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
 import { maxClaimBatch } from '../node/claimService.js'
 import type { ClaimReply } from '../node/claimService.js'
-import { leaderAddress } from '../node/node.js'
+import { getLeaderAddress } from '../node/node.js'
 import type { Node } from '../node/node.js'
 import { delay } from '../node/timers.js'
 import { callPeer } from '../rpc/rpcClient.js'
@@ -51,11 +51,11 @@
  * @throws LynxError `noQuorum` if no answer arrived in time: the register may have granted the claim nevertheless
  */
 export async function claimRequestId (claimClient: Claiming, id: RequestId, token: string, deadline: Millis): Promise<ClaimAnswer> {
-  const startedAt = presentTime()
+  const startedAt = getCurrentTime()
   const command: ClaimCommand = { type: 'claim', id, holder: claimClient.node.holder, token }
   const answer = await submitCommand(claimClient, command, deadline) as ClaimAnswer
   claimClient.node.metrics.claims.inc({ result: answer.result })
-  claimClient.node.metrics.claimSeconds.observe((presentTime() - startedAt) / 1000)
+  claimClient.node.metrics.claimSeconds.observe((getCurrentTime() - startedAt) / 1000)
   return answer
 }
 
@@ -77,7 +77,7 @@
 
 /** Records the outcome of a claim without waiting for the register. */
 export function recordOutcomeInBackground (claimClient: Claiming, id: RequestId, token: string, outcome: ClaimOutcome, answer: StoredAnswer | undefined): void {
-  recordOutcome(claimClient, id, token, outcome, answer, presentTime() + backgroundRecordTimeoutMs).catch(() => undefined)
+  recordOutcome(claimClient, id, token, outcome, answer, getCurrentTime() + backgroundRecordTimeoutMs).catch(() => undefined)
 }
 
 async function submitCommand (claimClient: Claiming, command: ClaimCommand | SettleCommand, deadline: Millis): Promise<ClaimReply> {
@@ -105,11 +105,11 @@
 
 async function sendBatch (claimClient: Claiming, batch: readonly PendingCommand[]): Promise<void> {
   const { node } = claimClient
-  const startedAt = presentTime()
+  const startedAt = getCurrentTime()
   const latestDeadline = Math.max(...batch.map(pending => pending.deadline))
   const timeoutMs = Math.max(1, Math.min(node.cfg.times.rpcTimeoutMs, latestDeadline - startedAt))
   try {
-    const leader = leaderAddress(node)
+    const leader = getLeaderAddress(node)
     if (leader === '') throw new LynxError('notLeader', 'no leader is known', { step: 'claim' })
     const replies = await callPeer<ClaimReply[]>(node.client, leader, 'claims.submit', { commands: batch.map(pending => pending.command) }, timeoutMs)
     batch.forEach((pending, index) => pending.resolve(replies[index] as ClaimReply))
@@ -122,7 +122,7 @@
   const isFinal = isLynxError(err, 'badRequest') || isLynxError(err, 'notAllowed')
   log(claimClient.node.logs, 'claim', isFinal ? 'error' : 'warn', 'Batch of claims was not answered.', { commands: batch.length, peer: claimClient.node.leader, error: getErrorMessage(err) })
   if (!isFinal) await delay(retryDelayMs)
-  const now = presentTime()
+  const now = getCurrentTime()
   for (const pending of batch) {
     if (isFinal || now >= pending.deadline) {
       pending.reject(new LynxError('noQuorum', getErrorMessage(err), { step: pending.command.type, peer: claimClient.node.leader ?? '', cause: err }))
--- a/packages/daemon/src/core/entry/connectionPool.ts
+++ b/packages/daemon/src/core/entry/connectionPool.ts
@@ -6,10 +6,10 @@
 import { createConnectionState, isReusable, recordProgress, applyConnectionEvent } from '@lynxcourse/routing'
 import type { ConnectionCfg, ConnectionState } from '@lynxcourse/routing'
 import type { Chart, Millis } from '@lynxcourse/base'
-import { presentTime } from '../../utils/clock.js'
-import { resetUnanswered } from '../../utils/resetUnanswered.js'
-import { nextLook } from '../../utils/socketLooks.js'
-import type { Looks } from '../../utils/socketLooks.js'
+import { getCurrentTime } from '../../utils/clock.js'
+import { resetIfUnanswered } from '../../utils/resetIfUnanswered.js'
+import { waitForPoll } from '../../utils/pollPhase.js'
+import type { PollTracker } from '../../utils/pollPhase.js'
 
 /** A pooled connection. */
 export interface Connection {
@@ -30,7 +30,7 @@
   readonly chart: Chart
   readonly connectTimeoutMs: Millis
   /** Poll phases of the event loop that reads the sockets. */
-  readonly polls: Looks
+  readonly polls: PollTracker
   /** Called when a connection is open, with the time at which it was requested. */
   onConnect: ((address: string, requestedAt: Millis) => void) | undefined
   /** Connections by server address, in the order in which they were opened. */
@@ -45,7 +45,7 @@
  */
 const closeBeforeServerMs: Millis = 1000
 
-export function createPool (cfg: ConnectionCfg, chart: Chart, connectTimeoutMs: Millis, polls: Looks): ConnectionPool {
+export function createPool (cfg: ConnectionCfg, chart: Chart, connectTimeoutMs: Millis, polls: PollTracker): ConnectionPool {
   const pool: ConnectionPool = {
     cfg,
     chart,
@@ -121,10 +121,10 @@
       // If data and a reset arrive together, libuv reports an ordinary end. The socket still shows the difference: it has
       // a remote address after a close, and none after a reset.
       socket.once('end', () => { if (socket.remoteAddress === undefined) getConnection().wasReset = true })
-      resetUnanswered(socket)
+      resetIfUnanswered(socket)
       socket.on('error', error => { if ((error as NodeJS.ErrnoException).code === 'ECONNRESET') getConnection().wasReset = true })
     }
-    if (err !== null || !isLateConnection(requestedAt, presentTime())) callback(...result)
+    if (err !== null || !isLateConnection(requestedAt, getCurrentTime())) callback(...result)
     else handOverAfterPoll(pool.polls, socket, callback).catch(error => callback(error as Error, null))
   })
 }
@@ -133,8 +133,8 @@
  * Hands a connection over after all sockets have been polled: the caller that it was opened for, or the server, may
  * have closed meanwhile.
  */
-async function handOverAfterPoll (polls: Looks, socket: Socket, callback: buildConnector.Callback): Promise<void> {
-  await nextLook(polls)
+async function handOverAfterPoll (polls: PollTracker, socket: Socket, callback: buildConnector.Callback): Promise<void> {
+  await waitForPoll(polls)
   // If `undici` is handed a connection that has ended, it opens another one, again and again.
   if (socket.destroyed || socket.readableEnded) callback(abortEndedConnection(socket), null)
   else callback(null, socket)
--- a/packages/daemon/src/core/entry/entry.ts
+++ b/packages/daemon/src/core/entry/entry.ts
@@ -9,8 +9,8 @@
 import type { ActiveShift, Backend, BlockTable, CallerBlock, EntryVm, LookupIndex, RetryBudget, Router } from '@lynxcourse/routing'
 import { listActiveDrains, listActiveShifts, listCaps, findServiceProfile } from '@lynxcourse/state'
 import type { DrainItem, Profile } from '@lynxcourse/state'
-import { openLoopWatch } from '../../utils/loopWatch.js'
-import type { LoopWatch } from '../../utils/loopWatch.js'
+import { startLoopMonitor } from '../../utils/loopMonitor.js'
+import type { LoopMonitor } from '../../utils/loopMonitor.js'
 import { createRateLimit } from '../../utils/rateLimit.js'
 import type { RateLimit } from '../../utils/rateLimit.js'
 import type { DrainRemaining, RegionLoad, ReportSource } from '../node/reporting.js'
@@ -32,7 +32,7 @@
   readonly router: Router
   readonly callerBlockTable: BlockTable
   readonly pool: ConnectionPool
-  readonly loop: LoopWatch
+  readonly loop: LoopMonitor
   readonly attemptChart: Chart
   readonly claiming: Claiming
   lookupIndex: LookupIndex
@@ -76,12 +76,12 @@
     random: node.random,
     latencies
   })
-  const loop = openLoopWatch()
+  const loop = startLoopMonitor()
   const entry: Entry = {
     node,
     router,
     callerBlockTable: buildBlockTable(blocks),
-    pool: createPool({ staleMs: times.staleConnectionMs, silentMs: times.silentConnectionMs }, loadChart('connection'), times.connectTimeoutMs, loop.looks),
+    pool: createPool({ staleMs: times.staleConnectionMs, silentMs: times.silentConnectionMs }, loadChart('connection'), times.connectTimeoutMs, loop.polls),
     loop,
     attemptChart: loadChart('attempt'),
     claiming,
@@ -102,7 +102,7 @@
     remaining: () => countRemainingByDrain(entry),
     loads: () => sumLoadsByRegion(entry)
   }
-  node.onChange.push(() => { entry.needsRefresh = true })
+  node.changeListeners.push(() => { entry.needsRefresh = true })
   return entry
 }
 
--- a/packages/daemon/src/core/entry/forwarding.ts
+++ b/packages/daemon/src/core/entry/forwarding.ts
@@ -5,9 +5,9 @@
 import { earnRetry, getRoundTripMs, getMeanServiceMs, countAvailableSlots } from '@lynxcourse/routing'
 import type { AdmissionInput, CandidateRegion } from '@lynxcourse/routing'
 import type { Millis } from '@lynxcourse/base'
-import { Cancel } from '../../utils/cancel.js'
-import { presentTime } from '../../utils/clock.js'
-import { arrivalTime } from '../../utils/loopWatch.js'
+import { CancelSignal } from '../../utils/cancelSignal.js'
+import { getCurrentTime } from '../../utils/clock.js'
+import { recordRequestRead } from '../../utils/loopMonitor.js'
 import type { FinalAnswer } from '../../types/answers.js'
 import { callerInfo, placesFor } from './callerPlaces.js'
 import { refreshView } from './entry.js'
@@ -26,7 +26,7 @@
 
 /** Serves a request. Writes exactly one final answer, unless the caller disconnects. */
 export async function forwardRequest (entry: Entry, req: IncomingMessage, res: ServerResponse): Promise<void> {
-  const startedAt = arrivalTime(entry.loop, req.socket, presentTime())
+  const startedAt = recordRequestRead(entry.loop, req.socket, getCurrentTime())
   const { node } = entry
   if (entry.open >= node.cfg.limits.maxRequests) {
     await writeAnswer(node, res, createAnswer('refused', 'this VM is at its limit of concurrent requests; the request was not sent to a server', fullRetryMs, 503))
@@ -34,7 +34,7 @@
   }
   entry.open += 1
   node.metrics.inFlight.set(entry.open)
-  const signal = new Cancel()
+  const signal = new CancelSignal()
   const onDisconnect = (): void => { if (!res.writableFinished) signal.abort() }
   const { socket } = req
   // The end of the caller's data is read one event loop iteration before the connection is reported as closed.
@@ -57,12 +57,12 @@
     socket.off('close', onDisconnect)
     entry.open -= 1
     node.metrics.inFlight.set(entry.open)
-    node.metrics.requestSeconds.observe({ service }, (presentTime() - startedAt) / 1000)
+    node.metrics.requestSeconds.observe({ service }, (getCurrentTime() - startedAt) / 1000)
   }
 }
 
-async function serveRequest (entry: Entry, request: ServiceRequest, address: string, signal: Cancel): Promise<FinalAnswer> {
-  const now = presentTime()
+async function serveRequest (entry: Entry, request: ServiceRequest, address: string, signal: CancelSignal): Promise<FinalAnswer> {
+  const now = getCurrentTime()
   refreshView(entry, now)
   earnRetry(getRetryBudget(entry, request.service), request.profile.retryBudget)
   const places = getAllowedRegions(entry, request, address, now)
@@ -76,7 +76,7 @@
  */
 function getAllowedRegions (entry: Entry, request: ServiceRequest, address: string, now: Millis): readonly CandidateRegion[] {
   const places = placesFor(entry, request.service, request.profile, callerInfo(entry, address))
-  if (isLeaseValid(entry.node.currency, now)) return places
+  if (isLeaseValid(entry.node.configLease, now)) return places
   const mayServeLocally = request.profile.whenIsolated === 'local' && request.isIdempotent
   return mayServeLocally ? places.filter(candidate => candidate.region === entry.node.cfg.region && candidate.shift === undefined) : []
 }
--- a/packages/daemon/src/core/entry/lookups.ts
+++ b/packages/daemon/src/core/entry/lookups.ts
@@ -4,9 +4,9 @@
 import { isLeaseValid } from '@lynxcourse/membership'
 import { callerBucketCount, selectEntryVms } from '@lynxcourse/routing'
 import type { Profile } from '@lynxcourse/state'
-import { splitAddress } from '../../utils/httpServer.js'
+import { parseAddress } from '../../utils/httpServer.js'
 import { isLogged, log } from '../../utils/logging.js'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { callerInfo, placesFor } from './callerPlaces.js'
 import type { CallerInfo } from './callerPlaces.js'
 import { getProfile, refreshView } from './entry.js'
@@ -44,11 +44,11 @@
     rejectLookup(entry, res, 400, 'service: expected ?service=NAME')
     return
   }
-  const now = presentTime()
+  const now = getCurrentTime()
   refreshView(entry, now)
   const profile = getProfile(entry, service)
   // Without a lease on the configuration, this VM could name VMs that left or are being drained.
-  if (!isLeaseValid(entry.node.currency, now) && profile?.whenIsolated !== 'local') {
+  if (!isLeaseValid(entry.node.configLease, now) && profile?.whenIsolated !== 'local') {
     rejectLookup(entry, res, 503, 'this VM has no current configuration; ask another VM')
     return
   }
@@ -98,7 +98,7 @@
 function createLookupAnswer (entry: Entry, service: ServiceId, profile: Profile, caller: CallerInfo): LookupAnswer {
   const candidates = placesFor(entry, service, profile, caller)
   const vms = selectEntryVms(entry.lookupIndex, candidates, caller.hash).map(vm => {
-    const { host, port } = splitAddress(vm.http)
+    const { host, port } = parseAddress(vm.http)
     return { vm: vm.vm, region: vm.region, ip: host, port }
   })
   const content: LookupBody = { service, version: entry.node.config.version, ttlSeconds: profile.lookupTtlS, vms }
--- a/packages/daemon/src/core/entry/polling.ts
+++ b/packages/daemon/src/core/entry/polling.ts
@@ -6,7 +6,7 @@
 import type { Millis } from '@lynxcourse/base'
 import { recordAttemptEnd, recordReportedLoad, recordAttemptStart } from '@lynxcourse/routing'
 import type { ObservedServer } from '@lynxcourse/routing'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { repeat } from '../node/timers.js'
 import { refreshView } from './entry.js'
 import type { Entry } from './entry.js'
@@ -26,7 +26,7 @@
 }
 
 async function pollAll (entry: Entry): Promise<void> {
-  const now = presentTime()
+  const now = getCurrentTime()
   refreshView(entry, now)
   const serversToPoll = [...entry.router.backends.byId.values()].filter(observed => needsLoadPoll(entry, observed, now))
   for (let first = 0; first < serversToPoll.length; first += maxConcurrentPolls) {
@@ -43,9 +43,9 @@
   try {
     const res = await request(`http://${observed.backend.address}/load`, { signal: AbortSignal.timeout(pollTimeoutMs) })
     const report = await res.body.json() as { inFlight?: unknown }
-    if (typeof report.inFlight === 'number') recordReportedLoad(observed, report.inFlight, presentTime())
+    if (typeof report.inFlight === 'number') recordReportedLoad(observed, report.inFlight, getCurrentTime())
   } catch {
-    const now = presentTime()
+    const now = getCurrentTime()
     recordAttemptStart(observed)
     recordAttemptEnd(entry.router.backends, observed, 'failed', 0, now)
   }
--- a/packages/daemon/src/core/entry/serveOnce.ts
+++ b/packages/daemon/src/core/entry/serveOnce.ts
@@ -3,7 +3,7 @@
 import type { OnceEffect, OnceFlow } from '@lynxcourse/routing'
 import type { ClaimAnswer, StoredAnswer } from '@lynxcourse/state'
 import type { Millis, RequestId } from '@lynxcourse/base'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import type { FinalAnswer, HeaderMap } from '../../types/answers.js'
 import { toFinalAnswer, runAttemptInSlot, acquireUsableSlot, logNotServed } from './attemptSteps.js'
 import { claimRequestId, recordOutcome, recordOutcomeInBackground } from './claiming.js'
@@ -93,7 +93,7 @@
 function canSendAgain (run: OnceRun): boolean {
   const { request } = run.serving
   const hasAttemptsLeft = run.triedServers.size < request.profile.maxAttempts && canRetryAfterSheds(run.sheds, getQueueLength(run.serving.entry, request.service))
-  return request.isReplayable && hasAttemptsLeft && presentTime() < getLatestSendTime(run)
+  return request.isReplayable && hasAttemptsLeft && getCurrentTime() < getLatestSendTime(run)
 }
 
 function getLatestSendTime (run: OnceRun): Millis {
@@ -103,7 +103,7 @@
 
 async function runRecordStep (run: OnceRun, reason: string): Promise<OnceEffect> {
   logNotServed(run.serving, reason)
-  const isRecorded = await recordOutcome(run.serving.entry.claiming, run.id, run.token, 'notRun', undefined, presentTime() + notRunRecordTimeoutMs)
+  const isRecorded = await recordOutcome(run.serving.entry.claiming, run.id, run.token, 'notRun', undefined, getCurrentTime() + notRunRecordTimeoutMs)
   return continueAfterRecord(isRecorded, reason)
 }
 
--- a/packages/daemon/src/core/entry/serveRepeatable.ts
+++ b/packages/daemon/src/core/entry/serveRepeatable.ts
@@ -3,9 +3,9 @@
  * says so.
  */
 import { canRetryAfterSheds, spendRetry } from '@lynxcourse/routing'
-import { linkedCancel } from '../../utils/cancel.js'
-import type { Cancel } from '../../utils/cancel.js'
-import { presentTime } from '../../utils/clock.js'
+import { createLinkedSignal } from '../../utils/cancelSignal.js'
+import type { CancelSignal } from '../../utils/cancelSignal.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import type { FinalAnswer } from '../../types/answers.js'
 import { toFinalAnswer, runAttemptInSlot, acquireUsableSlot, hasEnded, logNotServed, applyAttemptEvent } from './attemptSteps.js'
 import type { AttemptChartState } from './attemptSteps.js'
@@ -61,7 +61,7 @@
   applyAttemptEvent(serving, run.life, result.type === 'shed' ? 'shed' : 'fail')
   if (result.type === 'lost') run.sent = true
   const isTerminal = result.type === 'lost' && (result.reason === 'deadline' || result.reason === 'gone')
-  if (isTerminal || presentTime() >= serving.request.deadline) return failRequest(run, 'deadline passed')
+  if (isTerminal || getCurrentTime() >= serving.request.deadline) return failRequest(run, 'deadline passed')
   const mayRetry = run.attempts < serving.request.profile.maxAttempts && canRetryAfterSheds(run.sheds, getQueueLength(serving.entry, serving.request.service)) && serving.request.isReplayable
   // A shed costs the server no work, so a retry after it spends nothing from the retry budget.
   const hasBudget = result.type === 'shed' || spendRetry(getRetryBudget(serving.entry, serving.request.service))
@@ -72,11 +72,11 @@
 function failRequest (run: IdempotentRun, reason: string): FinalAnswer {
   const { serving } = run
   logNotServed(serving, reason)
-  const isLate = presentTime() >= serving.request.deadline || run.sent
+  const isLate = getCurrentTime() >= serving.request.deadline || run.sent
   return createAnswer(isLate ? 'too-late' : 'not-run', reason, getRetryDelayMs(serving))
 }
 
-async function runCountedAttempt (run: IdempotentRun, slot: Slot, signal: Cancel): Promise<FinishedAttempt> {
+async function runCountedAttempt (run: IdempotentRun, slot: Slot, signal: CancelSignal): Promise<FinishedAttempt> {
   const { id } = slot.observed.backend
   run.attempts += 1
   run.triedServers.add(id)
@@ -100,14 +100,14 @@
   const { hedgeAfterMs, maxAttempts } = serving.request.profile
   const mayHedge = hedgeAfterMs > 0 && run.attempts + 1 < maxAttempts && serving.request.isReplayable
   if (!mayHedge) return await runCountedAttempt(run, slot, serving.signal)
-  const firstCancel = linkedCancel(serving.signal)
+  const firstCancel = createLinkedSignal(serving.signal)
   const first = runCountedAttempt(run, slot, firstCancel)
   const earlyResult = await awaitAtMost(first, hedgeAfterMs)
   if (earlyResult !== undefined) return earlyResult
   if (!spendRetry(getRetryBudget(serving.entry, serving.request.service))) return await first
   const secondSlot = await acquireUsableSlot(serving, run.triedServers, serving.request.deadline)
   if (typeof secondSlot === 'string') return await first
-  const secondCancel = linkedCancel(serving.signal)
+  const secondCancel = createLinkedSignal(serving.signal)
   const second = runCountedAttempt(run, secondSlot, secondCancel)
   return await raceAttempts(first, second, firstCancel, secondCancel)
 }
@@ -115,7 +115,7 @@
 /**
  * Returns the attempt that ends first and cancels the other one; if the first got no answer, waits for the other one.
  */
-async function raceAttempts (first: Promise<FinishedAttempt>, second: Promise<FinishedAttempt>, firstCancel: Cancel, secondCancel: Cancel): Promise<FinishedAttempt> {
+async function raceAttempts (first: Promise<FinishedAttempt>, second: Promise<FinishedAttempt>, firstCancel: CancelSignal, secondCancel: CancelSignal): Promise<FinishedAttempt> {
   const winner = await Promise.race([
     first.then(finished => ({ finished, other: second, otherCancel: secondCancel })),
     second.then(finished => ({ finished, other: first, otherCancel: firstCancel }))
--- a/packages/daemon/src/core/entry/serving.ts
+++ b/packages/daemon/src/core/entry/serving.ts
@@ -3,8 +3,8 @@
 import type { CallerLiveness } from '@lynxcourse/placement'
 import type { AdmissionInput, CandidateRegion, RetryBudget } from '@lynxcourse/routing'
 import type { Millis, ServiceId } from '@lynxcourse/base'
-import type { Cancel } from '../../utils/cancel.js'
-import { presentTime } from '../../utils/clock.js'
+import type { CancelSignal } from '../../utils/cancelSignal.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import type { Entry } from './entry.js'
 import type { ServiceRequest } from './forwardRequest.js'
 
@@ -15,14 +15,14 @@
   /** Regions that may serve the request, in order. */
   readonly places: readonly CandidateRegion[]
   /** Aborted when the caller disconnects. */
-  readonly signal: Cancel
+  readonly signal: CancelSignal
   readonly liveness: CallerLiveness
   readonly admission: AdmissionInput
 }
 
 /** Returns whether a region may serve the request and is expected to complete it before the deadline. */
 export function canServeInTime (serving: ServedRequest): boolean {
-  return serving.places.length > 0 && canCompleteInTime(serving.admission, presentTime())
+  return serving.places.length > 0 && canCompleteInTime(serving.admission, getCurrentTime())
 }
 
 /** Returns the delay after which a rejected caller should retry. */
--- a/packages/daemon/src/core/entry/slots.ts
+++ b/packages/daemon/src/core/entry/slots.ts
@@ -10,8 +10,8 @@
 import type { AttemptOutcome, LimitGate, RouteRequest } from '@lynxcourse/routing'
 import { createLinkResourceId, findServiceProfile, createRegionResourceId, createShiftResourceId } from '@lynxcourse/state'
 import type { Profile } from '@lynxcourse/state'
-import type { Cancel } from '../../utils/cancel.js'
-import { presentTime } from '../../utils/clock.js'
+import type { CancelSignal } from '../../utils/cancelSignal.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { refreshView } from './entry.js'
 import type { Entry } from './entry.js'
 import type { SlotFailure, ServiceQueue, Slot, Waiter } from './serviceQueue.js'
@@ -72,8 +72,8 @@
  *
  * @param signal ends the wait when the caller disconnects
  */
-export async function acquireSlot (entry: Entry, request: RouteRequest, gate: LimitGate, deadline: Millis, signal: Cancel): Promise<Slot | SlotFailure> {
-  const now = presentTime()
+export async function acquireSlot (entry: Entry, request: RouteRequest, gate: LimitGate, deadline: Millis, signal: CancelSignal): Promise<Slot | SlotFailure> {
+  const now = getCurrentTime()
   refreshView(entry, now)
   const serviceQueue = getServiceQueue(entry, request.service)
   // Requests that already wait go first.
@@ -86,7 +86,7 @@
   readonly request: RouteRequest
   readonly gate: LimitGate
   readonly deadline: Millis
-  readonly signal: Cancel
+  readonly signal: CancelSignal
 }
 
 async function waitForSlot (entry: Entry, serviceQueue: ServiceQueue, options: WaitOptions): Promise<Slot | SlotFailure> {
@@ -129,7 +129,7 @@
 
 /** Releases a slot and serves the requests that wait. */
 export function releaseSlot (entry: Entry, slot: Slot, end: AttemptOutcome): void {
-  const now = presentTime()
+  const now = getCurrentTime()
   endAttempt(entry.router, slot.observed, end, now - slot.startedAt, now)
   releaseCapacity(entry.node.limits, slot.resources)
   entry.node.metrics.attempts.inc({ end })
@@ -150,7 +150,7 @@
 export function processQueue (entry: Entry, service: ServiceId): void {
   const serviceQueue = entry.queues.get(service)
   if (serviceQueue === undefined) return
-  const now = presentTime()
+  const now = getCurrentTime()
   refreshView(entry, now)
   rejectUnservable(entry, serviceQueue, service, now)
   serveWaiters(entry, serviceQueue, now)
--- a/packages/daemon/src/core/fleet/fleetControl.ts
+++ b/packages/daemon/src/core/fleet/fleetControl.ts
@@ -4,16 +4,16 @@
 import type { HolderId, Incarnation, Millis, ServerId, VmId } from '@lynxcourse/base'
 import { createKnownVersions, findItem, acceptsAnnouncement, hasBackendChanged, recordKnownVersion, findRouteSet, getRoutesVersion, getKnownVersionAt } from '@lynxcourse/state'
 import type { BackendAnnouncement, ChangeAnswer, KnownVersions, RouteCommand, RouteSet } from '@lynxcourse/state'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
 import { openControl } from '../control/controlHost.js'
-import { leads } from '../control/hostState.js'
+import { isLeading } from '../control/hostState.js'
 import type { ControlEnv, ControlHost } from '../control/hostState.js'
 import { initCluster, isBlank } from '../control/membership.js'
-import { confirmRead, submitHere } from '../control/proposing.js'
+import { confirmRead, proposeCommand } from '../control/proposals.js'
 import { callPeer } from '../rpc/rpcClient.js'
-import { announceTogether, createAnnouncing } from './announcing.js'
-import type { Announcing } from './announcing.js'
+import { announceTogether, createAnnouncing } from './announcementQueue.js'
+import type { Announcing } from './announcementQueue.js'
 import { controlAddresses } from './fleetNode.js'
 import type { FleetNode } from './fleetNode.js'
 import { createLoadBoard, createLoadAggregate } from '@lynxcourse/placement'
@@ -34,7 +34,7 @@
 }
 
 /** The routes as a read gives them. */
-export interface RoutesRead {
+export interface RoutesReadResult {
   readonly routesVersion: number
   readonly set: RouteSet | undefined
 }
@@ -56,9 +56,9 @@
     await initCluster(host, cluster, [...voters].sort())
   }
   const versions = createKnownVersions()
-  const note = (): void => recordKnownVersion(versions, host.machine.config.version, presentTime())
+  const note = (): void => recordKnownVersion(versions, host.machine.config.version, getCurrentTime())
   note()
-  host.onProgress.push(note)
+  host.progressListeners.push(note)
   return { node, host, versions, presence: createPresence(), intake: createLoadAggregate(), board: createLoadBoard(), announcing: createAnnouncing() }
 }
 
@@ -74,8 +74,8 @@
     client,
     firstIncarnation: isFounder ? founding : undefined,
     // A control VM's name is its address, so that a new one needs no list to be found by.
-    addressOf: vm => vm,
-    peers: () => controlAddresses(node)
+    getAddress: vm => vm,
+    listPeerAddresses: () => controlAddresses(node)
   }
 }
 
@@ -94,8 +94,8 @@
 export async function submitRouteCommand (control: FleetControl, given: RouteCommand, isRelayed = false, arrivedAt?: Millis): Promise<ChangeAnswer> {
   const { host, node } = control
   const command = isRelayed ? given : withBase(control, given, arrivedAt)
-  if (leads(host)) {
-    const answer = await submitHere(host, command)
+  if (isLeading(host)) {
+    const answer = await proposeCommand(host, command)
     if (answer.type !== 'change') throw new LynxError('badRpc', 'no answer to a change', { step: 'submit' })
     logChange(control, command, answer.change)
     return answer.change
@@ -142,15 +142,15 @@
  *
  * @throws LynxError when this VM can't be sure that they are the newest
  */
-export async function readRoutes (control: FleetControl, isRelayed = false): Promise<RoutesRead> {
+export async function readRoutes (control: FleetControl, isRelayed = false): Promise<RoutesReadResult> {
   const { host, node } = control
-  if (leads(host)) {
+  if (isLeading(host)) {
     await confirmRead(host)
     return { routesVersion: getRoutesVersion(host.machine.config), set: findRouteSet(host.machine.config) }
   }
   const leader = leaderOf(control)
   if (leader === undefined || leader === node.cfg.rpc || isRelayed) throw new LynxError('notLeader', 'no leader is known', { step: 'read' })
-  return await callPeer<RoutesRead>(node.client, leader, 'fleet.read', {}, submitTimeoutMs)
+  return await callPeer<RoutesReadResult>(node.client, leader, 'fleet.read', {}, submitTimeoutMs)
 }
 
 /**
@@ -163,7 +163,7 @@
  *
  * @throws LynxError when the leader could not be reached, or for a failure domain that is not known
  */
-export async function takeAnnouncement (control: FleetControl, facts: BackendAnnouncement, now: Millis): Promise<void> {
+export async function handleAnnouncement (control: FleetControl, facts: BackendAnnouncement, now: Millis): Promise<void> {
   if (!control.node.cfg.regions.has(facts.failureDomain)) {
     throw new LynxError('badRequest', `failureDomain: '${facts.failureDomain}' is not known`, { step: 'announce', field: 'failureDomain' })
   }
@@ -184,13 +184,13 @@
 }
 
 /** Whether the copy is known to be the present state, as of some milliseconds ago. */
-export function stateAge (control: FleetControl, now: Millis): Millis {
-  const { replica, appliedFreshAt } = control.host
+export function getStateAge (control: FleetControl, now: Millis): Millis {
+  const { replica, appliedUpToDateAt } = control.host
   if (replica === undefined) return Infinity
-  return now - (leads(control.host) ? replica.quorumConfirmedAt : appliedFreshAt)
+  return now - (isLeading(control.host) ? replica.quorumConfirmedAt : appliedUpToDateAt)
 }
 
 /** Whether an error says only that another VM should be asked. */
-export function isElsewhere (err: unknown): boolean {
+export function isRetryableElsewhere (err: unknown): boolean {
   return isLynxError(err, 'notLeader') || isLynxError(err, 'noQuorum') || isLynxError(err, 'peerFailed') || isLynxError(err, 'overCapacity')
 }
--- a/packages/daemon/src/core/fleet/fleetDaemon.ts
+++ b/packages/daemon/src/core/fleet/fleetDaemon.ts
@@ -3,33 +3,33 @@
 import type { Millis } from '@lynxcourse/base'
 import { applyLoadUpdate } from '@lynxcourse/placement'
 import type { EntryPresence } from '@lynxcourse/placement'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { closeServer, listen } from '../../utils/httpServer.js'
 import { log } from '../../utils/logging.js'
 import { createMetricsServer } from '../../utils/metricsServer.js'
-import { createOwned, moveOwned, own } from '../../utils/owned.js'
-import type { Owned } from '../../utils/owned.js'
-import { nextLook } from '../../utils/socketLooks.js'
+import { createResourceStack, moveResources, addResource } from '../../utils/resourceStack.js'
+import type { ResourceStack } from '../../utils/resourceStack.js'
+import { waitForPoll } from '../../utils/pollPhase.js'
 import type { FleetSettings } from '../../types/fleetSettings.js'
-import { feed } from '../control/controlHost.js'
+import { enqueueEvent } from '../control/controlHost.js'
 import { addClusterMethods, keepJoining } from '../control/joining.js'
 import { sweepConnections } from '../entry/connectionPool.js'
-import { applyLimits, createCallerFront } from '../gateway/callerFront.js'
+import { applyCallerLimits, createCallerServer } from '../gateway/callerServer.js'
 import type { CallerDialect, ServerDialect } from '../gateway/dialects.js'
-import { noteConnected, refreshGateway } from '../gateway/fleetView.js'
+import { recordConnectTime, refreshGateway } from '../gateway/gatewayRefresh.js'
 import { createGateway } from '../gateway/gateway.js'
 import type { Gateway } from '../gateway/gateway.js'
 import { delay, repeat } from '../node/timers.js'
 import { createRpcServer, listenRpc } from '../rpc/rpcServer.js'
 import type { RpcServer } from '../rpc/rpcServer.js'
-import { openFleetControl, stateAge } from './fleetControl.js'
+import { openFleetControl, getStateAge } from './fleetControl.js'
 import type { FleetControl } from './fleetControl.js'
 import { addFleetMethods } from './fleetMethods.js'
 import { createFleetNode, isReadyForCallers } from './fleetNode.js'
 import type { FleetDeps, FleetNode } from './fleetNode.js'
-import { startPresence } from './presenceLoop.js'
-import { startWatching, tellPresence } from './watching.js'
-import type { Watching } from './watching.js'
+import { startPresence } from './presenceExchange.js'
+import { startWatching, tellPresence } from './stateWatch.js'
+import type { Watching } from './stateWatch.js'
 
 /** How callers and servers speak to this VM. */
 export interface Dialects {
@@ -56,10 +56,10 @@
 
 /** Starts a VM. */
 export async function startFleetDaemon (cfg: FleetSettings, dialects: Dialects, deps: FleetDeps = {}): Promise<FleetDaemon> {
-  await using stack = createOwned()
-  const node = createFleetNode(cfg, deps, presentTime())
-  own(stack, node.client)
-  own(stack, node.loop)
+  await using stack = createResourceStack()
+  const node = createFleetNode(cfg, deps, getCurrentTime())
+  addResource(stack, node.client)
+  addResource(stack, node.loop)
   const rpc = createRpcServer({ maxBytes: maxRpcBytes, perSecond: rpcPerSecond }, node.metrics, undefined, node.loop)
   const control = cfg.roles.includes('control') ? await startControl(stack, node, rpc) : undefined
   const gateway = cfg.roles.includes('entry') ? openGateway(stack, node, dialects) : undefined
@@ -68,48 +68,48 @@
   await listenRpc(rpc, cfg.rpcListen ?? cfg.rpc)
   await listen(metricsServer, cfg.metrics)
   const callerServer = gateway === undefined ? undefined : await startCallers(stack, gateway)
-  const watching = gateway === undefined ? undefined : own(stack, startWatching(node, () => presenceOf(node)))
+  const watching = gateway === undefined ? undefined : addResource(stack, startWatching(node, () => presenceOf(node)))
   log(node.logs, 'daemon', 'info', 'Started.', { vm: cfg.name, region: cfg.region, failureDomain: cfg.failureDomain, roles: cfg.roles.join(), rpc: cfg.rpc, callers: cfg.callers, firstStart: cfg.isFirstStart })
-  const owned = moveOwned(stack)
+  const owned = moveResources(stack)
   return { node, control, gateway, watching, callerServer, [Symbol.asyncDispose]: async () => await owned[Symbol.asyncDispose]() }
 }
 
-async function startControl (stack: Owned, node: FleetNode, rpc: RpcServer): Promise<FleetControl> {
+async function startControl (stack: ResourceStack, node: FleetNode, rpc: RpcServer): Promise<FleetControl> {
   const control = await openFleetControl(node)
-  own(stack, control.host)
-  const loop = own(stack, startPresence(control))
+  addResource(stack, control.host)
+  const loop = addResource(stack, startPresence(control))
   addClusterMethods(rpc, control.host)
   addFleetMethods(rpc, control, loop)
-  own(stack, repeat(tickMs, () => feed(control.host, { type: 'tick' }), () => undefined))
-  own(stack, keepJoining(control.host))
+  addResource(stack, repeat(tickMs, () => enqueueEvent(control.host, { type: 'tick' }), () => undefined))
+  addResource(stack, keepJoining(control.host))
   return control
 }
 
-function openGateway (stack: Owned, node: FleetNode, { callers, servers }: Dialects): Gateway {
+function openGateway (stack: ResourceStack, node: FleetNode, { callers, servers }: Dialects): Gateway {
   const gateway = createGateway(node, callers, servers)
-  own(stack, gateway.pool)
+  addResource(stack, gateway.pool)
   return gateway
 }
 
-async function startCallers (stack: Owned, gateway: Gateway): Promise<Server> {
+async function startCallers (stack: ResourceStack, gateway: Gateway): Promise<Server> {
   const { node } = gateway
-  const server = createCallerFront(gateway)
-  applyLimits(gateway, server)
+  const server = createCallerServer(gateway)
+  applyCallerLimits(gateway, server)
   node.onChange.push(() => {
-    refreshGateway(gateway, presentTime())
-    applyLimits(gateway, server)
+    refreshGateway(gateway, getCurrentTime())
+    applyCallerLimits(gateway, server)
   })
-  node.onLoad.push(() => applyLoadUpdate(gateway, node.loadNews, node.cfg.region, presentTime()))
-  gateway.pool.onConnect = (address, startedAt) => noteConnected(gateway, address, presentTime() - startedAt)
-  own(stack, repeat(sweepMs, () => sweepConnections(gateway.pool, presentTime()), () => undefined))
+  node.onLoad.push(() => applyLoadUpdate(gateway, node.loadUpdate, node.cfg.region, getCurrentTime()))
+  gateway.pool.onConnect = (address, startedAt) => recordConnectTime(gateway, address, getCurrentTime() - startedAt)
+  addResource(stack, repeat(sweepMs, () => sweepConnections(gateway.pool, getCurrentTime()), () => undefined))
   ownServer(stack, server)
   await listen(server, node.cfg.callers ?? '')
   return server
 }
 
 /** Owns a server from before it listens: a later one that can't would leave it open. */
-function ownServer (stack: Owned, server: Server): void {
-  own(stack, { [Symbol.asyncDispose]: async () => await closeServer(server) })
+function ownServer (stack: ResourceStack, server: Server): void {
+  addResource(stack, { [Symbol.asyncDispose]: async () => await closeServer(server) })
 }
 
 function presenceOf (node: FleetNode): EntryPresence {
@@ -121,7 +121,7 @@
 function isServing (node: FleetNode, control: FleetControl | undefined): boolean {
   if (node.isLeaving) return false
   if (node.cfg.roles.includes('entry')) return isReadyForCallers(node)
-  return control !== undefined && stateAge(control, presentTime()) < node.cfg.times.staleMs
+  return control !== undefined && getStateAge(control, getCurrentTime()) < node.cfg.times.staleMs
 }
 
 /** Whether callers may be sent to this VM. */
@@ -132,7 +132,7 @@
 /** Lets the VM go without cutting a request: look-ups stop naming it, and requests in flight end. */
 export async function leaveFleet (daemon: FleetDaemon): Promise<void> {
   const { node, gateway, watching, callerServer } = daemon
-  const startedAt = presentTime()
+  const startedAt = getCurrentTime()
   node.isLeaving = true
   log(node.logs, 'daemon', 'info', 'Leaving.', { open: gateway?.open ?? 0 })
   if (gateway !== undefined && watching !== undefined && callerServer !== undefined) {
@@ -145,8 +145,8 @@
   const { stopMs } = gateway.node.cfg.times
   await delay(Math.min(acceptAfterStopMs, stopMs / 2))
   // A connection is not idle while a request on it lies unread.
-  await nextLook(gateway.loop.looks)
+  await waitForPoll(gateway.loop.polls)
   server.close()
   server.closeIdleConnections()
-  while (gateway.open > 0 && presentTime() - startedAt < stopMs) await delay(drainPollMs)
+  while (gateway.open > 0 && getCurrentTime() - startedAt < stopMs) await delay(drainPollMs)
 }
--- a/packages/daemon/src/core/fleet/fleetMethods.ts
+++ b/packages/daemon/src/core/fleet/fleetMethods.ts
@@ -6,19 +6,19 @@
 import { selectEntries, isDiscovering, omitKnownWeights, applyDigest, addLoadReport } from '@lynxcourse/placement'
 import type { EntryPresence, LoadUpdate, LoadReport } from '@lynxcourse/placement'
 import * as z from 'zod'
-import type { Cancel } from '../../utils/cancel.js'
-import { presentTime } from '../../utils/clock.js'
+import type { CancelSignal } from '../../utils/cancelSignal.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
 import { addressSchema } from '../../types/settings.js'
 import { addMethod } from '../rpc/rpcServer.js'
 import { delay } from '../node/timers.js'
 import type { RpcCall, RpcServer } from '../rpc/rpcServer.js'
-import { dismissServer, readRoutes, stateAge, submitRouteCommand, takeAnnouncement } from './fleetControl.js'
+import { dismissServer, readRoutes, getStateAge, submitRouteCommand, handleAnnouncement } from './fleetControl.js'
 import type { FleetControl } from './fleetControl.js'
 import type { ControlPlace } from './fleetNode.js'
 import { noteWatching, takePresenceReport } from './presence.js'
 import type { PresenceReply, PresenceReport } from './presence.js'
-import type { PresenceLoop } from './presenceLoop.js'
+import type { PresenceLoop } from './presenceExchange.js'
 
 /** What an entry VM asks: news after a version, held open until there is some. */
 export interface WatchRequest {
@@ -101,7 +101,7 @@
   })
   addMethod(rpc, 'fleet.presence', ['vm'], reportSchema, params => answerPresence(control, params as unknown as PresenceReport))
   addMethod(rpc, 'fleet.announce', ['server'], announceSchema, async ({ facts }) => {
-    await takeAnnouncement(control, facts as unknown as BackendAnnouncement, presentTime())
+    await handleAnnouncement(control, facts as unknown as BackendAnnouncement, getCurrentTime())
     return {}
   })
   addMethod(rpc, 'fleet.dismiss', ['server', 'operator'], dismissSchema, async ({ server, bornAt }) => {
@@ -109,11 +109,11 @@
     return {}
   })
   addMethod(rpc, 'fleet.lookup', ['vm', 'operator', 'server'], lookupSchema, ({ region }) =>
-    lookUp(control, region === undefined ? undefined : brandId<RegionId>(region), presentTime()))
+    lookUpEntries(control, region === undefined ? undefined : brandId<RegionId>(region), getCurrentTime()))
 }
 
 /** Which entry VMs a caller should use: those of its region where some are ready; none while they come in after a start. */
-export function lookUp (control: FleetControl, region: RegionId | undefined, now: Millis): FleetLookup {
+export function lookUpEntries (control: FleetControl, region: RegionId | undefined, now: Millis): FleetLookup {
   const { times } = control.node.cfg
   const { entries, gathering } = control.presence
   const addresses = isDiscovering(gathering, now) ? [] : selectEntries([...entries.values()], region, times.presenceStaleMs, now, control.node.random)
@@ -121,7 +121,7 @@
 }
 
 function answerPresence (control: FleetControl, report: PresenceReport): PresenceReply {
-  const now = presentTime()
+  const now = getCurrentTime()
   applyDigest(control.board, report.from.rpc, report.load, now)
   return { ...takePresenceReport(control.presence, report, now), news: omitKnownWeights(control.board.news, report.weights) }
 }
@@ -148,18 +148,18 @@
 }
 
 async function answerWatch (control: FleetControl, loop: PresenceLoop, request: WatchRequest, call: RpcCall): Promise<WatchReply> {
-  const isNews = noteWatching(control.presence, request.self, presentTime())
+  const isNews = noteWatching(control.presence, request.self, getCurrentTime())
   if (isNews) loop.urge()
-  if (request.load !== undefined) addLoadReport(control.intake, request.self.name, request.self.region, request.load, presentTime())
-  const startedAt = presentTime()
+  if (request.load !== undefined) addLoadReport(control.intake, request.self.name, request.self.region, request.load, getCurrentTime())
+  const startedAt = getCurrentTime()
   if (request.version === 0) await waitUntilCurrent(control, request.waitMs, call.gone)
   if (control.host.machine.config.version <= request.version) await waitForNews(control, request, call.gone)
   // Timers run before sockets are read: a VM that stood still ends its waits before it hears who has left.
-  if (presentTime() - startedAt > request.waitMs + stillMs) await lookBefore(control, 'fleet.watch', call)
+  if (getCurrentTime() - startedAt > request.waitMs + stillMs) await lookBefore(control, 'fleet.watch', call)
   if (call.gone.aborted) throw new LynxError('cancelled', 'its sender closed the connection', { step: 'fleet.watch', peer: call.address })
   if (request.version > 0 && control.host.machine.config.version > request.version) await delay(gatherMs)
   const { config } = control.host.machine
-  const age = stateAge(control, presentTime())
+  const age = getStateAge(control, getCurrentTime())
   return {
     delta: config.version > request.version ? getDeltaSince(config, request.version) : undefined,
     ageMs: Number.isFinite(age) ? age : null,
@@ -169,7 +169,7 @@
   }
 }
 
-async function waitForNews (control: FleetControl, request: WatchRequest, gone: Cancel): Promise<void> {
+async function waitForNews (control: FleetControl, request: WatchRequest, gone: CancelSignal): Promise<void> {
   const from = Math.max(request.version, control.host.machine.config.version)
   await waitForProgress(control, request.waitMs, gone, () => control.host.machine.config.version > from)
 }
@@ -181,27 +181,27 @@
  * questions take the processor time that the election needs. It shows as many lines of VMs that follow a control VM without a
  * version. Held, each asks once and hears at once.
  */
-async function waitUntilCurrent (control: FleetControl, waitMs: Millis, gone: Cancel): Promise<void> {
-  const isCurrent = (): boolean => stateAge(control, presentTime()) < control.node.cfg.times.staleMs
+async function waitUntilCurrent (control: FleetControl, waitMs: Millis, gone: CancelSignal): Promise<void> {
+  const isCurrent = (): boolean => getStateAge(control, getCurrentTime()) < control.node.cfg.times.staleMs
   // A disk that was emptied gets the state from a leader, which takes seconds: another VM has it sooner.
   if (control.host.replica !== undefined && !isCurrent()) await waitForProgress(control, waitMs, gone, isCurrent)
 }
 
 /** Waits until the copy went on to a state that is asked for, the time is over or the caller has left. */
-async function waitForProgress (control: FleetControl, waitMs: Millis, gone: Cancel, isReached: () => boolean): Promise<void> {
+async function waitForProgress (control: FleetControl, waitMs: Millis, gone: CancelSignal, isReached: () => boolean): Promise<void> {
   if (gone.aborted) return
-  const { onProgress } = control.host
+  const { progressListeners } = control.host
   await new Promise<void>(resolve => {
     const finish = (): void => {
       clearTimeout(timer)
       gone.off('abort', finish)
-      const place = onProgress.indexOf(check)
-      if (place >= 0) onProgress.splice(place, 1)
+      const place = progressListeners.indexOf(check)
+      if (place >= 0) progressListeners.splice(place, 1)
       resolve()
     }
     const check = (): void => { if (isReached()) queueMicrotask(finish) }
     const timer = setTimeout(finish, waitMs)
-    onProgress.push(check)
+    progressListeners.push(check)
     gone.once('abort', finish)
   })
 }
--- a/packages/daemon/src/core/fleet/fleetNode.ts
+++ b/packages/daemon/src/core/fleet/fleetNode.ts
@@ -5,8 +5,8 @@
 import type { Config } from '@lynxcourse/state'
 import { log, openLogs } from '../../utils/logging.js'
 import type { Logs } from '../../utils/logging.js'
-import { openLoopWatch } from '../../utils/loopWatch.js'
-import type { LoopWatch } from '../../utils/loopWatch.js'
+import { startLoopMonitor } from '../../utils/loopMonitor.js'
+import type { LoopMonitor } from '../../utils/loopMonitor.js'
 import { createMetrics } from '../../utils/metrics.js'
 import type { Metrics } from '../../utils/metrics.js'
 import { createRpcClient } from '../rpc/rpcClient.js'
@@ -29,19 +29,19 @@
   readonly metrics: Metrics
   readonly random: Random
   readonly client: RpcClient
-  readonly loop: LoopWatch
+  readonly loop: LoopMonitor
   /** This VM's copy of the routes and the directory; on a control VM, its log's own. */
   config: Config
   controls: readonly ControlPlace[]
   /** Names of the entry VMs heard of late, this one among them. */
   entryNames: readonly string[]
   /** When the copy was last known to be the present state; -Infinity before the first time. */
-  freshAt: Millis
+  upToDateAt: Millis
   isLeaving: boolean
   /** What this VM has seen of the load since its last report. */
   readonly load: LoadObservations
   /** What all VMs together saw of the load, by the last word of it. */
-  loadNews: LoadUpdate
+  loadUpdate: LoadUpdate
   /** Called when the copy changed. */
   readonly onChange: Array<() => void>
   /** Called when there is news of the load. */
@@ -62,17 +62,17 @@
     metrics,
     random: createRandom(hashText(`${cfg.name} ${now}`)),
     client: createRpcClient({ timeoutMs: cfg.times.rpcTimeoutMs, localAddress: '', tls: () => undefined, metrics }),
-    loop: openLoopWatch(
+    loop: startLoopMonitor(
       forMs => log(logs, 'daemon', 'warn', 'Stood still.', { forMs: Math.round(forMs) }),
       lateMs => metrics.loopLateSeconds.observe(lateMs / 1000)
     ),
     config: createConfig(),
     controls: [],
     entryNames: cfg.roles.includes('entry') ? [cfg.name] : [],
-    freshAt: -Infinity,
+    upToDateAt: -Infinity,
     isLeaving: false,
     load: createLoadObservations(now),
-    loadNews: { full: [], plans: [], silent: [] },
+    loadUpdate: { full: [], plans: [], silent: [] },
     onChange: [],
     onLoad: []
   }
@@ -80,7 +80,7 @@
 
 /** Whether callers may be sent to this VM: it knows the present state and does not stop. */
 export function isReadyForCallers (node: FleetNode): boolean {
-  return node.freshAt > -Infinity && !node.isLeaving
+  return node.upToDateAt > -Infinity && !node.isLeaving
 }
 
 /** RPC addresses at which control VMs may be found: those heard of, then the seeds. */
@@ -90,7 +90,7 @@
 }
 
 /** Takes over what may change while the process runs: where control VMs are found, times and budgets. */
-export function reloadFleet (node: FleetNode, next: FleetSettings): void {
+export function reloadFleetSettings (node: FleetNode, next: FleetSettings): void {
   const { seeds, times, retryBudget, log } = next
   node.cfg = { ...node.cfg, seeds, times, retryBudget, log }
 }
--- a/packages/daemon/src/core/fleet/watching.ts
+++ b/packages/daemon/src/core/fleet/stateWatch.ts
@@ -4,7 +4,7 @@
 import { applyDelta } from '@lynxcourse/state'
 import { flushLoadReport } from '@lynxcourse/placement'
 import type { EntryPresence } from '@lynxcourse/placement'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
 import { delay } from '../node/timers.js'
 import { callPeer } from '../rpc/rpcClient.js'
@@ -48,7 +48,7 @@
 async function follow (watching: Watching): Promise<void> {
   const { node } = watching
   while (!watching.stopped) {
-    const parent = chooseControl(watching, presentTime())
+    const parent = chooseControl(watching, getCurrentTime())
     if (parent === undefined) {
       watching.avoided.clear()
       await delay(retryMs)
@@ -59,10 +59,10 @@
       const reply = await watchOnce(watching, parent, waitFor(watching, isFirst))
       if (isFirst) log(node.logs, 'sync', 'info', 'Follows a control VM.', { peer: parent, ageMs: reply.ageMs === null ? undefined : Math.round(reply.ageMs), version: node.config.version })
       watching.parent = parent
-      takeWatchReply(watching, parent, reply, presentTime())
+      takeWatchReply(watching, parent, reply, getCurrentTime())
     } catch (err) {
       log(node.logs, 'sync', 'warn', 'Control VM lost.', { peer: parent, error: getErrorMessage(err) })
-      avoid(watching, parent, presentTime())
+      avoid(watching, parent, getCurrentTime())
       await delay(retryMs)
     }
   }
@@ -71,20 +71,20 @@
 /** The first watch on a control VM returns at once, so that it shows whether that VM knows the present state; a VM without any waits for it. */
 function waitFor ({ node }: Watching, isFirst: boolean): Millis {
   if (!isFirst) return node.cfg.times.watchMs
-  return node.freshAt === -Infinity ? firstWatchMs : 0
+  return node.upToDateAt === -Infinity ? firstWatchMs : 0
 }
 
 /** Tells one control VM at once of a change of this VM's own state. */
 export async function tellPresence (watching: Watching): Promise<void> {
-  const parent = chooseControl(watching, presentTime())
+  const parent = chooseControl(watching, getCurrentTime())
   if (parent === undefined) return
   await watchOnce(watching, parent, 0).catch((err: unknown) => log(watching.node.logs, 'sync', 'warn', 'Presence not told.', { peer: parent, error: getErrorMessage(err) }))
 }
 
 async function watchOnce (watching: Watching, parent: string, waitMs: Millis): Promise<WatchReply> {
   const { node } = watching
-  const load = flushLoadReport(node.load, presentTime())
-  const request: WatchRequest = { version: node.config.version, waitMs, self: watching.self(), weights: node.loadNews.weights?.version ?? 0, ...(load === undefined ? {} : { load }) }
+  const load = flushLoadReport(node.load, getCurrentTime())
+  const request: WatchRequest = { version: node.config.version, waitMs, self: watching.self(), weights: node.loadUpdate.weights?.version ?? 0, ...(load === undefined ? {} : { load }) }
   return await callPeer<WatchReply>(node.client, parent, 'fleet.watch', request, waitMs + node.cfg.times.rpcTimeoutMs)
 }
 
@@ -104,10 +104,10 @@
 function takeWatchReply (watching: Watching, parent: string, reply: WatchReply, now: Millis): void {
   const { node } = watching
   if (reply.controls.length > 0) node.controls = reply.controls
-  const weights = reply.news.weights ?? node.loadNews.weights
+  const weights = reply.news.weights ?? node.loadUpdate.weights
   // A control VM that has just started has heard of no plans yet; what this VM was told last goes on until then.
-  const plans = reply.news.plans.length > 0 ? reply.news.plans : node.loadNews.plans
-  node.loadNews = { ...reply.news, plans, ...(weights === undefined ? {} : { weights }) }
+  const plans = reply.news.plans.length > 0 ? reply.news.plans : node.loadUpdate.plans
+  node.loadUpdate = { ...reply.news, plans, ...(weights === undefined ? {} : { weights }) }
   for (const listener of node.onLoad) listener()
   for (const name of reply.entries) watching.namesAt.set(name, now)
   for (const [name, at] of watching.namesAt) if (now - at > namesKeptMs) watching.namesAt.delete(name)
@@ -115,14 +115,14 @@
   const isStale = reply.ageMs === null || reply.ageMs > node.cfg.times.staleMs
   // A control VM that was cut off or has just started may hold an old state. It does no harm to a VM that
   // already follows, since versions only grow; it must not be the first word that a VM hears.
-  if (isStale && node.freshAt === -Infinity) {
+  if (isStale && node.upToDateAt === -Infinity) {
     avoid(watching, parent, now)
     return
   }
   const before = node.config.version
   const isWhole = reply.delta === undefined || applyDelta(node.config, reply.delta)
   if (isStale) avoid(watching, parent, now)
-  else if (isWhole) node.freshAt = now - (reply.ageMs ?? 0)
+  else if (isWhole) node.upToDateAt = now - (reply.ageMs ?? 0)
   if (node.config.version !== before) {
     log(node.logs, 'sync', 'info', 'State in force.', { version: node.config.version, from: before, items: reply.delta?.items.length, peer: parent })
     notifyFleetChange(node)
--- a/packages/daemon/src/core/rpc/rpcClient.ts
+++ b/packages/daemon/src/core/rpc/rpcClient.ts
@@ -6,8 +6,8 @@
 import { LynxError, errorTemplates, isLynxError, getErrorMessage } from '@lynxcourse/base'
 import type { ErrorCode, Millis } from '@lynxcourse/base'
 import type { Metrics } from '../../utils/metrics.js'
-import { resetUnanswered } from '../../utils/resetUnanswered.js'
-import { packedCoding, unpackText } from './packing.js'
+import { resetIfUnanswered } from '../../utils/resetIfUnanswered.js'
+import { packedCoding, unpackText } from './compression.js'
 
 /** What a client needs to reach other VMs. */
 export interface RpcClientCfg {
@@ -60,7 +60,7 @@
 /** Calls that were given up must not be taken later: what they ask for may have been undone by then. */
 function resettingConnector (connect: buildConnector.connector): buildConnector.connector {
   return (options, callback) => connect(options, (...result) => {
-    if (result[0] === null) resetUnanswered(result[1])
+    if (result[0] === null) resetIfUnanswered(result[1])
     callback(...result)
   })
 }
--- a/packages/daemon/src/core/rpc/rpcServer.ts
+++ b/packages/daemon/src/core/rpc/rpcServer.ts
@@ -7,15 +7,15 @@
 import { LynxError, isLynxError, getErrorMessage } from '@lynxcourse/base'
 import type { z } from 'zod'
 import type { Metrics } from '../../utils/metrics.js'
-import { Cancel } from '../../utils/cancel.js'
-import { presentTime } from '../../utils/clock.js'
+import { CancelSignal } from '../../utils/cancelSignal.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { listen, readBody } from '../../utils/httpServer.js'
-import type { LoopWatch } from '../../utils/loopWatch.js'
+import type { LoopMonitor } from '../../utils/loopMonitor.js'
 import { createRateLimit, takeToken } from '../../utils/rateLimit.js'
 import type { RateLimit } from '../../utils/rateLimit.js'
-import { lookAtSender } from '../../utils/senderLook.js'
+import { checkSenderConnected } from '../../utils/senderCheck.js'
 import type { TlsFiles } from '../../plugins/tlsFiles.js'
-import { isWorthPacking, packText, packedCoding } from './packing.js'
+import { isWorthPacking, packText, packedCoding } from './compression.js'
 
 /** Who calls, by the certificate's name: `vm:NAME`, `operator:NAME` or `server:NAME`. */
 export interface RpcCaller {
@@ -34,7 +34,7 @@
    */
   readonly look: () => Promise<void>
   /** Aborted once the caller closed its connection, or has its answer. */
-  readonly gone: Cancel
+  readonly gone: CancelSignal
 }
 
 export type RpcHandler<Params> = (params: Params, call: RpcCall) => unknown
@@ -58,7 +58,7 @@
 }
 
 /** Makes the server; add its methods before it listens. */
-export function createRpcServer (limits: RpcLimits, metrics: Metrics, tls: TlsFiles | undefined, loop: LoopWatch): RpcServer {
+export function createRpcServer (limits: RpcLimits, metrics: Metrics, tls: TlsFiles | undefined, loop: LoopMonitor): RpcServer {
   const methods = new JSONRPCServer<RpcCall>({ errorListener: () => undefined })
   methods.mapErrorToJSONRPCErrorResponse = (id, err) => {
     const data = isLynxError(err) ? { code: err.code, step: err.step, field: err.field, peer: err.peer } : undefined
@@ -89,15 +89,15 @@
   res.writeHead(status, { 'content-type': 'application/json', connection: 'close' }).end(JSON.stringify(body))
 }
 
-async function answerRpc (methods: JSONRPCServer<RpcCall>, maxBytes: number, rate: RateLimit, loop: LoopWatch, req: IncomingMessage, res: ServerResponse): Promise<void> {
+async function answerRpc (methods: JSONRPCServer<RpcCall>, maxBytes: number, rate: RateLimit, loop: LoopMonitor, req: IncomingMessage, res: ServerResponse): Promise<void> {
   if (req.method !== 'POST' || req.url !== '/rpc') throw new LynxError('badRpc', 'expected POST /rpc', { step: 'receive' })
   const caller = callerOf(req)
-  if (!takeToken(rate, caller.address, presentTime())) {
+  if (!takeToken(rate, caller.address, getCurrentTime())) {
     throw new LynxError('overCapacity', `more than ${rate.perSecond} messages a second`, { step: 'receive', peer: caller.address })
   }
   const body = await readBody(req, maxBytes)
-  const look = async (): Promise<void> => await lookAtSender(loop.looks, req.socket, 'receive')
-  const gone = new Cancel()
+  const look = async (): Promise<void> => await checkSenderConnected(loop.polls, req.socket, 'receive')
+  const gone = new CancelSignal()
   res.once('close', () => gone.abort())
   const answer = await methods.receiveJSON(body.toString('utf8'), { ...caller, look, gone })
   const text = JSON.stringify(answer ?? null)
--- a/scripts/soak/operator.ts
+++ b/scripts/soak/operator.ts
@@ -1,6 +1,6 @@
 /** The operator of a soak: changes routes, races against a second one, evacuates failure domains, reads back. */
 import type { FailureDomainId, ServiceId } from '@lynxcourse/base'
-import type { RoutesRead } from '@lynxcourse/daemon'
+import type { RoutesReadResult } from '@lynxcourse/daemon'
 import type { ChangeAnswer, RouteChangeId, ReplaceRoutesCommand, Route, RouteCommand } from '@lynxcourse/state'
 import { sleep } from '../support/processes.js'
 import { callAny, callUntilClear } from './controlClient.js'
@@ -95,7 +95,7 @@
 }
 
 async function refreshVersion (operator: Operator): Promise<void> {
-  const read = await callUntilClear<RoutesRead>(operator.client, 'fleet.read', {}, orderMs)
+  const read = await callUntilClear<RoutesReadResult>(operator.client, 'fleet.read', {}, orderMs)
   if (read !== undefined) operator.version = Math.max(operator.version, read.routesVersion)
 }
 
@@ -120,7 +120,7 @@
 export async function keepReading (operator: Operator, isOver: () => boolean): Promise<void> {
   while (!isOver()) {
     const sentAt = performance.now()
-    const read = await callAny<RoutesRead>(operator.client, 'fleet.read', {}).catch(() => undefined)
+    const read = await callAny<RoutesReadResult>(operator.client, 'fleet.read', {}).catch(() => undefined)
     if (read !== undefined) operator.ledger.reads.push({ sentAt, version: read.routesVersion })
     await sleep(readEveryMs)
   }
@@ -128,7 +128,7 @@
 
 /** What is wrong with the routes that are in force in the end. */
 export async function checkFinalRoutes (operator: Operator): Promise<void> {
-  const read = await callUntilClear<RoutesRead>(operator.client, 'fleet.read', {}, orderMs)
+  const read = await callUntilClear<RoutesReadResult>(operator.client, 'fleet.read', {}, orderMs)
   const newest = Math.max(0, ...operator.ledger.confirmed.filter(({ type }) => type === 'change').map(({ version }) => version))
   const isRight = read !== undefined && (read.routesVersion === newest || (read.routesVersion > newest && operator.unclear.has(read.routesVersion)))
   if (!isRight) operator.ledger.notes.push(`lost: version ${read?.routesVersion ?? 'none'} is in force in the end, ${newest} was confirmed`)
