--- a/packages/daemon/__tests__/lateConnection.test.ts
+++ b/packages/daemon/__tests__/lateConnection.test.ts
@@ -5,7 +5,7 @@
 import type { AddressInfo, Server } from 'node:net'
 import { test } from 'node:test'
 import { loadChart } from '@lynxcourse/base'
-import { createPool, startLoopMonitor, getCurrentTime, startExchange, takeConnection } from '@lynxcourse/daemon'
+import { createConnectionPool, startLoopMonitor, getCurrentTime, startExchange, acquireConnection } from '@lynxcourse/daemon'
 
 const connectTimeoutMs = 10_000
 /** Age of the connection request. It counts as late, so all sockets are polled before the connection is used. */
@@ -34,9 +34,9 @@
     if (opened === maxConnections) self.close()
   })
   await using loop = startLoopMonitor()
-  await using pool = createPool({ staleMs: Infinity, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.polls)
+  await using pool = createConnectionPool({ staleMs: Infinity, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.polls)
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
-  const { client } = takeConnection(pool, address, false, getCurrentTime() - connectionAgeMs)
+  const { client } = acquireConnection(pool, address, false, getCurrentTime() - connectionAgeMs)
   const exchange = startExchange(client, { method: 'GET', path: '/' }, Infinity, () => undefined)
   await assert.rejects(exchange.answer, { code: 'ECONNRESET', syscall: 'connect' })
   assert.equal(exchange.startedAt, undefined)
@@ -53,8 +53,8 @@
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
   await new Promise(resolve => server.close(resolve))
   await using loop = startLoopMonitor()
-  await using pool = createPool({ staleMs: Infinity, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.polls)
-  const { client } = takeConnection(pool, address, false, getCurrentTime() - connectionAgeMs)
+  await using pool = createConnectionPool({ staleMs: Infinity, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.polls)
+  const { client } = acquireConnection(pool, address, false, getCurrentTime() - connectionAgeMs)
   const exchange = startExchange(client, { method: 'GET', path: '/' }, Infinity, () => undefined)
   await assert.rejects(exchange.answer, { code: 'ECONNREFUSED', syscall: 'connect' })
 })
--- a/packages/daemon/src/core/daemon.ts
+++ b/packages/daemon/src/core/daemon.ts
@@ -22,11 +22,11 @@
 import { addReportMethod } from './control/vmReports.js'
 import { addAnnounceMethod } from './entry/announcements.js'
 import { createCallerServer } from './entry/callerServer.js'
-import { createClaiming } from './entry/claiming.js'
-import { sweepConnections } from './entry/connectionPool.js'
-import { createEntry } from './entry/entry.js'
-import type { Entry } from './entry/entry.js'
-import { startPolling } from './entry/polling.js'
+import { createClaimClient } from './entry/claimClient.js'
+import { closeStaleConnections } from './entry/connectionPool.js'
+import { createEntryState } from './entry/entry.js'
+import type { EntryState } from './entry/entry.js'
+import { startLoadPolling } from './entry/loadPolling.js'
 import { addChangeMethod } from './node/changes.js'
 import { addClaimMethod } from './node/claimService.js'
 import { createControlEnv, createNode, hasControlRole, hasEntryRole } from './node/node.js'
@@ -45,7 +45,7 @@
   readonly node: Node
   readonly control: ControlHost | undefined
   readonly leaderTasks: LeaderTasks | undefined
-  readonly entry: Entry | undefined
+  readonly entry: EntryState | undefined
   readonly syncing: Syncing
   readonly servers: readonly Server[]
 }
@@ -71,7 +71,7 @@
   const control = hasControlRole(node) ? addResource(stack, await openControl(createControlEnv(node))) : undefined
   const rpc = createRpcServer({ maxBytes: cfg.limits.maxRpcBytes, perSecond: cfg.limits.rpcPerSecond }, node.metrics, tls, addResource(stack, startLoopMonitor()))
   const syncing = addResource(stack, startSyncing(node, control))
-  const entry = hasEntryRole(node) ? createEntry(node, blocks, createClaiming(node)) : undefined
+  const entry = hasEntryRole(node) ? createEntryState(node, blocks, createClaimClient(node)) : undefined
   const leaderTasks = control === undefined ? undefined : startControlRole(stack, node, control, rpc)
   addSyncMethod(rpc, syncing)
   addChangeMethod(rpc, node, control)
@@ -102,19 +102,19 @@
   return leaderTasks
 }
 
-function startEntryRole (stack: ResourceStack, entry: Entry, syncing: Syncing): Server {
+function startEntryRole (stack: ResourceStack, entry: EntryState, syncing: Syncing): Server {
   addResource(stack, entry.pool)
   addResource(stack, entry.loop)
   addResource(stack, startReporting(entry.node, entry))
-  addResource(stack, startPolling(entry))
-  addResource(stack, repeat(sweepIntervalMs, () => sweepConnections(entry.pool, getCurrentTime()), () => undefined))
+  addResource(stack, startLoadPolling(entry))
+  addResource(stack, repeat(sweepIntervalMs, () => closeStaleConnections(entry.pool, getCurrentTime()), () => undefined))
   addResource(stack, repeat(lookupCountIntervalMs, () => recordLookups(entry), () => undefined))
   return createCallerServer(entry, syncing)
 }
 
-function recordLookups (entry: Entry): void {
-  entry.node.metrics.lookups.inc({ result: 'ok' }, entry.lookupsAnswered)
-  entry.lookupsAnswered = 0
+function recordLookups (entry: EntryState): void {
+  entry.node.metrics.lookups.inc({ result: 'ok' }, entry.uncountedLookups)
+  entry.uncountedLookups = 0
 }
 
 /**
@@ -131,7 +131,7 @@
   log(node.logs, 'daemon', 'info', 'Left.', { open: entry?.open ?? 0 })
 }
 
-async function drainEntry (entry: Entry, node: Node): Promise<void> {
+async function drainEntry (entry: EntryState, node: Node): Promise<void> {
   entry.leaving = true
   const ttls = listItems(node.config, 'profile').map(item => item.profile.lookupTtlS * 1000)
   const propagationMs = node.cfg.times.syncMs * 3
--- a/packages/daemon/src/core/entry/announcements.ts
+++ b/packages/daemon/src/core/entry/announcements.ts
@@ -18,7 +18,7 @@
 import { addMethod } from '../rpc/rpcServer.js'
 import type { RpcServer } from '../rpc/rpcServer.js'
 import { takeToken } from '../../utils/rateLimit.js'
-import type { Entry } from './entry.js'
+import type { EntryState } from './entry.js'
 
 export const announcePath = '/v1/announce'
 
@@ -56,7 +56,7 @@
  * Answers an announcement over HTTP, where only the sender's address identifies the server. Rejected if TLS is
  * configured.
  */
-export async function answerAnnouncement (entry: Entry, syncing: Syncing, req: IncomingMessage, res: ServerResponse): Promise<void> {
+export async function answerAnnouncement (entry: EntryState, syncing: Syncing, req: IncomingMessage, res: ServerResponse): Promise<void> {
   const { node } = entry
   try {
     if (node.cfg.tls !== undefined) {
@@ -75,7 +75,7 @@
 }
 
 /** Adds the RPC method by which servers announce themselves over mutual TLS, under the name in their certificate. */
-export function addAnnounceMethod (rpc: RpcServer, entry: Entry, syncing: Syncing): void {
+export function addAnnounceMethod (rpc: RpcServer, entry: EntryState, syncing: Syncing): void {
   addMethod(rpc, 'server.announce', ['server'], announcementSchema, (announcement, caller) => {
     if (caller.role === 'server' && caller.name !== announcement.server) {
       throw new LynxError('notAllowed', `server:${caller.name} may not announce ${announcement.server}`, { step: 'announce', field: 'server', peer: caller.name })
@@ -84,7 +84,7 @@
   })
 }
 
-function handleAnnouncement (entry: Entry, syncing: Syncing, announcement: Announcement, peer: string): AnnouncementReply {
+function handleAnnouncement (entry: EntryState, syncing: Syncing, announcement: Announcement, peer: string): AnnouncementReply {
   const { announceMs } = entry.node.cfg.times
   if (!takeToken(entry.announcementRateLimit, peer, getCurrentTime())) {
     throw new LynxError('overCapacity', `more than ${entry.announcementRateLimit.perSecond} announcements per second`, { step: 'announce', peer })
@@ -121,7 +121,7 @@
   return regions.find(([, domains]) => (domains as readonly string[]).includes(domain))?.[0] as RegionId | undefined
 }
 
-function applyAnnouncement (entry: Entry, syncing: Syncing, announcement: Announcement, record: ServerRecord): void {
+function applyAnnouncement (entry: EntryState, syncing: Syncing, announcement: Announcement, record: ServerRecord): void {
   const { node } = entry
   const existing = findServer(node.directory, record.key)
   const isRegistered = existing !== undefined && existing.state !== 'gone'
--- a/packages/daemon/src/core/entry/attemptSteps.ts
+++ b/packages/daemon/src/core/entry/attemptSteps.ts
@@ -11,8 +11,8 @@
 import type { FinalAnswer } from '../../types/answers.js'
 import { runAttempt } from './attempts.js'
 import type { AttemptResult } from './attempts.js'
-import type { ServedRequest } from './serving.js'
-import { acquireSlot, limitGate, releaseSlot } from './slots.js'
+import type { ServedRequest } from './servedRequest.js'
+import { acquireSlot, createLimitGate, releaseSlot } from './slots.js'
 import type { SlotFailure, Slot } from './serviceQueue.js'
 
 /** State of one request in the `attempt` chart. */
@@ -41,7 +41,7 @@
  */
 export async function acquireUsableSlot (serving: ServedRequest, triedServers: ReadonlySet<string>, latestSendTime: Millis): Promise<Slot | SlotFailure> {
   const { entry, request, places, signal } = serving
-  const gate = limitGate(entry, request.service, request.profile, getCurrentTime)
+  const gate = createLimitGate(entry, request.service, request.profile, getCurrentTime)
   const slot = await acquireSlot(entry, { service: request.service, places, triedServers }, gate, latestSendTime, signal)
   if (typeof slot === 'string') return slot
   await refreshCallerLiveness(serving)
--- a/packages/daemon/src/core/entry/attempts.ts
+++ b/packages/daemon/src/core/entry/attempts.ts
@@ -10,10 +10,10 @@
 import { removeHopByHopHeaders } from '../../utils/headers.js'
 import { deadlineHeader, loadHeader, notStartedHeader, requestIdHeader } from '../../types/answers.js'
 import type { HeaderMap } from '../../types/answers.js'
-import { dropConnection, dropSilent, isConnectError, progressConnection, releaseConnection, takeConnection } from './connectionPool.js'
+import { closeConnection, closeSilentConnection, isConnectError, recordConnectionProgress, releaseConnection, acquireConnection } from './connectionPool.js'
 import type { Connection } from './connectionPool.js'
-import type { Entry } from './entry.js'
-import type { ServiceRequest } from './forwardRequest.js'
+import type { EntryState } from './entry.js'
+import type { ServiceRequest } from './serviceRequest.js'
 import type { Slot } from './serviceQueue.js'
 
 /**
@@ -38,14 +38,14 @@
  *
  * @param signal aborted when the caller disconnects or another attempt of the request gets an answer first
  */
-export async function runAttempt (entry: Entry, request: ServiceRequest, slot: Slot, signal: CancelSignal): Promise<AttemptResult> {
+export async function runAttempt (entry: EntryState, request: ServiceRequest, slot: Slot, signal: CancelSignal): Promise<AttemptResult> {
   const now = getCurrentTime()
-  const connection = takeConnection(entry.pool, slot.observed.backend.address, !request.isIdempotent, now)
+  const connection = acquireConnection(entry.pool, slot.observed.backend.address, !request.isIdempotent, now)
   const watch = watchAttempt(entry, request, connection, signal, now)
   try {
     const res = await connection.client.request({ ...buildRequestOptions(request, now), signal: watch.signal })
     watch.onHeaders()
-    progressConnection(entry.pool, connection, getCurrentTime())
+    recordConnectionProgress(entry.pool, connection, getCurrentTime())
     const load = Number(res.headers[loadHeader])
     if (res.headers[loadHeader] !== undefined) recordReportedLoad(slot.observed, load, getCurrentTime())
     if (isShed(res)) {
@@ -58,8 +58,8 @@
   } catch (err) {
     watch.stop()
     const wasSent = !isConnectError(err)
-    if (watch.reason() === 'silent') dropSilent(entry.pool, connection, now, getCurrentTime())
-    else dropConnection(entry.pool, connection, 'close')
+    if (watch.reason() === 'silent') closeSilentConnection(entry.pool, connection, now, getCurrentTime())
+    else closeConnection(entry.pool, connection, 'close')
     if (!wasSent) return { type: 'notSent', detail: getErrorMessage(err) }
     return { type: 'lost', detail: getErrorMessage(err), reason: watch.reason() }
   }
@@ -96,7 +96,7 @@
  * deadline covers the answer up to its last byte: otherwise, a body that stalls would occupy its slot, and its share of
  * a cap, past the deadline that the grants of caps rely on.
  */
-function watchAttempt (entry: Entry, request: ServiceRequest, connection: Connection, outerSignal: CancelSignal, now: Millis): AttemptWatch {
+function watchAttempt (entry: EntryState, request: ServiceRequest, connection: Connection, outerSignal: CancelSignal, now: Millis): AttemptWatch {
   const attemptSignal = new CancelSignal()
   let reason: ReturnType<AttemptWatch['reason']> = 'failed'
   let isOver = false
@@ -111,7 +111,7 @@
   const deadlineTimer = setTimeout(afterPoll(entry.loop.polls, abortWith('deadline')), Math.max(1, request.deadline - now))
   // A middlebox can lose track only of a connection that carried requests before. A new connection without an answer
   // means that the server is slow, and a second attempt would only add to its load.
-  const detectsSilence = connection.reused && request.isIdempotent
+  const detectsSilence = connection.isReused && request.isIdempotent
   const abortAsSilent = abortWith('silent')
   const checkSilence = (): void => { if (isSilent(entry.pool.cfg, connection.state, getCurrentTime())) abortAsSilent() }
   const silenceTimer = detectsSilence ? setTimeout(afterPoll(entry.loop.polls, checkSilence), entry.pool.cfg.silentMs + 1) : undefined
@@ -128,7 +128,7 @@
   }
 }
 
-async function readAnswer (entry: Entry, connection: Connection, res: Dispatcher.ResponseData, watch: AttemptWatch): Promise<AttemptResult> {
+async function readAnswer (entry: EntryState, connection: Connection, res: Dispatcher.ResponseData, watch: AttemptWatch): Promise<AttemptResult> {
   const headers = removeHopByHopHeaders(res.headers)
   const length = Number(res.headers['content-length'] ?? NaN)
   if (length <= maxBufferedAnswerBytes) {
@@ -140,13 +140,13 @@
   return { type: 'answered', status: res.statusCode, headers, body: streamBody(entry, connection, res, watch) }
 }
 
-function streamBody (entry: Entry, connection: Connection, res: Dispatcher.ResponseData, watch: AttemptWatch): Readable {
+function streamBody (entry: EntryState, connection: Connection, res: Dispatcher.ResponseData, watch: AttemptWatch): Readable {
   const body = res.body
-  body.on('data', () => progressConnection(entry.pool, connection, getCurrentTime()))
+  body.on('data', () => recordConnectionProgress(entry.pool, connection, getCurrentTime()))
   body.pause()
   body.once('close', () => {
     if (body.readableEnded) releaseConnection(entry.pool, connection, getCurrentTime())
-    else dropConnection(entry.pool, connection, 'close')
+    else closeConnection(entry.pool, connection, 'close')
     watch.stop()
   })
   return body
--- a/packages/daemon/src/core/entry/callerPlaces.ts
+++ b/packages/daemon/src/core/entry/callerRegions.ts
@@ -3,7 +3,7 @@
 import type { CandidateRegion } from '@lynxcourse/routing'
 import type { RegionId, ServiceId } from '@lynxcourse/base'
 import type { Profile } from '@lynxcourse/state'
-import type { Entry } from './entry.js'
+import type { EntryState } from './entry.js'
 
 /** What the address block of a caller determines. */
 export interface CallerInfo {
@@ -13,7 +13,7 @@
 }
 
 /** Looks up the address block of a caller. */
-export function callerInfo (entry: Entry, address: string): CallerInfo {
+export function getCallerInfo (entry: EntryState, address: string): CallerInfo {
   const ipv4 = parseIpv4(address)
   if (ipv4 === undefined) return { hash: 0, region: undefined }
   return { hash: hashBlock(ipv4), region: findRegion(entry.callerBlockTable, ipv4) }
@@ -23,7 +23,7 @@
  * Returns the regions to try for a caller, in order. A caller of an unknown block is treated as one in this VM's
  * region.
  */
-export function placesFor (entry: Entry, service: ServiceId, profile: Profile, caller: CallerInfo): CandidateRegion[] {
+export function getCandidateRegions (entry: EntryState, service: ServiceId, profile: Profile, caller: CallerInfo): CandidateRegion[] {
   return orderRegions({
     service,
     places: profile.places,
--- a/packages/daemon/src/core/entry/callerServer.ts
+++ b/packages/daemon/src/core/entry/callerServer.ts
@@ -8,10 +8,10 @@
 import { recordAcceptedConnection } from '../../utils/loopMonitor.js'
 import type { Syncing } from '../node/syncing.js'
 import { announcePath, answerAnnouncement } from './announcements.js'
-import type { Entry } from './entry.js'
+import type { EntryState } from './entry.js'
 import { createRefusal, writeAnswer } from './finalAnswers.js'
 import { forwardRequest } from './forwarding.js'
-import { servicePath } from './forwardRequest.js'
+import { servicePath } from './serviceRequest.js'
 import { answerLookup, lookupPath } from './lookups.js'
 
 const headersTimeoutMs = 10_000
@@ -19,7 +19,7 @@
 const keepAliveTimeoutMs = 15_000
 
 /** Creates the server. Node's own timeouts close the connections of slow or broken senders. */
-export function createCallerServer (entry: Entry, syncing: Syncing): Server {
+export function createCallerServer (entry: EntryState, syncing: Syncing): Server {
   const { limits } = entry.node.cfg
   const server = createServer({
     maxHeaderSize: limits.maxHeaderBytes,
@@ -36,7 +36,7 @@
   return server
 }
 
-function handleRequest (entry: Entry, syncing: Syncing, req: IncomingMessage, res: ServerResponse): void {
+function handleRequest (entry: EntryState, syncing: Syncing, req: IncomingMessage, res: ServerResponse): void {
   const url = req.url ?? ''
   if (entry.leaving) res.shouldKeepAlive = false
   if (url.startsWith(lookupPath)) {
--- a/packages/daemon/src/core/entry/claiming.ts
+++ b/packages/daemon/src/core/entry/claimClient.ts
@@ -24,7 +24,7 @@
 }
 
 /** Commands of this VM to the register of claims. */
-export interface Claiming {
+export interface ClaimClient {
   readonly node: Node
   /** Commands to be sent in the next batches. */
   queue: PendingCommand[]
@@ -41,7 +41,7 @@
 /** How long an outcome is sent again for which no caller waits. */
 const backgroundRecordTimeoutMs = 10_000
 
-export function createClaiming (node: Node): Claiming {
+export function createClaimClient (node: Node): ClaimClient {
   return { node, queue: [], pendingCount: 0, scheduled: false }
 }
 
@@ -50,7 +50,7 @@
  *
  * @throws LynxError `noQuorum` if no answer arrived in time: the register may have granted the claim nevertheless
  */
-export async function claimRequestId (claimClient: Claiming, id: RequestId, token: string, deadline: Millis): Promise<ClaimAnswer> {
+export async function claimRequestId (claimClient: ClaimClient, id: RequestId, token: string, deadline: Millis): Promise<ClaimAnswer> {
   const startedAt = getCurrentTime()
   const command: ClaimCommand = { type: 'claim', id, holder: claimClient.node.holder, token }
   const answer = await submitCommand(claimClient, command, deadline) as ClaimAnswer
@@ -64,7 +64,7 @@
  *
  * @returns whether the register confirmed the outcome for the claim of this holder
  */
-export async function recordOutcome (claimClient: Claiming, id: RequestId, token: string, outcome: ClaimOutcome, answer: StoredAnswer | undefined, deadline: Millis): Promise<boolean> {
+export async function recordOutcome (claimClient: ClaimClient, id: RequestId, token: string, outcome: ClaimOutcome, answer: StoredAnswer | undefined, deadline: Millis): Promise<boolean> {
   const command: SettleCommand = { type: 'settle', id, holder: claimClient.node.holder, token, outcome, answer }
   try {
     const reply = await submitCommand(claimClient, command, deadline) as SettleAnswer
@@ -76,11 +76,11 @@
 }
 
 /** Records the outcome of a claim without waiting for the register. */
-export function recordOutcomeInBackground (claimClient: Claiming, id: RequestId, token: string, outcome: ClaimOutcome, answer: StoredAnswer | undefined): void {
+export function recordOutcomeInBackground (claimClient: ClaimClient, id: RequestId, token: string, outcome: ClaimOutcome, answer: StoredAnswer | undefined): void {
   recordOutcome(claimClient, id, token, outcome, answer, getCurrentTime() + backgroundRecordTimeoutMs).catch(() => undefined)
 }
 
-async function submitCommand (claimClient: Claiming, command: ClaimCommand | SettleCommand, deadline: Millis): Promise<ClaimReply> {
+async function submitCommand (claimClient: ClaimClient, command: ClaimCommand | SettleCommand, deadline: Millis): Promise<ClaimReply> {
   if (claimClient.pendingCount >= maxPendingCommands) throw new LynxError('overCapacity', `${maxPendingCommands} commands to the register of claims are pending`, { step: 'claim' })
   claimClient.pendingCount += 1
   try {
@@ -93,7 +93,7 @@
   }
 }
 
-function scheduleSend (claimClient: Claiming): void {
+function scheduleSend (claimClient: ClaimClient): void {
   if (claimClient.scheduled) return
   claimClient.scheduled = true
   // All commands of one event loop iteration share a message.
@@ -103,7 +103,7 @@
   })
 }
 
-async function sendBatch (claimClient: Claiming, batch: readonly PendingCommand[]): Promise<void> {
+async function sendBatch (claimClient: ClaimClient, batch: readonly PendingCommand[]): Promise<void> {
   const { node } = claimClient
   const startedAt = getCurrentTime()
   const latestDeadline = Math.max(...batch.map(pending => pending.deadline))
@@ -118,7 +118,7 @@
   }
 }
 
-async function retryBatch (claimClient: Claiming, batch: readonly PendingCommand[], err: unknown): Promise<void> {
+async function retryBatch (claimClient: ClaimClient, batch: readonly PendingCommand[], err: unknown): Promise<void> {
   const isFinal = isLynxError(err, 'badRequest') || isLynxError(err, 'notAllowed')
   log(claimClient.node.logs, 'claim', isFinal ? 'error' : 'warn', 'Batch of claims was not answered.', { commands: batch.length, peer: claimClient.node.leader, error: getErrorMessage(err) })
   if (!isFinal) await delay(retryDelayMs)
--- a/packages/daemon/src/core/entry/connectionPool.ts
+++ b/packages/daemon/src/core/entry/connectionPool.ts
@@ -17,7 +17,7 @@
   readonly state: ConnectionState
   readonly address: string
   /** Whether the connection carried a request before the present one. */
-  reused: boolean
+  isReused: boolean
   /** How long the connection was idle before the present request. */
   restedMs: Millis
   /** Whether the peer reset the connection: `undici` takes a reset for the end of a body without a length. */
@@ -45,7 +45,7 @@
  */
 const closeBeforeServerMs: Millis = 1000
 
-export function createPool (cfg: ConnectionCfg, chart: Chart, connectTimeoutMs: Millis, polls: PollTracker): ConnectionPool {
+export function createConnectionPool (cfg: ConnectionCfg, chart: Chart, connectTimeoutMs: Millis, polls: PollTracker): ConnectionPool {
   const pool: ConnectionPool = {
     cfg,
     chart,
@@ -64,11 +64,11 @@
 
 /**
  * Returns a connection that may carry a request, opening one if necessary. Pass it to `releaseConnection` or
- * `dropConnection` afterwards.
+ * `closeConnection` afterwards.
  *
  * @param mustNotRepeat whether the request must not run twice: then only a connection with very recent progress is reused
  */
-export function takeConnection (pool: ConnectionPool, address: string, mustNotRepeat: boolean, now: Millis): Connection {
+export function acquireConnection (pool: ConnectionPool, address: string, mustNotRepeat: boolean, now: Millis): Connection {
   const connections = pool.byAddress.get(address) ?? []
   for (let index = connections.length - 1; index >= 0; index--) {
     const connection = connections[index] as Connection
@@ -77,7 +77,7 @@
     if (mustNotRepeat && idleMs > getMaxIdleMs(pool.idleHistory, now)) continue
     connection.restedMs = idleMs
     applyConnectionEvent(pool.chart, connection.state, 'take')
-    connection.reused = true
+    connection.isReused = true
     return connection
   }
   const connection = openConnection(pool, address, now)
@@ -100,7 +100,7 @@
   client.on('connectionError', () => undefined)
   const state = createConnectionState(pool.chart, now)
   applyConnectionEvent(pool.chart, state, 'take')
-  const connection: Connection = { client, state, address, reused: false, restedMs: 0, wasReset: false }
+  const connection: Connection = { client, state, address, isReused: false, restedMs: 0, wasReset: false }
   return connection
 }
 
@@ -147,7 +147,7 @@
 }
 
 /** Records that bytes arrived on a connection. */
-export function progressConnection (pool: ConnectionPool, connection: Connection, now: Millis): void {
+export function recordConnectionProgress (pool: ConnectionPool, connection: Connection, now: Millis): void {
   if (connection.state.state === 'busy') recordProgress(pool.chart, connection.state, now)
 }
 
@@ -159,7 +159,7 @@
 }
 
 /** Closes a connection and removes it from the pool: it failed, went silent, or its answer was not read completely. */
-export function dropConnection (pool: ConnectionPool, connection: Connection, event: 'silent' | 'close' | 'quiet'): void {
+export function closeConnection (pool: ConnectionPool, connection: Connection, event: 'silent' | 'close' | 'quiet'): void {
   if (connection.state.state === 'closed') return
   applyConnectionEvent(pool.chart, connection.state, event)
   const remaining = (pool.byAddress.get(connection.address) ?? []).filter(other => other !== connection)
@@ -174,24 +174,24 @@
  *
  * @param takenAt when the request without an answer took the connection from the pool
  */
-export function dropSilent (pool: ConnectionPool, connection: Connection, takenAt: Millis, now: Millis): void {
+export function closeSilentConnection (pool: ConnectionPool, connection: Connection, takenAt: Millis, now: Millis): void {
   recordUnansweredAfterIdle(pool.idleHistory, connection.address, connection.restedMs, takenAt, now)
-  dropConnection(pool, connection, 'silent')
+  closeConnection(pool, connection, 'silent')
   for (const other of [...pool.byAddress.get(connection.address) ?? []]) {
-    if (other.state.state === 'idle') dropConnection(pool, other, 'close')
+    if (other.state.state === 'idle') closeConnection(pool, other, 'close')
   }
 }
 
 /** Records that the server reset a connection before any byte of an answer arrived. */
-export function noteUnanswered (pool: ConnectionPool, connection: Connection, now: Millis): void {
-  if (connection.reused) recordResetAfterIdle(pool.idleHistory, connection.address, connection.restedMs, now)
+export function recordUnansweredReset (pool: ConnectionPool, connection: Connection, now: Millis): void {
+  if (connection.isReused) recordResetAfterIdle(pool.idleHistory, connection.address, connection.restedMs, now)
 }
 
 /** Closes connections that have been idle for too long. */
-export function sweepConnections (pool: ConnectionPool, now: Millis): void {
+export function closeStaleConnections (pool: ConnectionPool, now: Millis): void {
   for (const connection of [...pool.byAddress.values()].flat()) {
     const isStale = now - connection.state.progressAt >= pool.cfg.staleMs
-    if (connection.state.state === 'idle' && isStale) dropConnection(pool, connection, 'quiet')
+    if (connection.state.state === 'idle' && isStale) closeConnection(pool, connection, 'quiet')
   }
 }
 
--- a/packages/daemon/src/core/entry/entry.ts
+++ b/packages/daemon/src/core/entry/entry.ts
@@ -15,9 +15,9 @@
 import type { RateLimit } from '../../utils/rateLimit.js'
 import type { DrainRemaining, RegionLoad, ReportSource } from '../node/reporting.js'
 import type { Node } from '../node/node.js'
-import { createPool } from './connectionPool.js'
+import { createConnectionPool } from './connectionPool.js'
 import type { ConnectionPool } from './connectionPool.js'
-import type { Claiming } from './claiming.js'
+import type { ClaimClient } from './claimClient.js'
 import type { LookupAnswer } from './lookupAnswer.js'
 import type { ServiceQueue } from './serviceQueue.js'
 
@@ -27,18 +27,18 @@
 }
 
 /** State of a VM in the entry role. */
-export interface Entry extends ReportSource {
+export interface EntryState extends ReportSource {
   readonly node: Node
   readonly router: Router
   readonly callerBlockTable: BlockTable
   readonly pool: ConnectionPool
   readonly loop: LoopMonitor
   readonly attemptChart: Chart
-  readonly claiming: Claiming
+  readonly claiming: ClaimClient
   lookupIndex: LookupIndex
-  /** Look-up answers by service and region, one for each bucket of callers; cleared by `refreshView`. */
+  /** Look-up answers by service and region, one for each bucket of callers; cleared by `refreshRoutingState`. */
   lookupCache: Map<ServiceId, Map<RegionId | undefined, LookupAnswer[]>>
-  /** Cache of the profiles by service; cleared by `refreshView`. */
+  /** Cache of the profiles by service; cleared by `refreshRoutingState`. */
   profiles: Map<ServiceId, Profile>
   /** Regions that are being drained. */
   drained: ReadonlySet<RegionId>
@@ -55,16 +55,16 @@
    * Look-ups answered since the last update of the metrics; updating a labelled counter for each look-up costs too
    * much.
    */
-  lookupsAnswered: number
+  uncountedLookups: number
   /** Whether this VM is shutting down: callers' connections are closed after their next answer. */
   leaving: boolean
   readonly announcementRateLimit: RateLimit
-  /** Whether the directory or the configuration changed since the last `refreshView`. */
+  /** Whether the directory or the configuration changed since the last `refreshRoutingState`. */
   needsRefresh: boolean
 }
 
 /** Creates the state of the entry role and marks it for a refresh on each change of the node. */
-export function createEntry (node: Node, blocks: readonly CallerBlock[], claiming: Claiming): Entry {
+export function createEntryState (node: Node, callerBlocks: readonly CallerBlock[], claiming: ClaimClient): EntryState {
   const { times } = node.cfg
   const latencies = new Map(Object.entries(node.cfg.topology.latenciesMs))
   const router = createRouter({
@@ -77,11 +77,11 @@
     latencies
   })
   const loop = startLoopMonitor()
-  const entry: Entry = {
+  const entry: EntryState = {
     node,
     router,
-    callerBlockTable: buildBlockTable(blocks),
-    pool: createPool({ staleMs: times.staleConnectionMs, silentMs: times.silentConnectionMs }, loadChart('connection'), times.connectTimeoutMs, loop.polls),
+    callerBlockTable: buildBlockTable(callerBlocks),
+    pool: createConnectionPool({ staleMs: times.staleConnectionMs, silentMs: times.silentConnectionMs }, loadChart('connection'), times.connectTimeoutMs, loop.polls),
     loop,
     attemptChart: loadChart('attempt'),
     claiming,
@@ -95,7 +95,7 @@
     retryBudgets: new Map(),
     open: 0,
     nextSequence: 1,
-    lookupsAnswered: 0,
+    uncountedLookups: 0,
     leaving: false,
     announcementRateLimit: createRateLimit(node.cfg.limits.announcementsPerSecond),
     needsRefresh: true,
@@ -110,7 +110,7 @@
  * Updates the inputs of routing if the directory or the configuration changed. Needs to be called before every routing
  * decision.
  */
-export function refreshView (entry: Entry, now: Millis): void {
+export function refreshRoutingState (entry: EntryState, now: Millis): void {
   if (!entry.needsRefresh) return
   entry.needsRefresh = false
   const { node } = entry
@@ -131,7 +131,7 @@
 }
 
 /** Returns the profile of a service, or undefined if no profile serves it. */
-export function getProfile (entry: Entry, service: ServiceId): Profile | undefined {
+export function getProfile (entry: EntryState, service: ServiceId): Profile | undefined {
   const cached = entry.profiles.get(service)
   if (cached !== undefined) return cached
   const profile = findServiceProfile(entry.node.config, service)
@@ -182,7 +182,7 @@
   return peers
 }
 
-function countRemainingByDrain (entry: Entry): DrainRemaining[] {
+function countRemainingByDrain (entry: EntryState): DrainRemaining[] {
   return listActiveDrains(entry.node.config).map(drain => {
     let count = coversVm(drain, entry.node.self) ? entry.open : 0
     if (count === 0) {
@@ -194,7 +194,7 @@
   })
 }
 
-function sumLoadsByRegion (entry: Entry): RegionLoad[] {
+function sumLoadsByRegion (entry: EntryState): RegionLoad[] {
   const loads = new Map<string, RegionLoad>()
   for (const { backend, inFlight } of entry.router.backends.byId.values()) {
     const key = `${backend.service} ${backend.region}`
--- a/packages/daemon/src/core/entry/forwarding.ts
+++ b/packages/daemon/src/core/entry/forwarding.ts
@@ -9,23 +9,23 @@
 import { getCurrentTime } from '../../utils/clock.js'
 import { recordRequestRead } from '../../utils/loopMonitor.js'
 import type { FinalAnswer } from '../../types/answers.js'
-import { callerInfo, placesFor } from './callerPlaces.js'
-import { refreshView } from './entry.js'
-import type { Entry } from './entry.js'
+import { getCallerInfo, getCandidateRegions } from './callerRegions.js'
+import { refreshRoutingState } from './entry.js'
+import type { EntryState } from './entry.js'
 import { createAnswer, createRefusal, writeAnswer } from './finalAnswers.js'
-import { readServiceRequest } from './forwardRequest.js'
-import type { ServiceRequest } from './forwardRequest.js'
+import { readServiceRequest } from './serviceRequest.js'
+import type { ServiceRequest } from './serviceRequest.js'
 import { serveOnce } from './serveOnce.js'
-import { serveIdempotent } from './serveRepeatable.js'
-import { getRetryBudget } from './serving.js'
-import type { ServedRequest } from './serving.js'
+import { serveIdempotent } from './serveIdempotent.js'
+import { getRetryBudget } from './servedRequest.js'
+import type { ServedRequest } from './servedRequest.js'
 import { getCompletionIntervalMs, getQueueLength } from './slots.js'
 
 /** Retry delay sent to callers while this VM is at its limit of requests. */
 const fullRetryMs = 1000
 
 /** Serves a request. Writes exactly one final answer, unless the caller disconnects. */
-export async function forwardRequest (entry: Entry, req: IncomingMessage, res: ServerResponse): Promise<void> {
+export async function forwardRequest (entry: EntryState, req: IncomingMessage, res: ServerResponse): Promise<void> {
   const startedAt = recordRequestRead(entry.loop, req.socket, getCurrentTime())
   const { node } = entry
   if (entry.open >= node.cfg.limits.maxRequests) {
@@ -61,9 +61,9 @@
   }
 }
 
-async function serveRequest (entry: Entry, request: ServiceRequest, address: string, signal: CancelSignal): Promise<FinalAnswer> {
+async function serveRequest (entry: EntryState, request: ServiceRequest, address: string, signal: CancelSignal): Promise<FinalAnswer> {
   const now = getCurrentTime()
-  refreshView(entry, now)
+  refreshRoutingState(entry, now)
   earnRetry(getRetryBudget(entry, request.service), request.profile.retryBudget)
   const places = getAllowedRegions(entry, request, address, now)
   const serving: ServedRequest = { entry, request, places, signal, liveness: createCallerLiveness(), admission: getAdmissionInput(entry, request, places, now) }
@@ -74,14 +74,14 @@
  * Returns the regions that may serve a request. A VM without a lease on the configuration cannot know of drains and
  * shifts: it allows no region, or only its own for a read whose profile says `local`.
  */
-function getAllowedRegions (entry: Entry, request: ServiceRequest, address: string, now: Millis): readonly CandidateRegion[] {
-  const places = placesFor(entry, request.service, request.profile, callerInfo(entry, address))
+function getAllowedRegions (entry: EntryState, request: ServiceRequest, address: string, now: Millis): readonly CandidateRegion[] {
+  const places = getCandidateRegions(entry, request.service, request.profile, getCallerInfo(entry, address))
   if (isLeaseValid(entry.node.configLease, now)) return places
   const mayServeLocally = request.profile.whenIsolated === 'local' && request.isIdempotent
   return mayServeLocally ? places.filter(candidate => candidate.region === entry.node.cfg.region && candidate.shift === undefined) : []
 }
 
-function getAdmissionInput (entry: Entry, request: ServiceRequest, places: readonly CandidateRegion[], now: Millis): AdmissionInput {
+function getAdmissionInput (entry: EntryState, request: ServiceRequest, places: readonly CandidateRegion[], now: Millis): AdmissionInput {
   const firstRegion = places[0]
   const roundTripMs = firstRegion === undefined ? 0 : getRoundTripMs(entry.router, firstRegion.region)
   const route = { service: request.service, places, triedServers: new Set<string>() }
--- a/packages/daemon/src/core/entry/polling.ts
+++ b/packages/daemon/src/core/entry/loadPolling.ts
@@ -8,8 +8,8 @@
 import type { ObservedServer } from '@lynxcourse/routing'
 import { getCurrentTime } from '../../utils/clock.js'
 import { repeat } from '../node/timers.js'
-import { refreshView } from './entry.js'
-import type { Entry } from './entry.js'
+import { refreshRoutingState } from './entry.js'
+import type { EntryState } from './entry.js'
 
 const pollIntervalMs = 2000
 const pollTimeoutMs = 1000
@@ -21,25 +21,25 @@
 const maxConcurrentPolls = 16
 
 /** Starts polling the servers in this VM's region. */
-export function startPolling (entry: Entry): AsyncDisposable {
+export function startLoadPolling (entry: EntryState): AsyncDisposable {
   return repeat(pollIntervalMs, async () => await pollAll(entry), () => undefined)
 }
 
-async function pollAll (entry: Entry): Promise<void> {
+async function pollAll (entry: EntryState): Promise<void> {
   const now = getCurrentTime()
-  refreshView(entry, now)
+  refreshRoutingState(entry, now)
   const serversToPoll = [...entry.router.backends.byId.values()].filter(observed => needsLoadPoll(entry, observed, now))
   for (let first = 0; first < serversToPoll.length; first += maxConcurrentPolls) {
     await Promise.all(serversToPoll.slice(first, first + maxConcurrentPolls).map(async observed => await pollOne(entry, observed)))
   }
 }
 
-function needsLoadPoll (entry: Entry, observed: ObservedServer, now: Millis): boolean {
+function needsLoadPoll (entry: EntryState, observed: ObservedServer, now: Millis): boolean {
   const isLocal = observed.backend.region === entry.node.cfg.region
   return isLocal && observed.state !== 'gone' && now - observed.reportedAt > maxReportAgeMs
 }
 
-async function pollOne (entry: Entry, observed: ObservedServer): Promise<void> {
+async function pollOne (entry: EntryState, observed: ObservedServer): Promise<void> {
   try {
     const res = await request(`http://${observed.backend.address}/load`, { signal: AbortSignal.timeout(pollTimeoutMs) })
     const report = await res.body.json() as { inFlight?: unknown }
--- a/packages/daemon/src/core/entry/lookups.ts
+++ b/packages/daemon/src/core/entry/lookups.ts
@@ -7,10 +7,10 @@
 import { parseAddress } from '../../utils/httpServer.js'
 import { isLogged, log } from '../../utils/logging.js'
 import { getCurrentTime } from '../../utils/clock.js'
-import { callerInfo, placesFor } from './callerPlaces.js'
-import type { CallerInfo } from './callerPlaces.js'
-import { getProfile, refreshView } from './entry.js'
-import type { Entry } from './entry.js'
+import { getCallerInfo, getCandidateRegions } from './callerRegions.js'
+import type { CallerInfo } from './callerRegions.js'
+import { getProfile, refreshRoutingState } from './entry.js'
+import type { EntryState } from './entry.js'
 import type { LookupAnswer } from './lookupAnswer.js'
 
 export const lookupPath = '/v1/lookup'
@@ -38,14 +38,14 @@
 }
 
 /** Answers a look-up. */
-export function answerLookup (entry: Entry, req: IncomingMessage, res: ServerResponse): void {
+export function answerLookup (entry: EntryState, req: IncomingMessage, res: ServerResponse): void {
   const { service, client } = parseQuery(req.url ?? '')
   if (service === undefined) {
     rejectLookup(entry, res, 400, 'service: expected ?service=NAME')
     return
   }
   const now = getCurrentTime()
-  refreshView(entry, now)
+  refreshRoutingState(entry, now)
   const profile = getProfile(entry, service)
   // Without a lease on the configuration, this VM could name VMs that left or are being drained.
   if (!isLeaseValid(entry.node.configLease, now) && profile?.whenIsolated !== 'local') {
@@ -57,8 +57,8 @@
     return
   }
   const address = client ?? req.socket.remoteAddress ?? ''
-  const answer = getLookupAnswer(entry, service, profile, callerInfo(entry, address))
-  entry.lookupsAnswered += 1
+  const answer = getLookupAnswer(entry, service, profile, getCallerInfo(entry, address))
+  entry.uncountedLookups += 1
   if (isLogged(entry.node.logs, 'lookup', 'debug')) log(entry.node.logs, 'lookup', 'debug', 'Answered.', { service, client: address })
   res.writeHead(200, answer.headers).end(answer.body)
 }
@@ -71,14 +71,14 @@
   return query
 }
 
-function rejectLookup (entry: Entry, res: ServerResponse, status: number, detail: string): void {
+function rejectLookup (entry: EntryState, res: ServerResponse, status: number, detail: string): void {
   entry.node.metrics.lookups.inc({ result: `refused${status}` })
   const retry: Record<string, string> = status === 503 ? { 'retry-after': '1' } : {}
   res.writeHead(status, { 'content-type': 'application/json', 'cache-control': 'no-store', ...retry }).end(`${JSON.stringify({ detail })}\n`)
 }
 
 /** Returns the answer for a caller, which all callers of the same region and bucket share. */
-function getLookupAnswer (entry: Entry, service: ServiceId, profile: Profile, caller: CallerInfo): LookupAnswer {
+function getLookupAnswer (entry: EntryState, service: ServiceId, profile: Profile, caller: CallerInfo): LookupAnswer {
   const bucket = caller.hash % callerBucketCount
   let byRegion = entry.lookupCache.get(service)
   if (byRegion === undefined) {
@@ -95,8 +95,8 @@
   return answer
 }
 
-function createLookupAnswer (entry: Entry, service: ServiceId, profile: Profile, caller: CallerInfo): LookupAnswer {
-  const candidates = placesFor(entry, service, profile, caller)
+function createLookupAnswer (entry: EntryState, service: ServiceId, profile: Profile, caller: CallerInfo): LookupAnswer {
+  const candidates = getCandidateRegions(entry, service, profile, caller)
   const vms = selectEntryVms(entry.lookupIndex, candidates, caller.hash).map(vm => {
     const { host, port } = parseAddress(vm.http)
     return { vm: vm.vm, region: vm.region, ip: host, port }
--- a/packages/daemon/src/core/entry/serveRepeatable.ts
+++ b/packages/daemon/src/core/entry/serveIdempotent.ts
@@ -11,8 +11,8 @@
 import type { AttemptChartState } from './attemptSteps.js'
 import type { AttemptResult } from './attempts.js'
 import { createAnswer } from './finalAnswers.js'
-import { getRetryBudget, getRetryDelayMs, canServeInTime } from './serving.js'
-import type { ServedRequest } from './serving.js'
+import { getRetryBudget, getRetryDelayMs, canServeInTime } from './servedRequest.js'
+import type { ServedRequest } from './servedRequest.js'
 import { getQueueLength } from './slots.js'
 import type { Slot } from './serviceQueue.js'
 
--- a/packages/daemon/src/core/entry/serving.ts
+++ b/packages/daemon/src/core/entry/servedRequest.ts
@@ -5,12 +5,12 @@
 import type { Millis, ServiceId } from '@lynxcourse/base'
 import type { CancelSignal } from '../../utils/cancelSignal.js'
 import { getCurrentTime } from '../../utils/clock.js'
-import type { Entry } from './entry.js'
-import type { ServiceRequest } from './forwardRequest.js'
+import type { EntryState } from './entry.js'
+import type { ServiceRequest } from './serviceRequest.js'
 
 /** A request in progress, with the inputs of its routing. */
 export interface ServedRequest {
-  readonly entry: Entry
+  readonly entry: EntryState
   readonly request: ServiceRequest
   /** Regions that may serve the request, in order. */
   readonly places: readonly CandidateRegion[]
@@ -31,7 +31,7 @@
 }
 
 /** Returns the retry budget of a service, creating it on first use. */
-export function getRetryBudget (entry: Entry, service: ServiceId): RetryBudget {
+export function getRetryBudget (entry: EntryState, service: ServiceId): RetryBudget {
   let budget = entry.retryBudgets.get(service)
   if (budget === undefined) {
     budget = createRetryBudget()
--- a/packages/daemon/src/core/entry/forwardRequest.ts
+++ b/packages/daemon/src/core/entry/serviceRequest.ts
@@ -6,8 +6,8 @@
 import type { Profile } from '@lynxcourse/state'
 import { deadlineHeader, headerPrefix, requestIdHeader } from '../../types/answers.js'
 import type { HeaderMap } from '../../types/answers.js'
-import { getProfile, refreshView } from './entry.js'
-import type { Entry } from './entry.js'
+import { getProfile, refreshRoutingState } from './entry.js'
+import type { EntryState } from './entry.js'
 
 /** Path prefix of requests to services: `/s/SERVICE/rest`. */
 export const servicePath = '/s/'
@@ -39,8 +39,8 @@
  *
  * @throws LynxError that names the invalid header or part
  */
-export async function readServiceRequest (entry: Entry, req: IncomingMessage, now: Millis): Promise<ServiceRequest> {
-  refreshView(entry, now)
+export async function readServiceRequest (entry: EntryState, req: IncomingMessage, now: Millis): Promise<ServiceRequest> {
+  refreshRoutingState(entry, now)
   const { service, path } = splitPath(req.url ?? '')
   const profile = getProfile(entry, service)
   if (profile === undefined) throw new LynxError('unknownService', `'${service}'`, { step: 'read request', field: 'path' })
@@ -119,7 +119,7 @@
   return Number(req.headers['content-length'] ?? 0) > 0 || req.headers['transfer-encoding'] !== undefined
 }
 
-async function readCallerBody (entry: Entry, req: IncomingMessage): Promise<CallerBody> {
+async function readCallerBody (entry: EntryState, req: IncomingMessage): Promise<CallerBody> {
   const { maxBodyBytes, bufferBytes } = entry.node.cfg.limits
   const contentLength = Number(req.headers['content-length'] ?? 0)
   if (contentLength > maxBodyBytes) throw createTooLargeError(maxBodyBytes)
--- a/packages/daemon/src/core/entry/slots.ts
+++ b/packages/daemon/src/core/entry/slots.ts
@@ -12,8 +12,8 @@
 import type { Profile } from '@lynxcourse/state'
 import type { CancelSignal } from '../../utils/cancelSignal.js'
 import { getCurrentTime } from '../../utils/clock.js'
-import { refreshView } from './entry.js'
-import type { Entry } from './entry.js'
+import { refreshRoutingState } from './entry.js'
+import type { EntryState } from './entry.js'
 import type { SlotFailure, ServiceQueue, Slot, Waiter } from './serviceQueue.js'
 
 /**
@@ -29,7 +29,7 @@
 const pruneIntervalMs = 20
 
 /** Creates the gate through which routing checks the caps of a profile for a service. */
-export function limitGate (entry: Entry, service: ServiceId, profile: Profile, now: () => Millis): LimitGate {
+export function createLimitGate (entry: EntryState, service: ServiceId, profile: Profile, now: () => Millis): LimitGate {
   const { node } = entry
   return {
     getResources: candidate => {
@@ -48,7 +48,7 @@
   }
 }
 
-function getServiceQueue (entry: Entry, service: ServiceId): ServiceQueue {
+function getServiceQueue (entry: EntryState, service: ServiceId): ServiceQueue {
   const existing = entry.queues.get(service)
   if (existing !== undefined) return existing
   const limit = findServiceProfile(entry.node.config, service)?.queueLimit ?? 0
@@ -58,12 +58,12 @@
 }
 
 /** Returns the number of requests that wait for a slot of a service. */
-export function getQueueLength (entry: Entry, service: ServiceId): number {
+export function getQueueLength (entry: EntryState, service: ServiceId): number {
   return entry.queues.get(service)?.queue.heap.length ?? 0
 }
 
 /** Returns the smoothed interval between completions of a service while other requests wait; 0 while unknown. */
-export function getCompletionIntervalMs (entry: Entry, service: ServiceId): Millis {
+export function getCompletionIntervalMs (entry: EntryState, service: ServiceId): Millis {
   return entry.queues.get(service)?.completionRate.intervalMs ?? 0
 }
 
@@ -72,9 +72,9 @@
  *
  * @param signal ends the wait when the caller disconnects
  */
-export async function acquireSlot (entry: Entry, request: RouteRequest, gate: LimitGate, deadline: Millis, signal: CancelSignal): Promise<Slot | SlotFailure> {
+export async function acquireSlot (entry: EntryState, request: RouteRequest, gate: LimitGate, deadline: Millis, signal: CancelSignal): Promise<Slot | SlotFailure> {
   const now = getCurrentTime()
-  refreshView(entry, now)
+  refreshRoutingState(entry, now)
   const serviceQueue = getServiceQueue(entry, request.service)
   // Requests that already wait go first.
   const slot = serviceQueue.queue.heap.length === 0 ? tryAcquireSlot(entry, request, gate, now) : undefined
@@ -89,7 +89,7 @@
   readonly signal: CancelSignal
 }
 
-async function waitForSlot (entry: Entry, serviceQueue: ServiceQueue, options: WaitOptions): Promise<Slot | SlotFailure> {
+async function waitForSlot (entry: EntryState, serviceQueue: ServiceQueue, options: WaitOptions): Promise<Slot | SlotFailure> {
   const { request, gate, deadline, signal } = options
   return await new Promise(resolve => {
     const waiter: Waiter = {
@@ -118,7 +118,7 @@
   })
 }
 
-function tryAcquireSlot (entry: Entry, request: RouteRequest, gate: LimitGate, now: Millis): Slot | undefined {
+function tryAcquireSlot (entry: EntryState, request: RouteRequest, gate: LimitGate, now: Millis): Slot | undefined {
   const decision = routeRequest(entry.router, request, gate, now)
   if (decision.type === 'wait') return undefined
   beginAttempt(decision.observed)
@@ -128,7 +128,7 @@
 }
 
 /** Releases a slot and serves the requests that wait. */
-export function releaseSlot (entry: Entry, slot: Slot, end: AttemptOutcome): void {
+export function releaseSlot (entry: EntryState, slot: Slot, end: AttemptOutcome): void {
   const now = getCurrentTime()
   endAttempt(entry.router, slot.observed, end, now - slot.startedAt, now)
   releaseCapacity(entry.node.limits, slot.resources)
@@ -141,23 +141,23 @@
  * Records the completion rate of a service while other requests wait. Sheds do not count: if several VMs compete for the
  * same slots, most attempts may be shed, and a rate that included them would promise capacity that does not exist.
  */
-function recordServed (entry: Entry, service: ServiceId, end: AttemptOutcome, now: Millis): void {
+function recordServed (entry: EntryState, service: ServiceId, end: AttemptOutcome, now: Millis): void {
   const serviceQueue = entry.queues.get(service)
   if (serviceQueue !== undefined && serviceQueue.queue.heap.length > 0 && end !== 'shed') recordCompletion(serviceQueue.completionRate, now)
 }
 
 /** Serves the waiting requests of a service, by deadline, and rejects those that can no longer be served in time. */
-export function processQueue (entry: Entry, service: ServiceId): void {
+export function processQueue (entry: EntryState, service: ServiceId): void {
   const serviceQueue = entry.queues.get(service)
   if (serviceQueue === undefined) return
   const now = getCurrentTime()
-  refreshView(entry, now)
+  refreshRoutingState(entry, now)
   rejectUnservable(entry, serviceQueue, service, now)
   serveWaiters(entry, serviceQueue, now)
   scheduleQueueCheck(entry, serviceQueue, service)
 }
 
-function rejectUnservable (entry: Entry, serviceQueue: ServiceQueue, service: ServiceId, now: Millis): void {
+function rejectUnservable (entry: EntryState, serviceQueue: ServiceQueue, service: ServiceId, now: Millis): void {
   if (now - serviceQueue.prunedAt < pruneIntervalMs) return
   serviceQueue.prunedAt = now
   const minServiceMs = getMeanServiceMs(entry.router, service) / 2
@@ -167,7 +167,7 @@
   }
 }
 
-function serveWaiters (entry: Entry, serviceQueue: ServiceQueue, now: Millis): void {
+function serveWaiters (entry: EntryState, serviceQueue: ServiceQueue, now: Millis): void {
   const unserved: Waiter[] = []
   while (unserved.length < maxTriedWaiters) {
     const waiter = dequeue(serviceQueue.queue)
@@ -179,7 +179,7 @@
   for (const waiter of unserved) enqueue(serviceQueue.queue, waiter)
 }
 
-function scheduleQueueCheck (entry: Entry, serviceQueue: ServiceQueue, service: ServiceId): void {
+function scheduleQueueCheck (entry: EntryState, serviceQueue: ServiceQueue, service: ServiceId): void {
   const isEmpty = serviceQueue.queue.heap.length === 0
   if (isEmpty) pauseCompletionRate(serviceQueue.completionRate)
   if (isEmpty || serviceQueue.timer !== undefined) return
--- a/packages/daemon/src/core/fleet/fleetDaemon.ts
+++ b/packages/daemon/src/core/fleet/fleetDaemon.ts
@@ -13,7 +13,7 @@
 import type { FleetSettings } from '../../types/fleetSettings.js'
 import { enqueueEvent } from '../control/controlHost.js'
 import { addClusterMethods, keepJoining } from '../control/joining.js'
-import { sweepConnections } from '../entry/connectionPool.js'
+import { closeStaleConnections } from '../entry/connectionPool.js'
 import { applyCallerLimits, createCallerServer } from '../gateway/callerServer.js'
 import type { CallerDialect, ServerDialect } from '../gateway/dialects.js'
 import { recordConnectTime, refreshGateway } from '../gateway/gatewayRefresh.js'
@@ -103,7 +103,7 @@
   })
   node.onLoadUpdate.push(() => applyLoadUpdate(gateway, node.loadUpdate, node.cfg.region, getCurrentTime()))
   gateway.pool.onConnect = (address, startedAt) => recordConnectTime(gateway, address, getCurrentTime() - startedAt)
-  addResource(stack, repeat(sweepIntervalMs, () => sweepConnections(gateway.pool, getCurrentTime()), () => undefined))
+  addResource(stack, repeat(sweepIntervalMs, () => closeStaleConnections(gateway.pool, getCurrentTime()), () => undefined))
   ownServer(stack, server)
   await listen(server, node.cfg.callers ?? '')
   return server
--- a/packages/daemon/src/core/gateway/gateway.ts
+++ b/packages/daemon/src/core/gateway/gateway.ts
@@ -8,7 +8,7 @@
 import type { CallerLimits } from '@lynxcourse/state'
 import type { LoopMonitor } from '../../utils/loopMonitor.js'
 import type { FleetNode } from '../fleet/fleetNode.js'
-import { createPool } from '../entry/connectionPool.js'
+import { createConnectionPool } from '../entry/connectionPool.js'
 import type { ConnectionPool } from '../entry/connectionPool.js'
 import type { CallerDialect, ServerDialect } from './dialects.js'
 import type { Pipelines } from './pipeline.js'
@@ -41,7 +41,7 @@
     node,
     callers,
     servers,
-    pool: createPool({ staleMs: staleConnectionMs, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.polls),
+    pool: createConnectionPool({ staleMs: staleConnectionMs, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.polls),
     fleet: createFleet(setup, node.entryNames),
     load: node.load,
     splits: new Map(),
--- a/packages/daemon/src/core/gateway/sending.ts
+++ b/packages/daemon/src/core/gateway/sending.ts
@@ -9,7 +9,7 @@
 import { removeHopByHopHeaders } from '../../utils/headers.js'
 import { recordIteration } from '../../utils/loopMonitor.js'
 import { afterPoll } from '../../utils/pollPhase.js'
-import { dropConnection, dropSilent, noteUnanswered, progressConnection, releaseConnection, takeConnection } from '../entry/connectionPool.js'
+import { closeConnection, closeSilentConnection, recordUnansweredReset, recordConnectionProgress, releaseConnection, acquireConnection } from '../entry/connectionPool.js'
 import type { Connection } from '../entry/connectionPool.js'
 import type { Call } from './call.js'
 import { startExchange } from './exchange.js'
@@ -66,14 +66,14 @@
 export async function sendOnce (gateway: Gateway, call: Call, placement: Placement, timeouts: SendTimeouts): Promise<SendReport> {
   const now = getCurrentTime()
   const { facts } = placement.server
-  const connection = takeConnection(gateway.pool, facts.address, !call.route.isIdempotent, now)
-  const restedMs = connection.reused ? connection.restedMs : undefined
+  const connection = acquireConnection(gateway.pool, facts.address, !call.route.isIdempotent, now)
+  const restedMs = connection.isReused ? connection.restedMs : undefined
   const remainingMs = Math.max(1, Math.floor(call.deadline - now))
   const headers = { ...call.headers, ...gateway.servers.buildRequestHeaders(call.facts, facts.id, remainingMs) }
   const options: Dispatcher.DispatchOptions = { method: call.method as Dispatcher.HttpMethod, path: call.path, headers, body: call.body }
   const exchange = startExchange(connection.client, options, now + gateway.pool.connectTimeoutMs + lateConnectionMs, () => {
     recordIteration(gateway.loop)
-    progressConnection(gateway.pool, connection, getCurrentTime())
+    recordConnectionProgress(gateway.pool, connection, getCurrentTime())
   })
   const result = await awaitResult(gateway, call, placement, { connection, exchange, startedAt: now, timeouts })
   return { result, writtenAt: exchange.startedAt, restedMs }
@@ -95,11 +95,11 @@
     return handleAnswer(gateway, call, placement, connection, received, (exchange.startedAt ?? startedAt) - startedAt)
   } catch (err) {
     const now = getCurrentTime()
-    const wasSilent = connection.reused && silentReasons.has(watch.reason())
-    if (wasSilent) dropSilent(gateway.pool, connection, startedAt, now)
-    else dropConnection(gateway.pool, connection, 'close')
+    const wasSilent = connection.isReused && silentReasons.has(watch.reason())
+    if (wasSilent) closeSilentConnection(gateway.pool, connection, startedAt, now)
+    else closeConnection(gateway.pool, connection, 'close')
     const isPrompt = now - startedAt < promptResetMs + estimateRoundTrip(gateway.fleet, facts.region)
-    if (watch.reason() === 'failed' && isPrompt) noteUnanswered(gateway.pool, connection, now)
+    if (watch.reason() === 'failed' && isPrompt) recordUnansweredReset(gateway.pool, connection, now)
     if (watch.reason() === 'gone') return { type: 'lost', reason: 'gone', detail: getErrorMessage(err) }
     // A request that was never written can't have run.
     if (exchange.startedAt === undefined) return { type: 'notRun', reason: 'unreached', status: undefined }
@@ -116,7 +116,7 @@
   if (body === undefined || isTruncated || kind === 'spoiled') {
     // The answer is incomplete, belongs to another request or is not the server's own, so the rest of this connection
     // can't be trusted.
-    dropConnection(gateway.pool, connection, 'close')
+    closeConnection(gateway.pool, connection, 'close')
     return { type: 'lost', reason: 'spoiled', detail: body === undefined ? 'the answer exceeds the size limit' : isTruncated ? 'the connection was reset while the body was read' : 'the answer does not belong to the request' }
   }
   releaseConnection(gateway.pool, connection, getCurrentTime())
--- a/packages/daemon/src/core/node/queries.ts
+++ b/packages/daemon/src/core/node/queries.ts
@@ -12,10 +12,10 @@
 import type { LeaderTasks } from '../control/leaderState.js'
 import { measureShiftLoads } from '../control/shiftTask.js'
 import { getInForceStatus } from '../control/versionsInForce.js'
-import { callerInfo, placesFor } from '../entry/callerPlaces.js'
-import { refreshView } from '../entry/entry.js'
-import type { Entry } from '../entry/entry.js'
-import { limitGate } from '../entry/slots.js'
+import { getCallerInfo, getCandidateRegions } from '../entry/callerRegions.js'
+import { refreshRoutingState } from '../entry/entry.js'
+import type { EntryState } from '../entry/entry.js'
+import { createLimitGate } from '../entry/slots.js'
 import { getCurrentTime } from '../../utils/clock.js'
 import { callPeer } from '../rpc/rpcClient.js'
 import { addMethod } from '../rpc/rpcServer.js'
@@ -28,7 +28,7 @@
   readonly node: Node
   readonly control: ControlHost | undefined
   readonly leaderTasks: LeaderTasks | undefined
-  readonly entry: Entry | undefined
+  readonly entry: EntryState | undefined
 }
 
 const relayedField = { relayed: z.boolean().default(false) }
@@ -100,7 +100,7 @@
   })
 }
 
-function listObservedServers (node: Node, entry: Entry | undefined): unknown[] {
+function listObservedServers (node: Node, entry: EntryState | undefined): unknown[] {
   return listServers(node.directory).map(server => {
     const observed = entry?.router.backends.byId.get(server.key)
     return { ...server, seenAs: observed?.state, inFlight: observed?.inFlight, latencyMs: observed === undefined ? undefined : Math.round(observed.latencyMs * 10) / 10 }
@@ -140,14 +140,14 @@
 }
 
 /** Returns how a request of a client would be routed now, with the states of the service's servers. */
-function explainRoute (entry: Entry, service: ServiceId, client: string): object {
+function explainRoute (entry: EntryState, service: ServiceId, client: string): object {
   const now = getCurrentTime()
-  refreshView(entry, now)
+  refreshRoutingState(entry, now)
   const profile = findServiceProfile(entry.node.config, service)
   if (profile === undefined) throw new LynxError('unknownService', `'${service}'`, { step: 'explain', field: 'service' })
-  const caller = callerInfo(entry, client)
-  const places = placesFor(entry, service, profile, caller)
-  const decision = routeRequest(entry.router, { service, places, triedServers: new Set() }, limitGate(entry, service, profile, getCurrentTime), now)
+  const caller = getCallerInfo(entry, client)
+  const places = getCandidateRegions(entry, service, profile, caller)
+  const decision = routeRequest(entry.router, { service, places, triedServers: new Set() }, createLimitGate(entry, service, profile, getCurrentTime), now)
   const servers = (entry.router.backends.byService.get(service) ?? []).map(observed => {
     refreshBackend(entry.router.backends, observed, now)
     const { backend, state, inFlight, latencyMs } = observed
