--- a/packages/cli/src/cli.ts
+++ b/packages/cli/src/cli.ts
@@ -1,2 +1,2 @@
-/** The command line as a library, for tests. */
+/** Exports the modules of the command line to tests and scripts. */
 export * from './internal.js'
--- a/packages/cli/src/core/commands/fleets.ts
+++ b/packages/cli/src/core/commands/fleets.ts
@@ -6,49 +6,49 @@
 import { getRouteServices } from '@lynxcourse/state'
 import type { Route } from '@lynxcourse/state'
 import { exitCodes } from '../../utils/exitCodes.js'
-import { printOne, printRows } from '../../utils/printing.js'
+import { printRecord, printRows } from '../../utils/printing.js'
 import type { Row } from '../../utils/printing.js'
-import { call } from '../session.js'
-import { action } from './action.js'
+import { callAnyVm } from '../session.js'
+import { createAction } from './action.js'
 
-/** Services of a route with their shares in percent. */
-function sharesOf (route: Route): string {
-  const parts = getRouteServices(route)
-  const total = parts.reduce((sum, part) => sum + part.weight, 0)
-  return parts.map(part => `${part.service}=${Math.round(part.weight / total * 100)}%`).join(',')
+/** Formats the services of a route with their shares in percent. */
+function formatShares (route: Route): string {
+  const services = getRouteServices(route)
+  const total = services.reduce((sum, entry) => sum + entry.weight, 0)
+  return services.map(entry => `${entry.service}=${Math.round(entry.weight / total * 100)}%`).join(',')
 }
 
-/** A route as a row of output. */
-export function routeRow (route: Route): Row {
+/** Creates the output row of a route. */
+export function createRouteRow (route: Route): Row {
   const { name, host, pathPrefix, isIdempotent, rank, aimMs, timeoutMs, maxAttempts, homes } = route
-  return { name, host, pathPrefix, services: sharesOf(route), idempotent: isIdempotent, rank, aimMs, timeoutMs, maxAttempts, homes: homes.join() }
+  return { name, host, pathPrefix, services: formatShares(route), idempotent: isIdempotent, rank, aimMs, timeoutMs, maxAttempts, homes: homes.join() }
 }
 
 /**
- * The route that a request would take, and those of its host that fit less well.
+ * Returns the route that matches a request, and the less specific routes of the same host that match too.
  *
- * @throws LynxError `notFound` when no route fits
+ * @throws LynxError `notFound` if no route matches
  */
-export function explainMatch (read: RoutesReadResult, host: string, path: string): Row {
-  const routes = read.set?.routes ?? []
+export function explainMatch (result: RoutesReadResult, host: string, path: string): Row {
+  const routes = result.set?.routes ?? []
   const chosen = matchRoute(buildRouteTable(routes), host, path)
-  if (chosen === undefined) throw new LynxError('notFound', `no route for ${host}${path} in version ${read.routesVersion}`, { step: 'match' })
-  const passedOver = routes.filter(route => route !== chosen && route.host === chosen.host && path.startsWith(route.pathPrefix))
-  return { version: read.routesVersion, ...routeRow(chosen), passedOver: passedOver.map(route => `${route.name} ${route.pathPrefix}`) }
+  if (chosen === undefined) throw new LynxError('notFound', `no route for ${host}${path} in version ${result.routesVersion}`, { step: 'match' })
+  const lessSpecific = routes.filter(route => route !== chosen && route.host === chosen.host && path.startsWith(route.pathPrefix))
+  return { version: result.routesVersion, ...createRouteRow(chosen), passedOver: lessSpecific.map(route => `${route.name} ${route.pathPrefix}`) }
 }
 
-/** Adds the commands. */
+/** Adds the commands of `lynxcourse fleet`. */
 export function addFleetCommands (program: Command): void {
-  const fleet = program.command('fleet').description('routes of a fleet, read through a quorum of its control VMs')
-  fleet.command('routes').description('list routes').action(action(async session => {
-    const read = await call<RoutesReadResult>(session, 'fleet.read')
+  const fleet = program.command('fleet').description('routes of a fleet, read from a quorum of its control VMs')
+  fleet.command('routes').description('list routes').action(createAction(async session => {
+    const result = await callAnyVm<RoutesReadResult>(session, 'fleet.read')
     const columns = ['name', 'host', 'pathPrefix', 'services', 'idempotent', 'rank', 'aimMs', 'timeoutMs', 'maxAttempts', 'homes']
-    printRows(session.output, (read.set?.routes ?? []).map(routeRow), columns)
+    printRows(session.output, (result.set?.routes ?? []).map(createRouteRow), columns)
     return exitCodes.ok
   }))
-  fleet.command('match <host> <path>').description('show which route a request would take, and what fits less well').action(action(async (session, [host, path]) => {
-    const read = await call<RoutesReadResult>(session, 'fleet.read')
-    printOne(session.output, explainMatch(read, host ?? '', path ?? ''))
+  fleet.command('match <host> <path>').description('show the route that matches a request, and the less specific routes').action(createAction(async (session, [host, path]) => {
+    const result = await callAnyVm<RoutesReadResult>(session, 'fleet.read')
+    printRecord(session.output, explainMatch(result, host ?? '', path ?? ''))
     return exitCodes.ok
   }))
 }
--- a/packages/cli/src/core/commands/profiles.ts
+++ b/packages/cli/src/core/commands/profiles.ts
@@ -6,18 +6,18 @@
 import type { Profile, ProfileItem, ServiceItem } from '@lynxcourse/state'
 import { parse, stringify } from 'yaml'
 import { exitCodes } from '../../utils/exitCodes.js'
-import { printOne, printRows } from '../../utils/printing.js'
+import { printRecord, printRows } from '../../utils/printing.js'
 import { sendChange } from '../changing.js'
 import type { ChangeOptions } from '../changing.js'
-import { call, findByKey } from '../session.js'
+import { callAnyVm, findByKey } from '../session.js'
 import type { Session } from '../session.js'
-import { action, changeOptions } from './action.js'
+import { createAction, addChangeOptions } from './action.js'
 
 interface PublishOptions extends ChangeOptions {
   readonly expectedVersion?: string
 }
 
-/** Reads and checks a profile's file. */
+/** Reads and checks the file of a profile. */
 export function readProfile (file: string): Profile {
   let raw: unknown
   try {
@@ -33,82 +33,82 @@
 }
 
 async function listProfiles (session: Session): Promise<ProfileItem[]> {
-  return await call<ProfileItem[]>(session, 'query.profiles')
+  return await callAnyVm<ProfileItem[]>(session, 'query.profiles')
 }
 
 async function findProfile (session: Session, name: string): Promise<ProfileItem> {
   return await findByKey<ProfileItem>(session, 'query.profiles', 'profile', name)
 }
 
-/** The version to expect: as given, or the present one, which leaves a race to be noticed. */
-async function expectedVersion (session: Session, name: string, given: string | undefined): Promise<number> {
-  if (given === undefined) return (await listProfiles(session)).find(item => item.key === name)?.itemVersion ?? 0
-  const version = Number(given)
+/** Returns the requested version, or else the current one, so that a change submitted after this read is still detected. */
+async function resolveExpectedVersion (session: Session, name: string, requested: string | undefined): Promise<number> {
+  if (requested === undefined) return (await listProfiles(session)).find(item => item.key === name)?.itemVersion ?? 0
+  const version = Number(requested)
   if (Number.isInteger(version) && version >= 0) return version
-  throw new LynxError('badRequest', `--expected-version: '${given}' is no version`, { step: 'profile', field: 'expected-version' })
+  throw new LynxError('badRequest', `--expected-version: '${requested}' is not a version`, { step: 'profile', field: 'expected-version' })
 }
 
-function rowOf (item: ProfileItem): Record<string, unknown> {
+function createProfileRow (item: ProfileItem): Record<string, unknown> {
   const { profile, itemVersion, retired, origin } = item
   return { name: profile.name, version: itemVersion, retired, places: profile.places.join(','), operator: origin.operator, changeId: origin.changeId, at: new Date(origin.at).toISOString() }
 }
 
 const columns = ['name', 'version', 'retired', 'places', 'operator', 'changeId', 'at']
 
-/** Adds the commands. */
+/** Adds `lynxcourse profile` and `lynxcourse service`. */
 export function addProfileCommands (program: Command): void {
   const profile = program.command('profile').description('publish, read and retire steering profiles')
-  changeOptions(profile.command('publish <file>').description('create or change a profile from a YAML file'))
-    .option('--expected-version <n>', 'version that this change is made on; 0 for a new profile')
+  addChangeOptions(profile.command('publish <file>').description('create or change a profile from a YAML file'))
+    .option('--expected-version <n>', 'version that this change is based on; 0 for a new profile')
     .addHelpText('after', '\nExample:\n  lynxcourse profile publish desk.yaml --expected-version 3 --wait\n')
-    .action(action(async (session, [file], options: PublishOptions) => {
-      const wanted = readProfile(file)
-      const version = await expectedVersion(session, wanted.name, options.expectedVersion)
-      return await sendChange(session, { type: 'publishProfile', expectedVersion: version, profile: wanted }, options)
+    .action(createAction(async (session, [file], options: PublishOptions) => {
+      const fileProfile = readProfile(file)
+      const version = await resolveExpectedVersion(session, fileProfile.name, options.expectedVersion)
+      return await sendChange(session, { type: 'publishProfile', expectedVersion: version, profile: fileProfile }, options)
     }))
-  profile.command('get <name>').description('print a profile').action(action(async (session, [name]) => {
+  profile.command('get <name>').description('print a profile').action(createAction(async (session, [name]) => {
     const item = await findProfile(session, name)
-    if (session.output === 'json') printOne('json', { ...item })
+    if (session.output === 'json') printRecord('json', { ...item })
     else process.stdout.write(`# version ${item.itemVersion}${item.retired ? ', retired' : ''}\n${stringify(item.profile)}`)
     return exitCodes.ok
   }))
-  profile.command('list').description('list profiles').action(action(async session => {
-    printRows(session.output, (await listProfiles(session)).map(rowOf), columns)
+  profile.command('list').description('list profiles').action(createAction(async session => {
+    printRows(session.output, (await listProfiles(session)).map(createProfileRow), columns)
     return exitCodes.ok
   }))
-  profile.command('history <name>').description('list the versions of a profile').action(action(async (session, [name]) => {
-    printRows(session.output, (await call<ProfileItem[]>(session, 'query.history', { name })).map(rowOf), columns)
+  profile.command('history <name>').description('list the versions of a profile').action(createAction(async (session, [name]) => {
+    printRows(session.output, (await callAnyVm<ProfileItem[]>(session, 'query.history', { name })).map(createProfileRow), columns)
     return exitCodes.ok
   }))
-  profile.command('diff <name> <file>').description('compare the published profile with a file').action(action(async (session, [name, file]) => {
+  profile.command('diff <name> <file>').description('compare the published profile with a file').action(createAction(async (session, [name, file]) => {
     const rows = diffProfiles((await findProfile(session, name)).profile, readProfile(file))
     printRows(session.output, rows, ['field', 'published', 'file'])
     return exitCodes.ok
   }))
-  changeOptions(profile.command('retire <name>').description('retire a profile that no service runs under'))
-    .option('--expected-version <n>', 'version that this change is made on')
-    .action(action(async (session, [name], options: PublishOptions) => {
-      const version = await expectedVersion(session, name, options.expectedVersion)
+  addChangeOptions(profile.command('retire <name>').description('retire a profile that no service uses'))
+    .option('--expected-version <n>', 'version that this change is based on')
+    .action(createAction(async (session, [name], options: PublishOptions) => {
+      const version = await resolveExpectedVersion(session, name, options.expectedVersion)
       return await sendChange(session, { type: 'retireProfile', expectedVersion: version, name }, options)
     }))
   addServiceCommands(program)
 }
 
-/** Fields in which two profiles differ. */
-export function diffProfiles (published: Profile, wanted: Profile): Array<Record<string, unknown>> {
+/** Returns the fields in which two profiles differ. */
+export function diffProfiles (published: Profile, fileProfile: Profile): Array<Record<string, unknown>> {
   const fields = Object.keys(published) as Array<keyof Profile>
   return fields
-    .filter(field => JSON.stringify(published[field]) !== JSON.stringify(wanted[field]))
-    .map(field => ({ field, published: published[field], file: wanted[field] }))
+    .filter(field => JSON.stringify(published[field]) !== JSON.stringify(fileProfile[field]))
+    .map(field => ({ field, published: published[field], file: fileProfile[field] }))
 }
 
 function addServiceCommands (program: Command): void {
-  const service = program.command('service').description('the profile that each service runs under')
-  changeOptions(service.command('pick <service> <profile>').description('let a service run under a profile'))
-    .action(action(async (session, [name, profile], options: ChangeOptions) =>
+  const service = program.command('service').description('show and select the profiles of services')
+  addChangeOptions(service.command('pick <service> <profile>').description('select the profile of a service'))
+    .action(createAction(async (session, [name, profile], options: ChangeOptions) =>
       await sendChange(session, { type: 'pickProfile', service: name, profile }, options)))
-  service.command('list').description('list services').action(action(async session => {
-    const rows = (await call<ServiceItem[]>(session, 'query.services')).map(item => ({ service: item.key, profile: item.profile, operator: item.origin.operator }))
+  service.command('list').description('list services').action(createAction(async session => {
+    const rows = (await callAnyVm<ServiceItem[]>(session, 'query.services')).map(item => ({ service: item.key, profile: item.profile, operator: item.origin.operator }))
     printRows(session.output, rows, ['service', 'profile', 'operator'])
     return exitCodes.ok
   }))
--- a/packages/cli/src/core/completion.ts
+++ b/packages/cli/src/core/completion.ts
@@ -1,22 +1,22 @@
-/** Bash completion, made from the commands themselves. */
+/** Bash completion, generated from the program's commands. */
 import type { Command } from 'commander'
 
-function word (index: string): string {
+function completionWord (index: string): string {
   return '$' + `{COMP_WORDS[${index}]}`
 }
 
-/** A script that completes commands and their subcommands. */
-export function bashCompletion (program: Command): string {
-  const top = program.commands.map(command => command.name()).join(' ')
+/** Creates a script that completes commands and their subcommands. */
+export function createBashCompletion (program: Command): string {
+  const commandNames = program.commands.map(command => command.name()).join(' ')
   const cases = program.commands
     .filter(command => command.commands.length > 0)
     .map(command => `    ${command.name()}) words="${command.commands.map(child => child.name()).join(' ')}" ;;`)
   return [
     '_lynxcourse () {',
-    `  local words="" cur="${word('COMP_CWORD')}"`,
-    `  case "${word('COMP_CWORD-1')}" in`,
+    `  local words="" cur="${completionWord('COMP_CWORD')}"`,
+    `  case "${completionWord('COMP_CWORD-1')}" in`,
     ...cases,
-    `    *) words="${top}" ;;`,
+    `    *) words="${commandNames}" ;;`,
     '  esac',
     '  COMPREPLY=($(compgen -W "$words" -- "$cur"))',
     '}',
--- a/packages/cli/src/core/program.ts
+++ b/packages/cli/src/core/program.ts
@@ -1,14 +1,14 @@
-/** The command line as a whole. */
+/** The complete command line. */
 import { Command, Option } from 'commander'
 import { exitCodes } from '../utils/exitCodes.js'
 import { addDrainCommands, addShiftCommands } from './commands/moves.js'
 import { addFleetCommands } from './commands/fleets.js'
 import { addProfileCommands } from './commands/profiles.js'
 import { addViewCommands } from './commands/views.js'
-import { bashCompletion } from './completion.js'
+import { createBashCompletion } from './completion.js'
 
-const exitHelp = `
-Exit codes: 0 done, 1 failed, 2 bad input, 3 version conflict, 4 not found, 5 --wait gave up.
+const helpText = `
+Exit codes: 0 done, 1 failed, 2 bad input, 3 version conflict, 4 not found, 5 --wait timed out.
 Addresses come from --addresses, LYNXCOURSE_ADDRESSES, or ~/.lynxcourse.yaml (addresses: [IP:port]).
 
 Examples:
@@ -19,15 +19,15 @@
   lynxcourse fleet match desk.example /offers/7
 `
 
-/** Makes the program. */
-export function makeProgram (): Command {
+/** Creates the program with all of its commands. */
+export function createProgram (): Command {
   const program = new Command('lynxcourse')
-    .description('Operates lynxcourse: profiles, drains, shifts.')
+    .description('Operates a lynxcourse system: profiles, drains, shifts and routes.')
     .option('--addresses <list>', 'RPC addresses of VMs, separated by commas')
     .option('--client-config <file>', 'file with addresses, operator and tls')
-    .option('--operator <name>', 'who makes changes; the user\'s name if left out')
+    .option('--operator <name>', 'name of the operator who makes changes (default: the user\'s name)')
     .addOption(new Option('--output <format>', 'output format').choices(['table', 'json']).default('table'))
-    .addHelpText('after', exitHelp)
+    .addHelpText('after', helpText)
   program.exitOverride(err => { process.exit(err.exitCode === 0 ? exitCodes.ok : exitCodes.badInput) })
   addProfileCommands(program)
   addDrainCommands(program)
@@ -35,12 +35,12 @@
   addViewCommands(program)
   addFleetCommands(program)
   program.command('completion').description('print a bash completion script: source <(lynxcourse completion)').action(() => {
-    process.stdout.write(bashCompletion(program))
+    process.stdout.write(createBashCompletion(program))
   })
-  for (const command of allCommands(program)) command.copyInheritedSettings(program)
+  for (const command of listSubcommands(program)) command.copyInheritedSettings(program)
   return program
 }
 
-function allCommands (command: Command): Command[] {
-  return command.commands.flatMap(child => [child, ...allCommands(child)])
+function listSubcommands (command: Command): Command[] {
+  return command.commands.flatMap(child => [child, ...listSubcommands(child)])
 }
--- a/packages/cli/src/core/session.ts
+++ b/packages/cli/src/core/session.ts
@@ -1,4 +1,4 @@
-/** One run of the command line: where the VMs are, who asks, and how calls go to whichever answers. */
+/** The session of one run of the command line: the VMs' addresses, the operator, and calls to the first VM that answers. */
 import { readFileSync } from 'node:fs'
 import { homedir, userInfo } from 'node:os'
 import { join } from 'node:path'
@@ -9,7 +9,7 @@
 import * as z from 'zod'
 import type { OutputFormat } from '../utils/printing.js'
 
-/** Options that every command takes. */
+/** Options of every command. */
 export interface GlobalOptions {
   readonly addresses?: string
   readonly clientConfig?: string
@@ -28,7 +28,7 @@
 const defaultConfigName = '.lynxcourse.yaml'
 
 const clientSchema = z.strictObject({
-  /** RPC addresses of VMs, asked in order. */
+  /** RPC addresses of VMs, tried in order. */
   addresses: z.array(addressSchema).min(1),
   operator: z.string().min(1).max(64).optional(),
   tls: z.strictObject({ certFile: z.string(), keyFile: z.string(), caFile: z.string() }).optional()
@@ -36,13 +36,13 @@
 
 type ClientConfig = z.output<typeof clientSchema>
 
-/** Opens a session from options, environment and the client's file, in this order. */
+/** Opens a session. Options take precedence over environment variables, and these over the client's configuration file. */
 export function openSession (options: GlobalOptions): Session {
-  const file = readClientFile(options)
-  const text = options.addresses ?? process.env['LYNXCOURSE_ADDRESSES']
-  const addresses = text === undefined ? file?.addresses ?? [] : text.split(',').map(address => checkAddress(address.trim()))
+  const file = readClientConfig(options)
+  const addressList = options.addresses ?? process.env['LYNXCOURSE_ADDRESSES']
+  const addresses = addressList === undefined ? file?.addresses ?? [] : addressList.split(',').map(address => checkAddress(address.trim()))
   if (addresses.length === 0) {
-    throw new LynxError('badRequest', 'no addresses: give --addresses, LYNXCOURSE_ADDRESSES or ~/.lynxcourse.yaml', { step: 'start', field: 'addresses' })
+    throw new LynxError('badRequest', 'no addresses: set --addresses, LYNXCOURSE_ADDRESSES or addresses in ~/.lynxcourse.yaml', { step: 'start', field: 'addresses' })
   }
   const tls = file?.tls === undefined ? undefined : readTls(file.tls)
   const client = createRpcClient({ timeoutMs: callTimeoutMs, localAddress: '', tls: () => tls, metrics: undefined })
@@ -60,7 +60,7 @@
   throw new LynxError('badRequest', `addresses: '${address}' is no IPv4:port`, { step: 'start', field: 'addresses' })
 }
 
-function readClientFile (options: GlobalOptions): ClientConfig | undefined {
+function readClientConfig (options: GlobalOptions): ClientConfig | undefined {
   const path = options.clientConfig ?? process.env['LYNXCOURSE_CONFIG'] ?? join(homedir(), defaultConfigName)
   let text: string
   try {
@@ -80,30 +80,30 @@
 }
 
 /**
- * Calls a method at the first VM that can answer. Only errors that another VM may not have lead on to
- * the next; a change is safe to send again, since it carries its change id.
+ * Calls a method at the first VM that can answer. Tries the next VM only after errors that concern a single VM. A change can
+ * safely be sent again, since its change id identifies it.
  */
-export async function call<Result> (session: Session, method: string, params: object = {}): Promise<Result> {
-  let last: unknown
+export async function callAnyVm<Result> (session: Session, method: string, params: object = {}): Promise<Result> {
+  let lastError: unknown
   for (const address of session.addresses) {
     try {
       return await callPeer<Result>(session.client, address, method, params)
     } catch (err) {
-      const isLocal = isLynxError(err, 'peerFailed') || isLynxError(err, 'notLeader') || isLynxError(err, 'noQuorum')
-      if (!isLocal) throw err
-      last = err
+      const isVmSpecific = isLynxError(err, 'peerFailed') || isLynxError(err, 'notLeader') || isLynxError(err, 'noQuorum')
+      if (!isVmSpecific) throw err
+      lastError = err
     }
   }
-  throw last
+  throw lastError
 }
 
 /**
- * One item of a query that lists all of its kind.
+ * Finds the item with the given key in the result of a query that lists all items of its kind.
  *
- * @throws LynxError `notFound`
+ * @throws LynxError `notFound` if there is no such item
  */
 export async function findByKey<Item extends { readonly key: string }> (session: Session, query: string, kind: string, key: string): Promise<Item> {
-  const found = (await call<Item[]>(session, query)).find(item => item.key === key)
-  if (found === undefined) throw new LynxError('notFound', `${kind} '${key}'`, { step: kind })
+  const found = (await callAnyVm<Item[]>(session, query)).find(item => item.key === key)
+  if (found === undefined) throw new LynxError('notFound', `${kind} '${key}' does not exist`, { step: kind })
   return found
 }
--- a/packages/cli/src/internal.ts
+++ b/packages/cli/src/internal.ts
@@ -1,4 +1,4 @@
-/** Fixes the order in which the modules of this package load. */
+/** Determines the order in which the modules of this package are loaded. */
 export * from './utils/exitCodes.js'
 export * from './utils/printing.js'
 export * from './core/session.js'
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' program. */
-import { makeProgram } from './core/program.js'
+/** The operators' command-line program. */
+import { createProgram } from './core/program.js'
 
-await makeProgram().parseAsync()
+await createProgram().parseAsync()
--- a/packages/cli/src/utils/exitCodes.ts
+++ b/packages/cli/src/utils/exitCodes.ts
@@ -1,21 +1,21 @@
-/** Exit codes of the command line. */
+/** Exit codes of the command line, and the mapping of errors to them. */
 import { isLynxError } from '@lynxcourse/base'
 
 export const exitCodes = {
   ok: 0,
-  /** No VM answered, or the system could not do it now. */
+  /** No VM answered, or the system could not execute the command now. */
   failed: 1,
-  /** Wrong arguments or file. */
+  /** Invalid arguments or an invalid file. */
   badInput: 2,
-  /** Another change came first. */
+  /** Another change was applied first. */
   conflict: 3,
   notFound: 4,
-  /** `--wait` gave up; the change itself was accepted. */
+  /** `--wait` timed out; the change itself was accepted. */
   waitTimedOut: 5
 } as const
 
-/** The exit code for a caught error. */
-export function exitCodeOf (err: unknown): number {
+/** Returns the exit code for an error. */
+export function getExitCode (err: unknown): number {
   if (!isLynxError(err)) return exitCodes.failed
   switch (err.code) {
     case 'badSettings':
