--- a/packages/cli/src/core/session.ts
+++ b/packages/cli/src/core/session.ts
@@ -104,6 +104,6 @@
  */
 export async function findByKey<Item extends { readonly key: string }> (session: Session, query: string, kind: string, key: string): Promise<Item> {
   const found = (await callAnyVm<Item[]>(session, query)).find(item => item.key === key)
-  if (found === undefined) throw new LynxError('notFound', `${kind} '${key}' does not exist`, { step: kind })
+  if (found === undefined) throw new LynxError('notFound', `${kind} '${key}'`, { step: kind })
   return found
 }
