--- a/packages/cli/src/core/changing.ts
+++ b/packages/cli/src/core/changing.ts
@@ -1,7 +1,7 @@
 /** Submits changes, prints their ids and results, and optionally waits until they are in force. */
 import { randomUUID } from 'node:crypto'
 import { LynxError } from '@lynxcourse/base'
-import { presentTime } from '@lynxcourse/daemon'
+import { getCurrentTime } from '@lynxcourse/daemon'
 import type { ChangeAnswer } from '@lynxcourse/state'
 import { exitCodes } from '../utils/exitCodes.js'
 import { printRecord, printProgress } from '../utils/printing.js'
@@ -34,7 +34,7 @@
   printProgress(`change id ${changeId} (give it again with --change-id to get the result of this change)`)
   const answer = await callAnyVm<ChangeAnswer>(session, 'change.submit', { change: { ...change, changeId, operator: session.operator } })
   if (!answer.ok) throw createRefusalError(answer)
-  const startedAt = presentTime()
+  const startedAt = getCurrentTime()
   printRecord(session.output, { changeId, version: answer.version, itemVersion: answer.itemVersion })
   return options.wait === true ? await waitUntilInForce(session, answer.version, startedAt) : exitCodes.ok
 }
@@ -47,10 +47,10 @@
 
 async function waitUntilInForce (session: Session, version: number, startedAt: number): Promise<number> {
   let lastText = ''
-  while (presentTime() - startedAt < waitTimeoutMs) {
+  while (getCurrentTime() - startedAt < waitTimeoutMs) {
     const state = await callAnyVm<InForceStatus>(session, 'query.inForce', { version })
     if (state.inForce) {
-      printProgress(`in force everywhere after ${Math.round(presentTime() - startedAt)} ms`)
+      printProgress(`in force everywhere after ${Math.round(getCurrentTime() - startedAt)} ms`)
       return exitCodes.ok
     }
     const text = `waiting: ${state.acknowledged} VMs have acknowledged the change; still waiting for ${state.waitingFor.join(', ') || 'leases to expire'}`
