--- a/packages/replay/__tests__/replay.test.ts
+++ b/packages/replay/__tests__/replay.test.ts
@@ -1,4 +1,4 @@
-/** The replay itself: the same figures twice, wrong patterns named, and what its parts do. */
+/** The replay itself: repeatable figures, errors for invalid patterns, and the model of a backend server. */
 import assert from 'node:assert/strict'
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -6,44 +6,44 @@
 import { test } from 'node:test'
 import { brandId, isLynxError } from '@lynxcourse/base'
 import type { RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { arriveAt, createBackend, createTimeline, playPattern, runUntil, readPattern } from '@lynxcourse/replay'
-import type { Backend, BackendEnd, Job } from '@lynxcourse/replay'
-import { smallPattern } from './support/smallPattern.js'
+import { submitJob, createBackend, createTimeline, playPattern, runUntil, readPattern } from '@lynxcourse/replay'
+import type { Backend, BackendResult, Job } from '@lynxcourse/replay'
+import { createSmallPattern } from './support/smallPattern.js'
 
-function backend (): Backend {
+function createTestBackend (): Backend {
   return createBackend({ id: brandId<ServerId>('s'), service: brandId<ServiceId>('desk'), region: brandId<RegionId>('north'), failureDomain: 'north-0', slots: 1, queue: 1, warmObjects: 2 })
 }
 
-function job (object: string, ends: BackendEnd[]): Job {
-  return { object, coldMs: 100, warmPart: 0.25, deadline: 10_000, onEnd: end => ends.push(end), wasWarm: false, isOver: false }
+function createTestJob (object: string, results: BackendResult[]): Job {
+  return { object, coldMs: 100, warmPart: 0.25, deadline: 10_000, onResult: result => results.push(result), wasWarm: false, isFinished: false }
 }
 
-test('one seed gives the same figures twice, another one others', () => {
-  const pattern = smallPattern({ seconds: 4 })
+test('equal seeds give equal figures, different seeds different ones', () => {
+  const pattern = createSmallPattern({ seconds: 4 })
   assert.deepEqual(playPattern(pattern, 7), playPattern(pattern, 7))
   assert.notDeepEqual(playPattern(pattern, 7), playPattern(pattern, 8))
 })
 
-test('a mechanism that is left out changes what happens', () => {
-  const pattern = smallPattern({ seconds: 4 })
+test('disabling a mechanism changes the figures', () => {
+  const pattern = createSmallPattern({ seconds: 4 })
   assert.notDeepEqual(playPattern(pattern, 7, new Set(['regionPlan'])), playPattern(pattern, 7))
 })
 
-test('a server works on one request a slot, lets few wait, turns others away, and is fast where its object is warm', () => {
+test('a server runs one request per slot, queues up to its limit, rejects the rest, and serves a warm object faster', () => {
   const timeline = createTimeline()
-  const server = backend()
-  const ends: BackendEnd[] = []
-  for (const object of ['a', 'a', 'b']) arriveAt(timeline, server, job(object, ends), false)
-  assert.deepEqual(ends, [{ type: 'full', ahead: 2 }])
+  const backend = createTestBackend()
+  const results: BackendResult[] = []
+  for (const object of ['a', 'a', 'b']) submitJob(timeline, backend, createTestJob(object, results), false)
+  assert.deepEqual(results, [{ type: 'full', ahead: 2 }])
   runUntil(timeline, 100)
-  assert.equal(ends.length, 2)
+  assert.equal(results.length, 2)
   runUntil(timeline, 124)
-  assert.equal(ends.length, 2)
+  assert.equal(results.length, 2)
   runUntil(timeline, 125)
-  assert.deepEqual(ends.at(-1), { type: 'answered', ahead: 0 })
+  assert.deepEqual(results.at(-1), { type: 'answered', ahead: 0 })
 })
 
-test('a pattern that is wrong is refused with its file and field', () => {
+test('an invalid pattern is rejected with its file and field', () => {
   const folder = mkdtempSync(join(tmpdir(), 'lynx-pattern-'))
   try {
     const file = join(folder, 'wrong.yaml')
--- a/packages/replay/__tests__/support/smallPattern.ts
+++ b/packages/replay/__tests__/support/smallPattern.ts
@@ -1,9 +1,9 @@
-/** A small deployment: three regions that swing by turns, one of them with a tenth of the servers. */
+/** A small deployment of three regions whose waves differ in phase; one region has a tenth of the servers. */
 import { patternSchema } from '@lynxcourse/replay'
 import type { Pattern } from '@lynxcourse/replay'
 
-/** The pattern with some fields set otherwise. */
-export function smallPattern (parts: Partial<Pattern> = {}): Pattern {
+/** Returns the pattern with some fields replaced. */
+export function createSmallPattern (overrides: Partial<Pattern> = {}): Pattern {
   return patternSchema.parse({
     name: 'small',
     about: 'three regions, one of them with few servers',
@@ -21,6 +21,6 @@
       read: { service: 'desk', isIdempotent: true, perSecond: 110, objects: 36, workMs: 1248, warmPart: 0.25, spread: 0.15, aimMs: 800, timeoutMs: 2500, patienceMs: 5000, worth: 1, lateWorth: 0.2, rank: 2 },
       offer: { service: 'desk', isIdempotent: false, perSecond: 60, objects: 20, workMs: 1632, warmPart: 0.25, spread: 0.15, aimMs: 1000, timeoutMs: 4000, patienceMs: 6000, worth: 2, lateWorth: 0.4, rank: 1 }
     },
-    ...parts
+    ...overrides
   })
 }
--- a/packages/replay/src/core/backendModel.ts
+++ b/packages/replay/src/core/backendModel.ts
@@ -1,10 +1,10 @@
-/** A backend server of the model: slots, a queue, and the objects that it keeps warm. */
+/** Model of a backend server: slots, a queue, and a cache of warm objects. */
 import type { Millis, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { scheduleAfter } from '@lynxcourse/base/timeline'
 import type { Timeline } from '@lynxcourse/base/timeline'
 
-/** What a server answers. */
-export type BackendEnd =
+/** Result of a request at a server; `ahead` is the server's queue depth. */
+export type BackendResult =
   | { readonly type: 'answered', readonly ahead: number }
   | { readonly type: 'full', readonly ahead: number }
   | { readonly type: 'lost' }
@@ -15,9 +15,9 @@
   readonly coldMs: Millis
   readonly warmPart: number
   readonly deadline: Millis
-  readonly onEnd: (end: BackendEnd) => void
+  readonly onResult: (result: BackendResult) => void
   wasWarm: boolean
-  isOver: boolean
+  isFinished: boolean
 }
 
 export interface Backend {
@@ -30,83 +30,83 @@
   readonly warmObjects: number
   readonly running: Set<Job>
   readonly waiting: Job[]
-  /** Objects in order of use, the latest last. */
+  /** Warm objects, least recently used first. */
   readonly warm: Set<string>
   isUp: boolean
   isLeaving: boolean
-  slowness: number
-  /** Part of what it gets that it turns away although it has room. */
+  slowdown: number
+  /** Fraction of requests that the server sheds although it has capacity. */
   shedPart: number
 }
 
-export function createBackend (parts: Pick<Backend, 'id' | 'service' | 'region' | 'failureDomain' | 'slots' | 'queue' | 'warmObjects'>): Backend {
-  return { ...parts, running: new Set(), waiting: [], warm: new Set(), isUp: true, isLeaving: false, slowness: 1, shedPart: 0 }
+export function createBackend (settings: Pick<Backend, 'id' | 'service' | 'region' | 'failureDomain' | 'slots' | 'queue' | 'warmObjects'>): Backend {
+  return { ...settings, running: new Set(), waiting: [], warm: new Set(), isUp: true, isLeaving: false, slowdown: 1, shedPart: 0 }
 }
 
-/** A request reaches a server. */
-export function arriveAt (timeline: Timeline, backend: Backend, job: Job, isShed: boolean): void {
-  if (!backend.isUp) return end(job, { type: 'lost' })
+/** Starts, queues or rejects a request that arrives at a server. */
+export function submitJob (timeline: Timeline, backend: Backend, job: Job, isShed: boolean): void {
+  if (!backend.isUp) return endJob(job, { type: 'lost' })
   const isFull = backend.running.size >= backend.slots && backend.waiting.length >= backend.queue
-  if (isFull || isShed) return end(job, { type: 'full', ahead: aheadOf(backend) })
-  if (backend.running.size < backend.slots) start(timeline, backend, job)
+  if (isFull || isShed) return endJob(job, { type: 'full', ahead: getQueueDepth(backend) })
+  if (backend.running.size < backend.slots) startJob(timeline, backend, job)
   else backend.waiting.push(job)
 }
 
-/** The connection of a request closes: its server stops work on it. */
-export function leaveBackend (timeline: Timeline, backend: Backend, job: Job): void {
-  job.isOver = true
+/** Cancels a request whose connection was closed: the server stops working on it. */
+export function cancelJob (timeline: Timeline, backend: Backend, job: Job): void {
+  job.isFinished = true
   if (!backend.running.delete(job)) return
-  startNext(timeline, backend)
+  startNextJob(timeline, backend)
 }
 
-/** A server ends: what it has is lost, and no object is warm when it comes back. */
+/** Crashes a server: its requests are lost, and all objects are cold when it returns. */
 export function crashBackend (backend: Backend): void {
   backend.isUp = false
   const jobs = [...backend.running, ...backend.waiting]
   backend.running.clear()
   backend.waiting.length = 0
   backend.warm.clear()
-  for (const job of jobs) end(job, { type: 'lost' })
+  for (const job of jobs) endJob(job, { type: 'lost' })
 }
 
-function aheadOf ({ running, waiting }: Backend): number {
+function getQueueDepth ({ running, waiting }: Backend): number {
   return running.size + waiting.length
 }
 
-function start (timeline: Timeline, backend: Backend, job: Job): void {
+function startJob (timeline: Timeline, backend: Backend, job: Job): void {
   backend.running.add(job)
   job.wasWarm = backend.warm.has(job.object)
-  const workMs = job.coldMs * (job.wasWarm ? job.warmPart : 1) * backend.slowness
+  const workMs = job.coldMs * (job.wasWarm ? job.warmPart : 1) * backend.slowdown
   scheduleAfter(timeline, workMs, () => {
     if (!backend.running.delete(job)) return
-    keepWarm(backend, job.object)
-    startNext(timeline, backend)
-    end(job, { type: 'answered', ahead: aheadOf(backend) })
+    markWarm(backend, job.object)
+    startNextJob(timeline, backend)
+    endJob(job, { type: 'answered', ahead: getQueueDepth(backend) })
   })
 }
 
-function startNext (timeline: Timeline, backend: Backend): void {
+function startNextJob (timeline: Timeline, backend: Backend): void {
   for (;;) {
     const next = backend.waiting.shift()
     if (next === undefined) return
-    if (next.isOver) continue
+    if (next.isFinished) continue
     if (timeline.now >= next.deadline) {
-      end(next, { type: 'full', ahead: aheadOf(backend) })
+      endJob(next, { type: 'full', ahead: getQueueDepth(backend) })
       continue
     }
-    return start(timeline, backend, next)
+    return startJob(timeline, backend, next)
   }
 }
 
-function keepWarm (backend: Backend, object: string): void {
+function markWarm (backend: Backend, object: string): void {
   backend.warm.delete(object)
   backend.warm.add(object)
   const [oldest] = backend.warm
   if (backend.warm.size > backend.warmObjects && oldest !== undefined) backend.warm.delete(oldest)
 }
 
-function end (job: Job, result: BackendEnd): void {
-  if (job.isOver) return
-  job.isOver = true
-  job.onEnd(result)
+function endJob (job: Job, result: BackendResult): void {
+  if (job.isFinished) return
+  job.isFinished = true
+  job.onResult(result)
 }
--- a/packages/replay/src/core/callerModel.ts
+++ b/packages/replay/src/core/callerModel.ts
@@ -1,17 +1,20 @@
-/** Callers: they come by chance around their wave, choose a VM of their region, and come back once if they are told to. */
+/**
+ * Model of the callers: requests arrive as a Poisson process whose rate follows the region's wave. A caller sends to a random
+ * running VM of its region (of any region if none runs there), and retries once after a refusal, or after a failure if the request is idempotent.
+ */
 import type { Millis } from '@lynxcourse/base'
 import { scheduleAfter } from '@lynxcourse/base/timeline'
 import type { RoutePattern } from '../types/pattern.js'
-import { noteEnd } from './score.js'
-import type { CallerEnd } from './score.js'
-import { takeRequest } from './vmModel.js'
+import { recordCompletedRequest } from './score.js'
+import type { CompletedRequest } from './score.js'
+import { handleRequest } from './vmModel.js'
 import type { VmAnswer } from './vmModel.js'
 import type { VmModel, World } from './world.js'
 
-/** A caller waits no longer than this part of the time that it has left before it comes back. */
-const longestPausePart = 1 / 3
+/** The pause before a retry is at most this fraction of the time that the caller has left. */
+const maxPauseFraction = 1 / 3
 
-/** One caller's request through all of its attempts. */
+/** One request of a caller, over all its attempts. */
 interface CallerRequest {
   readonly name: string
   readonly region: string
@@ -21,24 +24,24 @@
   retriesLeft: number
 }
 
-/** Callers of all regions start to send. */
+/** Starts the callers of all regions. */
 export function startCallers (world: World): void {
   for (const region of Object.keys(world.pattern.regions)) {
-    for (const name of Object.keys(world.pattern.routes)) nextCaller(world, region, name)
+    for (const name of Object.keys(world.pattern.routes)) scheduleNextCaller(world, region, name)
   }
 }
 
-function nextCaller (world: World, region: string, name: string): void {
+function scheduleNextCaller (world: World, region: string, name: string): void {
   const { timeline, random, pattern } = world
-  const perSecond = rateOf(world, region, name)
+  const perSecond = getRequestRate(world, region, name)
   scheduleAfter(timeline, -Math.log(1 - random()) * 1000 / perSecond, () => {
     if (timeline.now >= pattern.seconds * 1000) return
-    sendNew(world, region, name)
-    nextCaller(world, region, name)
+    sendNewRequest(world, region, name)
+    scheduleNextCaller(world, region, name)
   })
 }
 
-function rateOf ({ pattern, timeline, burst }: World, region: string, name: string): number {
+function getRequestRate ({ pattern, timeline, burst }: World, region: string, name: string): number {
   const { swing, periodS } = pattern.wave
   const { callers, phase } = pattern.regions[region] as World['pattern']['regions'][string]
   const { perSecond } = pattern.routes[name] as RoutePattern
@@ -46,55 +49,55 @@
   return perSecond * callers * wave * burst
 }
 
-function sendNew (world: World, home: string, name: string): void {
-  const { random, timeline, moved } = world
+function sendNewRequest (world: World, homeRegion: string, name: string): void {
+  const { random, timeline, movedCallers } = world
   const route = world.pattern.routes[name] as RoutePattern
-  const away = moved.get(home)
-  const region = away !== undefined && random() < away.share ? away.to : home
-  const object = `${home}-${Math.floor(random() * route.objects)}`
-  attempt(world, { name, region, route, object, startedAt: timeline.now, retriesLeft: 1 })
+  const move = movedCallers.get(homeRegion)
+  const region = move !== undefined && random() < move.share ? move.to : homeRegion
+  const object = `${homeRegion}-${Math.floor(random() * route.objects)}`
+  sendAttempt(world, { name, region, route, object, startedAt: timeline.now, retriesLeft: 1 })
 }
 
-function attempt (world: World, request: CallerRequest): void {
+function sendAttempt (world: World, request: CallerRequest): void {
   const { timeline, pattern: { delays } } = world
   const vm = chooseVm(world, request.region)
-  if (vm === undefined) return finish(world, request, 'failed')
+  if (vm === undefined) return finishRequest(world, request, 'failed')
   const { route } = request
-  scheduleAfter(timeline, delays.toCallers, () => takeRequest(world, vm, {
+  scheduleAfter(timeline, delays.toCallers, () => handleRequest(world, vm, {
     route: request.name,
     object: request.object,
     deadline: Math.min(timeline.now + route.timeoutMs, request.startedAt + route.patienceMs),
-    answer: answer => scheduleAfter(timeline, delays.toCallers, () => takeAnswer(world, request, answer))
+    answer: answer => scheduleAfter(timeline, delays.toCallers, () => handleAnswer(world, request, answer))
   }))
 }
 
 function chooseVm ({ vms, random }: World, region: string): VmModel | undefined {
-  const up = vms.filter(vm => vm.isUp)
-  const near = up.filter(vm => vm.region === region)
-  const chosen = near.length > 0 ? near : up
-  return chosen[Math.floor(random() * chosen.length)]
+  const runningVms = vms.filter(vm => vm.isUp)
+  const local = runningVms.filter(vm => vm.region === region)
+  const candidates = local.length > 0 ? local : runningVms
+  return candidates[Math.floor(random() * candidates.length)]
 }
 
-function takeAnswer (world: World, request: CallerRequest, answer: VmAnswer): void {
+function handleAnswer (world: World, request: CallerRequest, answer: VmAnswer): void {
   switch (answer.type) {
-    case 'answered': return finish(world, request, 'answered')
-    case 'refused': return comeBack(world, request, answer.retryAfterMs, 'refused')
+    case 'answered': return finishRequest(world, request, 'answered')
+    case 'refused': return retry(world, request, answer.retryAfterMs, 'refused')
     case 'failed':
-      // What may have run is sent again only where it may be repeated.
-      return request.route.isIdempotent ? comeBack(world, request, 0, 'failed') : finish(world, request, 'failed')
+      // A failed request may have run, so it is sent again only if it is idempotent.
+      return request.route.isIdempotent ? retry(world, request, 0, 'failed') : finishRequest(world, request, 'failed')
   }
 }
 
-function comeBack (world: World, request: CallerRequest, pauseMs: Millis, outcome: 'refused' | 'failed'): void {
+function retry (world: World, request: CallerRequest, pauseMs: Millis, outcome: 'refused' | 'failed'): void {
   const leftMs = request.startedAt + request.route.patienceMs - world.timeline.now
-  if (request.retriesLeft === 0 || leftMs <= 0) return finish(world, request, outcome)
+  if (request.retriesLeft === 0 || leftMs <= 0) return finishRequest(world, request, outcome)
   request.retriesLeft -= 1
-  scheduleAfter(world.timeline, Math.min(pauseMs, leftMs * longestPausePart), () => attempt(world, request))
+  scheduleAfter(world.timeline, Math.min(pauseMs, leftMs * maxPauseFraction), () => sendAttempt(world, request))
 }
 
-function finish (world: World, { name, region, route, startedAt }: CallerRequest, end: 'answered' | 'refused' | 'failed'): void {
+function finishRequest (world: World, { name, region, route, startedAt }: CallerRequest, end: 'answered' | 'refused' | 'failed'): void {
   const tookMs = world.timeline.now - startedAt
-  const outcome: CallerEnd['outcome'] = end !== 'answered' ? end : tookMs <= route.aimMs ? 'inTime' : tookMs <= route.patienceMs ? 'late' : 'failed'
+  const outcome: CompletedRequest['outcome'] = end !== 'answered' ? end : tookMs <= route.aimMs ? 'inTime' : tookMs <= route.patienceMs ? 'late' : 'failed'
   const earned = outcome === 'inTime' ? route.worth : outcome === 'late' ? route.lateWorth : 0
-  noteEnd(world.score, { route: name, region, startedAt, outcome, tookMs, owed: route.worth, earned })
+  recordCompletedRequest(world.score, { route: name, region, startedAt, outcome, tookMs, attainable: route.worth, earned })
 }
--- a/packages/replay/src/core/score.ts
+++ b/packages/replay/src/core/score.ts
@@ -1,83 +1,83 @@
-/** What callers got of a replay. */
+/** Counts the outcomes of a replay, and computes its figures. */
 import { build } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
 import type { Millis } from '@lynxcourse/base'
 import type { ColdCause } from './coldCauses.js'
 
-/** How one caller's request ended. */
-export interface CallerEnd {
+/** Outcome of one caller's request, over all its attempts. */
+export interface CompletedRequest {
   readonly route: string
   readonly region: string
   readonly startedAt: Millis
   readonly outcome: 'inTime' | 'late' | 'refused' | 'failed'
-  /** From the caller's first attempt to its end. */
+  /** Time from the start of the caller's first attempt to the end of the last one. */
   readonly tookMs: Millis
-  readonly owed: number
+  readonly attainable: number
   readonly earned: number
 }
 
-interface Sums { owed: number, earned: number }
+interface BenefitSums { attainable: number, earned: number }
 
-/** Counted while a replay runs. */
+/** Counters that are updated while a replay runs. */
 export interface Score {
-  readonly total: Sums
-  readonly byRoute: Map<string, Sums>
-  readonly byRegion: Map<string, Sums>
-  readonly bySecond: Map<number, Sums>
-  readonly outcomes: Record<CallerEnd['outcome'], number>
-  readonly took: Histogram
+  readonly total: BenefitSums
+  readonly byRoute: Map<string, BenefitSums>
+  readonly byRegion: Map<string, BenefitSums>
+  readonly bySecond: Map<number, BenefitSums>
+  readonly outcomes: Record<CompletedRequest['outcome'], number>
+  readonly latencies: Histogram
   sends: number
-  /** Sends that found their object cold, by cause. */
+  /** Sends whose object was cold at the server, by cause. */
   readonly cold: Map<ColdCause, number>
-  /** Sends that left the region of their VM. */
-  farSends: number
-  opened: number
+  /** Sends to a server in another region than the VM's. */
+  remoteSends: number
+  openedConnections: number
   shed: number
 }
 
 export function createScore (): Score {
   return {
-    total: { owed: 0, earned: 0 },
+    total: { attainable: 0, earned: 0 },
     byRoute: new Map(),
     byRegion: new Map(),
     bySecond: new Map(),
     outcomes: { inTime: 0, late: 0, refused: 0, failed: 0 },
-    took: build({ lowestDiscernibleValue: 1, highestTrackableValue: 600_000, numberOfSignificantValueDigits: 3 }),
+    latencies: build({ lowestDiscernibleValue: 1, highestTrackableValue: 600_000, numberOfSignificantValueDigits: 3 }),
     sends: 0,
     cold: new Map(),
-    farSends: 0,
-    opened: 0,
+    remoteSends: 0,
+    openedConnections: 0,
     shed: 0,
   }
 }
 
-/** Counts one request. */
-export function noteEnd (score: Score, end: CallerEnd): void {
+/** Records one completed request. */
+export function recordCompletedRequest (score: Score, end: CompletedRequest): void {
   score.outcomes[end.outcome] += 1
-  score.took.recordValue(Math.max(1, Math.round(end.tookMs)))
+  score.latencies.recordValue(Math.max(1, Math.round(end.tookMs)))
   const second = Math.floor(end.startedAt / 1000)
-  for (const sums of [score.total, sumsOf(score.byRoute, end.route), sumsOf(score.byRegion, end.region), sumsOf(score.bySecond, second)]) {
-    sums.owed += end.owed
+  for (const sums of [score.total, getSums(score.byRoute, end.route), getSums(score.byRegion, end.region), getSums(score.bySecond, second)]) {
+    sums.attainable += end.attainable
     sums.earned += end.earned
   }
 }
 
-function sumsOf<Key> (table: Map<Key, Sums>, key: Key): Sums {
-  const held = table.get(key)
-  if (held !== undefined) return held
-  const made = { owed: 0, earned: 0 }
-  table.set(key, made)
-  return made
+function getSums<Key> (table: Map<Key, BenefitSums>, key: Key): BenefitSums {
+  const existing = table.get(key)
+  if (existing !== undefined) return existing
+  const created = { attainable: 0, earned: 0 }
+  table.set(key, created)
+  return created
 }
 
 /** Figures of one replay. */
 export interface Figures {
-  /** Benefit earned, in parts of what was owed. */
+  /** Benefit earned, as a fraction of the attainable benefit. */
   readonly benefit: number
   readonly byRoute: Readonly<Record<string, number>>
   readonly byRegion: Readonly<Record<string, number>>
   readonly bySecond: readonly number[]
-  /** The least benefit of two seconds in a row. */
+  /** Minimum of the benefit over two consecutive seconds. */
   readonly worstTwoSeconds: number
   readonly p50Ms: Millis
   readonly p99Ms: Millis
@@ -85,7 +85,7 @@
   readonly late: number
   readonly refused: number
   readonly failed: number
-  /** Sends that found their object cold, by cause, in parts of all sends. */
+  /** Sends whose object was cold at the server, by cause, as a fraction of all sends. */
   readonly cold: Readonly<Record<string, number>>
   readonly coldPart: number
   readonly farPart: number
@@ -93,45 +93,45 @@
   readonly shedPart: number
 }
 
-export function figuresOf (score: Score): Figures {
-  const { outcomes, took, sends } = score
+export function computeFigures (score: Score): Figures {
+  const { outcomes, latencies, sends } = score
   const ended = Object.values(outcomes).reduce((sum, value) => sum + value, 0)
-  const ofEnded = (value: number): number => value / Math.max(1, ended)
-  const ofSends = (value: number): number => value / Math.max(1, sends)
+  const perRequest = (value: number): number => value / Math.max(1, ended)
+  const perSend = (value: number): number => value / Math.max(1, sends)
   const seconds = [...score.bySecond].sort(([a], [b]) => a - b).map(([, sums]) => sums)
   return {
-    benefit: partOf(score.total),
-    byRoute: partsOf(score.byRoute),
-    byRegion: partsOf(score.byRegion),
-    bySecond: seconds.map(partOf),
-    worstTwoSeconds: worstPair(seconds),
-    p50Ms: took.getValueAtPercentile(50),
-    p99Ms: took.getValueAtPercentile(99),
-    inTime: ofEnded(outcomes.inTime),
-    late: ofEnded(outcomes.late),
-    refused: ofEnded(outcomes.refused),
-    failed: ofEnded(outcomes.failed),
-    cold: Object.fromEntries([...score.cold].map(([cause, count]) => [cause, ofSends(count)])),
-    coldPart: ofSends([...score.cold.values()].reduce((sum, count) => sum + count, 0)),
-    farPart: ofSends(score.farSends),
-    openedPart: ofSends(score.opened),
-    shedPart: ofSends(score.shed)
+    benefit: getBenefitRatio(score.total),
+    byRoute: getBenefitRatios(score.byRoute),
+    byRegion: getBenefitRatios(score.byRegion),
+    bySecond: seconds.map(getBenefitRatio),
+    worstTwoSeconds: computeWorstTwoSeconds(seconds),
+    p50Ms: latencies.getValueAtPercentile(50),
+    p99Ms: latencies.getValueAtPercentile(99),
+    inTime: perRequest(outcomes.inTime),
+    late: perRequest(outcomes.late),
+    refused: perRequest(outcomes.refused),
+    failed: perRequest(outcomes.failed),
+    cold: Object.fromEntries([...score.cold].map(([cause, count]) => [cause, perSend(count)])),
+    coldPart: perSend([...score.cold.values()].reduce((sum, count) => sum + count, 0)),
+    farPart: perSend(score.remoteSends),
+    openedPart: perSend(score.openedConnections),
+    shedPart: perSend(score.shed)
   }
 }
 
-function partOf ({ owed, earned }: Sums): number {
-  return owed === 0 ? 1 : earned / owed
+function getBenefitRatio ({ attainable, earned }: BenefitSums): number {
+  return attainable === 0 ? 1 : earned / attainable
 }
 
-function partsOf (table: ReadonlyMap<string, Sums>): Record<string, number> {
-  return Object.fromEntries([...table].map(([key, sums]) => [key, partOf(sums)]))
+function getBenefitRatios (table: ReadonlyMap<string, BenefitSums>): Record<string, number> {
+  return Object.fromEntries([...table].map(([key, sums]) => [key, getBenefitRatio(sums)]))
 }
 
-function worstPair (seconds: readonly Sums[]): number {
+function computeWorstTwoSeconds (seconds: readonly BenefitSums[]): number {
   let worst = 1
   for (let second = 0; second + 1 < seconds.length; second++) {
-    const [a, b] = [seconds[second] as Sums, seconds[second + 1] as Sums]
-    worst = Math.min(worst, partOf({ owed: a.owed + b.owed, earned: a.earned + b.earned }))
+    const [a, b] = [seconds[second] as BenefitSums, seconds[second + 1] as BenefitSums]
+    worst = Math.min(worst, getBenefitRatio({ attainable: a.attainable + b.attainable, earned: a.earned + b.earned }))
   }
   return worst
 }
--- a/packages/replay/src/core/vmModel.ts
+++ b/packages/replay/src/core/vmModel.ts
@@ -1,20 +1,20 @@
-/** An entry VM serves requests as the real one does, by the same decisions. */
+/** Model of an entry VM: it serves requests by the placement decisions of the product. */
 import type { Millis } from '@lynxcourse/base'
 import { scheduleAfter } from '@lynxcourse/base/timeline'
 import { beginSend, createCallerLiveness, endSend, mayFailOver, decideNextStep, recordPoll, recordReply, updateWaitingCount, startRequest, applyLoadUpdate } from '@lynxcourse/placement'
 import type { EntryState, DecisionConditions, Placement, RequestState, SendOutcome, InFlightSend } from '@lynxcourse/placement'
-import { arriveAt, leaveBackend } from './backendModel.js'
-import type { Backend, BackendEnd, Job } from './backendModel.js'
-import { coldCauseOf } from './coldCauses.js'
+import { submitJob, cancelJob } from './backendModel.js'
+import type { Backend, BackendResult, Job } from './backendModel.js'
+import { classifyColdRequest } from './coldCauses.js'
 import type { ColdCause } from './coldCauses.js'
-import { createEntry, delayBetween } from './world.js'
+import { createEntryState, getOneWayDelay } from './world.js'
 import type { VmModel, World } from './world.js'
 
-/** A caller's request at a VM. */
-export interface Arrival {
+/** A caller's request as it arrives at a VM. */
+export interface IncomingRequest {
   readonly route: string
   readonly object: string
-  /** By the caller's time limit or the route's, whichever ends first. */
+  /** The earlier of the caller's and the route's deadline. */
   readonly deadline: Millis
   readonly answer: (answer: VmAnswer) => void
 }
@@ -24,20 +24,20 @@
   | { readonly type: 'refused', readonly retryAfterMs: Millis }
   | { readonly type: 'failed' }
 
-interface Serving {
+interface ActiveRequest {
   readonly vm: VmModel
   readonly life: number
   readonly entry: EntryState
-  readonly arrival: Arrival
+  readonly arrival: IncomingRequest
   readonly run: RequestState
 }
 
 const okStatus = 200
 const retryBudget = { ratio: 0.2, windowMs: 10_000, slack: 200 }
-const terms: DecisionConditions = { retryBudget, isStopping: false }
+const conditions: DecisionConditions = { retryBudget, isStopping: false }
 
-/** Takes a request as soon as the VM's processor is free. */
-export function takeRequest (world: World, vm: VmModel, arrival: Arrival): void {
+/** Handles a request once the VM's processor is free. */
+export function handleRequest (world: World, vm: VmModel, arrival: IncomingRequest): void {
   const { timeline, routes } = world
   const route = routes.get(arrival.route)
   if (!vm.isUp || route?.service === undefined) return arrival.answer({ type: 'failed' })
@@ -47,32 +47,32 @@
   const { object, deadline } = arrival
   useProcessor(world, vm, () => {
     if (vm.life !== life) return arrival.answer({ type: 'failed' })
-    const run = startRequest(entry, { route, service, object: `${route.name}|${object}`, arrivedAt, deadline }, createCallerLiveness(), terms, timeline.now)
-    goOn(world, { vm, life, entry, arrival, run })
+    const run = startRequest(entry, { route, service, object: `${route.name}|${object}`, arrivedAt, deadline }, createCallerLiveness(), conditions, timeline.now)
+    performNextStep(world, { vm, life, entry, arrival, run })
   })
 }
 
-/** Half of a request's processor time goes before it is sent, half after its answer came. */
-function useProcessor (world: World, vm: VmModel, act: () => void): void {
+/** Queues one half of a request's processor time: the first half precedes the send, the second one follows the answer. */
+function useProcessor (world: World, vm: VmModel, action: () => void): void {
   const { timeline, pattern: { entryVm: { requestCpuMs, cores } } } = world
   vm.busyUntil = Math.max(vm.busyUntil, timeline.now) + requestCpuMs / 2 / cores
-  scheduleAfter(timeline, vm.busyUntil - timeline.now, act)
+  scheduleAfter(timeline, vm.busyUntil - timeline.now, action)
 }
 
-function goOn (world: World, serving: Serving): void {
-  const { vm, life, entry, arrival, run } = serving
+function performNextStep (world: World, active: ActiveRequest): void {
+  const { vm, life, entry, arrival, run } = active
   if (vm.life !== life) return arrival.answer({ type: 'failed' })
-  const step = decideNextStep(entry, run, terms, world.timeline.now)
+  const step = decideNextStep(entry, run, conditions, world.timeline.now)
   switch (step.type) {
-    case 'send': return send(world, serving, step.placement)
+    case 'send': return send(world, active, step.placement)
     case 'look':
       recordPoll(run.caller, world.timeline.now)
-      return goOn(world, serving)
+      return performNextStep(world, active)
     case 'wait':
       updateWaitingCount(entry, run, 1)
       return scheduleAfter(world.timeline, step.pauseMs, () => {
         updateWaitingCount(entry, run, -1)
-        goOn(world, serving)
+        performNextStep(world, active)
       })
     case 'answer': return useProcessor(world, vm, () => arrival.answer({ type: 'answered' }))
     case 'refuse': return arrival.answer({ type: 'refused', retryAfterMs: step.refused.retryAfterMs })
@@ -81,103 +81,103 @@
   }
 }
 
-function send (world: World, serving: Serving, placed: Placement): void {
+function send (world: World, active: ActiveRequest, placement: Placement): void {
   const { timeline, backends, score, random } = world
-  const { vm, entry, arrival, run } = serving
-  const backend = backends.get(placed.server.facts.id) as Backend
-  const wayMs = delayBetween(world, vm.region, backend.region)
-  const isReused = takeIdle(world, vm, backend)
-  const openMs = isReused ? 0 : 2 * wayMs
+  const { vm, entry, arrival, run } = active
+  const backend = backends.get(placement.server.facts.id) as Backend
+  const oneWayMs = getOneWayDelay(world, vm.region, backend.region)
+  const isReused = takeIdleConnection(world, vm, backend)
+  const connectMs = isReused ? 0 : 2 * oneWayMs
   score.sends += 1
-  if (!isReused) score.opened += 1
-  if (vm.region !== backend.region) score.farSends += 1
-  const sending = beginSend(entry, run, placed, timeline.now)
-  const job = jobOf(world, arrival, end => scheduleAfter(timeline, wayMs, () => takeEnd(end)))
-  let isOver = false
-  const finish = (end: SendOutcome): void => {
-    if (isOver) return
-    isOver = true
-    endSend(entry, run, sending, end, timeline.now)
-    goOn(world, serving)
+  if (!isReused) score.openedConnections += 1
+  if (vm.region !== backend.region) score.remoteSends += 1
+  const inFlight = beginSend(entry, run, placement, timeline.now)
+  const job = createJob(world, arrival, result => scheduleAfter(timeline, oneWayMs, () => handleResult(result)))
+  let isFinished = false
+  const finish = (outcome: SendOutcome): void => {
+    if (isFinished) return
+    isFinished = true
+    endSend(entry, run, inFlight, outcome, timeline.now)
+    performNextStep(world, active)
   }
-  const takeEnd = (end: BackendEnd): void => {
-    if (isOver) return
-    if (end.type !== 'lost') {
-      recordReply(entry, placed.server, end.ahead, timeline.now)
-      keepIdle(vm, backend, timeline.now)
+  const handleResult = (result: BackendResult): void => {
+    if (isFinished) return
+    if (result.type !== 'lost') {
+      recordReply(entry, placement.server, result.ahead, timeline.now)
+      returnIdleConnection(vm, backend, timeline.now)
     }
-    noteSend(world, end, job, cause)
-    finish(sendEndOf(end, openMs))
+    recordSend(world, result, job, cause)
+    finish(toSendOutcome(result, connectMs))
   }
-  const giveUp = (reason: 'deadline' | 'slow'): void => {
-    if (isOver) return
-    leaveBackend(timeline, backend, job)
+  const abandon = (reason: 'deadline' | 'slow'): void => {
+    if (isFinished) return
+    cancelJob(timeline, backend, job)
     finish({ type: 'lost', reason })
   }
   let cause: ColdCause | undefined
-  scheduleAfter(timeline, openMs + wayMs, () => {
-    if (isOver) return
-    if (backend.isUp && !backend.warm.has(job.object)) cause = coldCauseOf(world, backend, job, placed)
-    arriveAt(timeline, backend, job, random() < backend.shedPart)
+  scheduleAfter(timeline, connectMs + oneWayMs, () => {
+    if (isFinished) return
+    if (backend.isUp && !backend.warm.has(job.object)) cause = classifyColdRequest(world, backend, job, placement)
+    submitJob(timeline, backend, job, random() < backend.shedPart)
   })
-  scheduleAfter(timeline, arrival.deadline - timeline.now, () => giveUp('deadline'))
-  watchPatience(world, serving, sending, () => giveUp('slow'))
+  scheduleAfter(timeline, arrival.deadline - timeline.now, () => abandon('deadline'))
+  scheduleFailover(world, active, inFlight, () => abandon('slow'))
 }
 
-function watchPatience (world: World, { entry, run }: Serving, { failoverAt: leaveAt }: InFlightSend, giveUp: () => void): void {
+function scheduleFailover (world: World, { entry, run }: ActiveRequest, { failoverAt }: InFlightSend, abandon: () => void): void {
   const { timeline } = world
-  if (leaveAt === undefined) return
-  scheduleAfter(timeline, leaveAt - timeline.now, () => { if (mayFailOver(entry, run, terms, timeline.now)) giveUp() })
+  if (failoverAt === undefined) return
+  scheduleAfter(timeline, failoverAt - timeline.now, () => { if (mayFailOver(entry, run, conditions, timeline.now)) abandon() })
 }
 
-function jobOf ({ pattern, random }: World, { route, object, deadline }: Arrival, onEnd: Job['onEnd']): Job {
+function createJob ({ pattern, random }: World, { route, object, deadline }: IncomingRequest, onResult: Job['onResult']): Job {
   const { workMs, warmPart, spread } = pattern.routes[route] as World['pattern']['routes'][string]
-  return { object: `${route}|${object}`, coldMs: workMs * (1 + spread * normal(random)), warmPart, deadline, onEnd, wasWarm: false, isOver: false }
+  return { object: `${route}|${object}`, coldMs: workMs * (1 + spread * sampleNormal(random)), warmPart, deadline, onResult, wasWarm: false, isFinished: false }
 }
 
-/** About normally distributed, within three deviations. */
-function normal (random: () => number): number {
+/** Returns an approximately normal value with standard deviation 1, within three deviations. */
+function sampleNormal (random: () => number): number {
   return (random() + random() + random() - 1.5) * 2
 }
 
-function sendEndOf (end: BackendEnd, openMs: Millis): SendOutcome {
-  switch (end.type) {
-    case 'answered': return { type: 'answered', status: okStatus, connectMs: openMs }
+function toSendOutcome (result: BackendResult, connectMs: Millis): SendOutcome {
+  switch (result.type) {
+    case 'answered': return { type: 'answered', status: okStatus, connectMs }
     case 'full': return { type: 'notRun', reason: 'full' }
     case 'lost': return { type: 'lost', reason: 'failed' }
   }
 }
 
-function noteSend ({ score, handled }: World, end: BackendEnd, job: Job, cause: ColdCause | undefined): void {
-  if (end.type === 'answered') {
+function recordSend ({ score, handled }: World, result: BackendResult, job: Job, cause: ColdCause | undefined): void {
+  if (result.type === 'answered') {
     handled.add(job.object)
     if (!job.wasWarm && cause !== undefined) score.cold.set(cause, (score.cold.get(cause) ?? 0) + 1)
   }
-  if (end.type === 'full') score.shed += 1
+  if (result.type === 'full') score.shed += 1
 }
 
-function takeIdle ({ pattern, timeline }: World, vm: VmModel, { id }: Backend): boolean {
+function takeIdleConnection ({ pattern, timeline }: World, vm: VmModel, { id }: Backend): boolean {
   const idle = vm.idle.get(id) ?? []
   const usedAt = idle.pop()
   return usedAt !== undefined && timeline.now - usedAt < pattern.entryVm.restMs
 }
 
-function keepIdle (vm: VmModel, { id }: Backend, now: Millis): void {
+function returnIdleConnection (vm: VmModel, { id }: Backend, now: Millis): void {
   const idle = vm.idle.get(id)
   if (idle === undefined) vm.idle.set(id, [now])
   else idle.push(now)
 }
 
-/** A VM stops: callers lose their connections, and it knows nothing when it starts. */
+/** Stops a VM: its requests in flight fail, and its state is lost. */
 export function stopVm (vm: VmModel): void {
   vm.isUp = false
   vm.life += 1
 }
 
-/** A VM starts: it knows the servers and what all VMs together saw, and nothing else. */
+/** Starts a VM: it knows the servers and the published load update, and has no observations of its own. */
 export function startVm (world: World, vm: VmModel): void {
-  vm.entry = createEntry(world, vm.name, vm.region)
-  applyLoadUpdate(vm.entry, world.told, vm.region, world.timeline.now)
+  vm.entry = createEntryState(world, vm.name, vm.region)
+  applyLoadUpdate(vm.entry, world.publishedUpdate, vm.region, world.timeline.now)
   vm.idle.clear()
   vm.busyUntil = world.timeline.now
   vm.isUp = true
--- a/packages/replay/src/core/world.ts
+++ b/packages/replay/src/core/world.ts
@@ -1,4 +1,4 @@
-/** State of a replay. */
+/** State of a replay, and its initial values. */
 import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, Millis, Random, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { createTimeline } from '@lynxcourse/base/timeline'
@@ -17,19 +17,19 @@
   readonly name: string
   readonly region: RegionId
   entry: EntryState
-  /** Grows with each start; what began before does not go on. */
+  /** Grows with each stop; requests of an earlier life fail. */
   life: number
   isUp: boolean
-  /** Until when its processor has work. */
+  /** When the processor has finished the work that is queued now. */
   busyUntil: Millis
-  /** Idle connections by server: when each was used last. */
+  /** Last use of each idle connection, by server. */
   readonly idle: Map<ServerId, Millis[]>
 }
 
 export interface World {
   readonly pattern: Pattern
-  /** Mechanisms that are left out. */
-  readonly without: ReadonlySet<Mechanism>
+  /** Mechanisms of placement that are turned off. */
+  readonly disabledMechanisms: ReadonlySet<Mechanism>
   readonly timeline: Timeline
   readonly random: Random
   readonly routes: ReadonlyMap<string, Route>
@@ -37,72 +37,72 @@
   readonly vms: VmModel[]
   readonly vmNames: readonly string[]
   readonly board: LoadBoard
-  /** Reports of entry VMs by region, as a control VM there takes them. */
-  readonly intakes: Map<RegionId, LoadAggregate>
-  /** What control VMs tell entry VMs. */
-  told: LoadUpdate
+  /** Load reports of entry VMs, aggregated by the control VM of each region. */
+  readonly reportsByRegion: Map<RegionId, LoadAggregate>
+  /** Load update that control VMs send to entry VMs. */
+  publishedUpdate: LoadUpdate
   isControlCut: boolean
-  /** How many times more callers send. */
+  /** Factor on the request rate of all callers. */
   burst: number
-  /** Parts of a region's callers that are in another one. */
-  readonly moved: Map<string, { readonly to: string, readonly share: number }>
-  /** Objects that some server has handled. */
+  /** Fraction of a region's callers that sends from another region, by home region. */
+  readonly movedCallers: Map<string, { readonly to: string, readonly share: number }>
+  /** Objects that some server has handled at least once. */
   readonly handled: Set<string>
   readonly score: Score
 }
 
-const noNews: LoadUpdate = { full: [], plans: [], silent: [] }
+const emptyUpdate: LoadUpdate = { full: [], plans: [], silent: [] }
 
-export function createWorld (pattern: Pattern, seed: number, without: ReadonlySet<Mechanism>): World {
+export function createWorld (pattern: Pattern, seed: number, disabledMechanisms: ReadonlySet<Mechanism>): World {
   const random = createRandom(seed)
-  const places = vmPlaces(pattern)
-  const backends = new Map(makeBackends(pattern).map(backend => [backend.id, backend]))
+  const vmList = listVms(pattern)
+  const backends = new Map(createBackends(pattern).map(backend => [backend.id, backend]))
   const world: World = {
     pattern,
-    without,
+    disabledMechanisms,
     timeline: createTimeline(),
     random,
-    routes: new Map(Object.keys(pattern.routes).map(name => [name, routeOf(pattern, name)])),
+    routes: new Map(Object.keys(pattern.routes).map(name => [name, createRoute(pattern, name)])),
     backends,
     vms: [],
-    vmNames: places.map(({ name }) => name),
+    vmNames: vmList.map(({ name }) => name),
     board: createLoadBoard(),
-    intakes: new Map(),
-    told: noNews,
+    reportsByRegion: new Map(),
+    publishedUpdate: emptyUpdate,
     isControlCut: false,
     burst: 1,
-    moved: new Map(),
+    movedCallers: new Map(),
     handled: new Set(),
     score: createScore()
   }
-  for (const { name, region } of places) {
-    world.vms.push({ name, region, entry: createEntry(world, name, region), life: 0, isUp: true, busyUntil: 0, idle: new Map() })
+  for (const { name, region } of vmList) {
+    world.vms.push({ name, region, entry: createEntryState(world, name, region), life: 0, isUp: true, busyUntil: 0, idle: new Map() })
   }
   return world
 }
 
-function makeBackends (pattern: Pattern): Backend[] {
-  const made: Backend[] = []
+function createBackends (pattern: Pattern): Backend[] {
+  const backends: Backend[] = []
   for (const [service, { servers, slots, queue, warmObjects }] of Object.entries(pattern.services)) {
     for (const [region, { failureDomains }] of Object.entries(pattern.regions)) {
       for (let domain = 0; domain < failureDomains; domain++) {
-        for (let place = 0; place < (servers[region] ?? 0); place++) {
+        for (let index = 0; index < (servers[region] ?? 0); index++) {
           const failureDomain = `${region}-${domain}`
-          const id = brandId<ServerId>(`${service}-${failureDomain}-${place}`)
-          made.push(createBackend({ id, service: brandId<ServiceId>(service), region: brandId<RegionId>(region), failureDomain, slots, queue, warmObjects }))
+          const id = brandId<ServerId>(`${service}-${failureDomain}-${index}`)
+          backends.push(createBackend({ id, service: brandId<ServiceId>(service), region: brandId<RegionId>(region), failureDomain, slots, queue, warmObjects }))
         }
       }
     }
   }
-  return made
+  return backends
 }
 
-function vmPlaces (pattern: Pattern): Array<Pick<VmModel, 'name' | 'region'>> {
+function listVms (pattern: Pattern): Array<Pick<VmModel, 'name' | 'region'>> {
   return Object.entries(pattern.regions).flatMap(([region, { failureDomains, entryVms }]) =>
-    Array.from({ length: failureDomains * entryVms }, (_, place) => ({ name: `vm-${region}-${place}`, region: brandId<RegionId>(region) })))
+    Array.from({ length: failureDomains * entryVms }, (_, index) => ({ name: `vm-${region}-${index}`, region: brandId<RegionId>(region) })))
 }
 
-function routeOf ({ routes }: Pattern, name: string): Route {
+function createRoute ({ routes }: Pattern, name: string): Route {
   const { service, isIdempotent, timeoutMs, aimMs, rank } = routes[name] as Pattern['routes'][string]
   return {
     name,
@@ -121,22 +121,22 @@
   }
 }
 
-/** What an entry VM decides by after a start: all servers, and nothing learned. */
-export function createEntry (world: World, name: string, region: RegionId): EntryState {
-  const fleet = createFleet({ self: name, region, random: world.random, disabledMechanisms: world.without }, world.vmNames)
-  for (const backend of world.backends.values()) fleet.byId.set(backend.id, fleetServerOf(backend))
+/** Creates the state of an entry VM after its start: it knows all servers and has observed none of them. */
+export function createEntryState (world: World, name: string, region: RegionId): EntryState {
+  const fleet = createFleet({ self: name, region, random: world.random, disabledMechanisms: world.disabledMechanisms }, world.vmNames)
+  for (const backend of world.backends.values()) fleet.byId.set(backend.id, toFleetServer(backend))
   groupServersByService(fleet)
-  for (const other of Object.keys(world.pattern.regions)) fleet.roundTripTimes.set(brandId<RegionId>(other), 2 * delayBetween(world, region, other))
+  for (const other of Object.keys(world.pattern.regions)) fleet.roundTripTimes.set(brandId<RegionId>(other), 2 * getOneWayDelay(world, region, other))
   return { fleet, load: createLoadObservations(world.timeline.now), retries: new Map(), waitingForCapacity: new Map() }
 }
 
-function fleetServerOf (backend: Backend): FleetServer {
+function toFleetServer (backend: Backend): FleetServer {
   const { id, service, region, slots, isUp, isLeaving } = backend
   const failureDomain = brandId<FailureDomainId>(backend.failureDomain)
   return createFleetServer({ id, service, address: id, failureDomain, region, bornAt: 0, slots, isClosed: !isUp || isLeaving }, -Infinity)
 }
 
-/** One-way delay between VMs or servers of two regions. */
-export function delayBetween ({ pattern: { delays } }: World, a: string, b: string): Millis {
+/** Returns the one-way network delay between hosts of two regions. */
+export function getOneWayDelay ({ pattern: { delays } }: World, a: string, b: string): Millis {
   return a === b ? delays.inRegion : delays.betweenRegions
 }
--- a/packages/replay/src/replay.ts
+++ b/packages/replay/src/replay.ts
@@ -1,7 +1,7 @@
 /**
- * Replays a load pattern against the decisions of entry VMs and of the load board, in virtual time.
+ * Replays a load pattern against the placement decisions of entry VMs and of the load board, in virtual time.
  *
- * The decisions are those of `@lynxcourse/placement`, unchanged. What surrounds them is modelled: callers, ways, processor time of
- * entry VMs, and backend servers with slots, queues and objects that they keep warm.
+ * The decisions are made by the code of `@lynxcourse/placement`. Everything else is a model: callers, network delays, processor
+ * time of entry VMs, and backend servers with slots, queues and a cache of warm objects.
  */
 export * from './internal.js'
--- a/packages/replay/src/types/pattern.ts
+++ b/packages/replay/src/types/pattern.ts
@@ -1,90 +1,93 @@
-/** A load pattern: a deployment, its callers, and what happens to it. All times in milliseconds unless a name ends in `S`. */
+/**
+ * A load pattern: a deployment, its callers and the disturbances during the replay. Times are in milliseconds; a name that ends
+ * in `S` is in seconds.
+ */
 import { z } from 'zod'
 
 const share = z.number().min(0).max(1)
 const positive = z.number().positive()
-const count = z.number().int().min(0)
+const wholeNumber = z.number().int().min(0)
 
 const routeSchema = z.strictObject({
   service: z.string().min(1),
   isIdempotent: z.boolean(),
-  /** Requests a second of all callers, on the mean. */
+  /** Mean requests per second of all callers together. */
   perSecond: positive,
-  /** Objects of each region's callers. */
-  objects: count.min(1),
-  /** Work for an object that is cold at its server. */
+  /** Number of objects that the callers of each region use. */
+  objects: wholeNumber.min(1),
+  /** Mean service time for an object that is cold at its server. */
   workMs: positive,
-  /** Part of that where it is warm. */
+  /** Service time for a warm object, as a fraction of `workMs`. */
   warmPart: share,
-  /** Standard deviation of the work, in parts of it. */
+  /** Standard deviation of the service time, as a fraction of `workMs`. */
   spread: share,
   aimMs: positive,
   timeoutMs: positive,
-  /** How long callers wait in all. */
+  /** Total time that a caller waits, over all its attempts. */
   patienceMs: positive,
   worth: positive,
   lateWorth: z.number().min(0),
-  rank: count
+  rank: wholeNumber
 })
 
 const serviceSchema = z.strictObject({
-  slots: count.min(1),
-  /** Requests that a server lets wait. */
-  queue: count,
+  slots: wholeNumber.min(1),
+  /** Capacity of a server's queue. */
+  queue: wholeNumber,
   /** Objects that a server keeps warm. */
-  warmObjects: count.min(1),
-  /** Servers in each failure domain, by region. */
-  servers: z.record(z.string(), count)
+  warmObjects: wholeNumber.min(1),
+  /** Number of servers in each failure domain, by region. */
+  servers: z.record(z.string(), wholeNumber)
 })
 
 const regionSchema = z.strictObject({
-  failureDomains: count.min(1),
-  /** Entry VMs in each of them. */
-  entryVms: count.min(1),
-  /** Part of all callers. */
+  failureDomains: wholeNumber.min(1),
+  /** Entry VMs in each failure domain. */
+  entryVms: wholeNumber.min(1),
+  /** Fraction of all callers that belong to this region. */
   callers: share,
-  /** Where in its wave the region begins, in parts of the period. */
+  /** Phase of the region's wave at the start, as a fraction of the period. */
   phase: share.default(0)
 })
 
 const times = { atS: z.number().min(0), forS: z.number().min(0).default(0) }
 const disturbanceSchema = z.discriminatedUnion('kind', [
-  /** Callers send so many times more. */
+  /** All callers multiply their request rate by `factor`. */
   z.strictObject({ kind: z.literal('burst'), ...times, factor: positive }),
-  /** A part of one region's callers is in another one. */
+  /** A fraction of one region's callers sends from another region. */
   z.strictObject({ kind: z.literal('callersMove'), ...times, from: z.string(), to: z.string(), share }),
-  /** Entry VMs lose what they know and what they have under way, and are away meanwhile. */
+  /** Entry VMs stop: they lose their state and their requests in flight, and start again after `forS`. */
   z.strictObject({ kind: z.literal('entryVmsStop'), ...times, share }),
-  /** Entry VMs start anew one after the other, so many at a time. */
-  z.strictObject({ kind: z.literal('entryVmsRoll'), ...times, atOnce: count.min(1), gapMs: positive }),
-  /** Servers crash, and come back with no object warm. */
+  /** Rolling restart of all entry VMs, `atOnce` at a time. */
+  z.strictObject({ kind: z.literal('entryVmsRoll'), ...times, atOnce: wholeNumber.min(1), gapMs: positive }),
+  /** Servers crash and return with all objects cold. */
   z.strictObject({ kind: z.literal('serversCrash'), ...times, share }),
-  /** All servers of a failure domain leave, and come back with no object warm. */
+  /** All servers of one failure domain crash and return with all objects cold. */
   z.strictObject({ kind: z.literal('domainReturnsCold'), ...times, region: z.string() }),
-  /** Servers take so many times as long. */
+  /** Service times of some servers are multiplied by `factor`. */
   z.strictObject({ kind: z.literal('serversSlow'), ...times, share, factor: positive }),
-  /** Servers turn away a part of what they get although they have room. */
+  /** Servers shed a fraction (`part`) of their requests although they have capacity. */
   z.strictObject({ kind: z.literal('serversShed'), ...times, share, part: share }),
-  /** Servers announce that they leave, and leave. */
+  /** Servers announce that they leave, and then stop. */
   z.strictObject({ kind: z.literal('serversLeave'), ...times, share }),
-  /** Entry VMs hear nothing of the load. */
+  /** Entry VMs receive no load updates. */
   z.strictObject({ kind: z.literal('controlCut'), ...times })
 ])
 
 export const patternSchema = z.strictObject({
   name: z.string().min(1),
-  /** What happens, in a sentence. */
+  /** One sentence that describes the pattern. */
   about: z.string().min(1),
   seconds: positive,
   /** One-way delays. */
   delays: z.strictObject({ inRegion: positive, betweenRegions: positive, toCallers: positive }),
-  /** How the callers' demand swings around its mean; 0 for not at all. */
+  /** Sine wave of the callers' demand: amplitude as a fraction of the mean (0: constant demand), and period. */
   wave: z.strictObject({ swing: share, periodS: positive }),
   entryVm: z.strictObject({
-    /** Processor time of one request, and the part of a processor that a VM has. */
+    /** Processor time per request, and the number of processor cores that a VM has, which may be a fraction. */
     requestCpuMs: z.number().min(0),
     cores: positive,
-    /** How long a connection to a server may rest before it is closed. */
+    /** Idle timeout of connections to servers. */
     restMs: positive
   }),
   regions: z.record(z.string(), regionSchema),
