--- a/packages/faults/__tests__/matrix.test.ts
+++ b/packages/faults/__tests__/matrix.test.ts
@@ -12,13 +12,13 @@
   test(`${name}: at every step`, () => {
     for (const step of steps) {
       const result = runCell({ step, faults: [name] }, seed)
-      assert.ok(result.struck, `${step}: the fault did not strike`)
+      assert.ok(result.struck, `${step}: the fault was not injected`)
       assert.deepEqual(result.violations, [], `at ${step}`)
     }
   })
 }
 
 test('pairs of faults: a fixed sample', () => {
-  const cells = pairCells().filter((_, place) => place % pairSample === 0)
+  const cells = pairCells().filter((_, index) => index % pairSample === 0)
   for (const cell of cells) assert.deepEqual(runCell(cell, seed).violations, [], `${cell.step}: ${cell.faults.join(', then ')}`)
 })
--- a/packages/faults/src/core/controlDuties.ts
+++ b/packages/faults/src/core/controlDuties.ts
@@ -1,4 +1,4 @@
-/** What a control VM of the model does besides agreeing: grants, syncs, and plans for drains and shifts. */
+/** Tasks of a control VM of the model other than agreement: grants, syncs, and the steps of drains and shifts. */
 import { getHolderVm } from '@lynxcourse/base'
 import type { HolderId, Millis } from '@lynxcourse/base'
 import { createGrantor, getGrants, recordUsageReport, planShares } from '@lynxcourse/limits'
@@ -9,21 +9,21 @@
 import { FixedStepRule, evaluateDrain, planShift } from '@lynxcourse/steering'
 import type { VmProgress } from '@lynxcourse/steering'
 import { send } from './network.js'
-import { passStep } from './checks.js'
+import { enterStep } from './checks.js'
 import { times } from './times.js'
 import type { ControlModel, World } from '../types/world.js'
-import { leadsNow, propose } from './controlLog.js'
+import { isLeader, propose } from './controlLog.js'
 
 function mayGrant (control: ControlModel, now: Millis): boolean {
-  return leadsNow(control) && control.replica !== undefined && now - control.replica.quorumConfirmedAt < times.electionMs
+  return isLeader(control) && control.replica !== undefined && now - control.replica.quorumConfirmedAt < times.electionMs
 }
 
-/** What a control VM knows of grants that has heard of none yet. */
-export function newGrantor (): Grantor {
+/** Creates the grant state of a control VM that has received no usage reports yet. */
+export function createModelGrantor (): Grantor {
   return createGrantor(times.grantMs, times.deadlineMs + times.electionMs)
 }
 
-/** What an entry VM reports. */
+/** Periodic report of an entry VM to the leader. */
 export interface Report {
   readonly holder: HolderId
   readonly serial: number
@@ -32,59 +32,59 @@
   readonly load: number
 }
 
-/** Answers a report with grants; undefined from a VM that may not grant. */
+/** Answers a report with grants, or returns undefined if this control VM may not grant. */
 export function answerReport (world: World, control: ControlModel, report: Report): { serial: number, grants: Grant[] } | undefined {
   const { now } = world.network
   if (!mayGrant(control, now)) return undefined
   recordUsageReport(control.grantor, report.holder, report.serial, report.usages, now)
   control.progress.set(report.holder, { ...report.progress, at: now, loads: report.load })
-  passStep(world, 'grant', control.host)
+  enterStep(world, 'grant', control.host)
   return { serial: control.machine.applied, grants: getGrants(control.grantor, control.machine.allocations.byResource, report.holder) }
 }
 
-/** Answers a VM that syncs: what it lacks, and how old the quorum's confirmation is. */
+/** Answers a sync with the changes since `version`, the age of the quorum's confirmation and the known leader. */
 export function answerSync (world: World, control: ControlModel, version: number): { delta: ConfigDelta, ageMs: Millis | undefined, leader: string | undefined } {
   const { now } = world.network
-  refreshView(control, now)
-  const ageMs = isLeaseValid(control.currency, now) ? now - control.currency.confirmedAt : undefined
+  refreshPublishedConfig(control, now)
+  const ageMs = isLeaseValid(control.configLease, now) ? now - control.configLease.confirmedAt : undefined
   const leader = control.replica?.leader
-  return { delta: getDeltaSince(control.view, version), ageMs, leader: leader === undefined ? undefined : getHolderVm(leader) }
+  return { delta: getDeltaSince(control.publishedConfig, version), ageMs, leader: leader === undefined ? undefined : getHolderVm(leader) }
 }
 
-function refreshView (control: ControlModel, now: Millis): void {
-  if (!leadsNow(control) || control.replica === undefined) return
-  applyDelta(control.view, getDeltaSince(control.machine.config, control.view.version))
-  renewConfigLease(control.currency, Math.min(now, control.replica.quorumConfirmedAt), 0)
+function refreshPublishedConfig (control: ControlModel, now: Millis): void {
+  if (!isLeader(control) || control.replica === undefined) return
+  applyDelta(control.publishedConfig, getDeltaSince(control.machine.config, control.publishedConfig.version))
+  renewConfigLease(control.configLease, Math.min(now, control.replica.quorumConfirmedAt), 0)
 }
 
-export function doDuties (world: World, control: ControlModel): void {
+export function runPeriodicTasks (world: World, control: ControlModel): void {
   const { now } = world.network
   if (!mayGrant(control, now)) {
     control.progress.clear()
-    control.drainsSeen.clear()
-    if (!leadsNow(control)) control.grantor = newGrantor()
+    control.drainFirstSeenAt.clear()
+    if (!isLeader(control)) control.grantor = createModelGrantor()
     syncFromLeader(world, control)
     return
   }
-  refreshView(control, now)
+  refreshPublishedConfig(control, now)
   planLimits(world, control)
-  moveDrains(world, control)
-  moveShifts(world, control)
+  advanceDrains(world, control)
+  advanceShifts(world, control)
 }
 
-/** A control VM that does not lead gets its view from the leader, as every other VM does. */
+/** Syncs the published configuration of a follower from the leader, as entry VMs sync theirs from a control VM. */
 function syncFromLeader (world: World, control: ControlModel): void {
   const leader = control.replica?.leader
-  if (leader === undefined || leadsNow(control)) return
+  if (leader === undefined || isLeader(control)) return
   const target = world.controls.find(other => other.vm === getHolderVm(leader))
   if (target === undefined || target === control) return
-  const askedAt = world.network.now
-  const { version } = control.view
+  const requestedAt = world.network.now
+  const { version } = control.publishedConfig
   send(world.network, control.host, target.host, () => {
     const reply = answerSync(world, target, version)
     send(world.network, target.host, control.host, () => {
-      const isWhole = applyDelta(control.view, reply.delta)
-      if (isWhole && reply.ageMs !== undefined) renewConfigLease(control.currency, askedAt, reply.ageMs)
+      const isComplete = applyDelta(control.publishedConfig, reply.delta)
+      if (isComplete && reply.ageMs !== undefined) renewConfigLease(control.configLease, requestedAt, reply.ageMs)
     })
   })
 }
@@ -96,21 +96,21 @@
   propose(world, control, { type: 'allocate', ...plan }, () => undefined)
 }
 
-function moveDrains (world: World, control: ControlModel): void {
+function advanceDrains (world: World, control: ControlModel): void {
   const { now } = world.network
   for (const drain of listItems(control.machine.config, 'drain')) {
     if (drain.state !== 'scheduled' && drain.state !== 'draining') continue
-    if (drain.state === 'draining' && !control.drainsSeen.has(drain.key)) control.drainsSeen.set(drain.key, now)
+    if (drain.state === 'draining' && !control.drainFirstSeenAt.has(drain.key)) control.drainFirstSeenAt.set(drain.key, now)
     const version = control.machine.config.items.get(`drain ${drain.key}`)?.version ?? 0
-    const view = { id: drain.key, state: drain.state, at: drain.at, version, firstSeenAt: control.drainsSeen.get(drain.key) ?? now }
-    const { event } = evaluateDrain(view, control.progress.values(), times.leaseMs, times.deadlineMs, now)
+    const progress = { id: drain.key, state: drain.state, at: drain.at, version, firstSeenAt: control.drainFirstSeenAt.get(drain.key) ?? now }
+    const { event } = evaluateDrain(progress, control.progress.values(), times.leaseMs, times.deadlineMs, now)
     if (event === undefined) continue
-    passStep(world, 'drainStep', control.host)
+    enterStep(world, 'drainStep', control.host)
     propose(world, control, { type: 'advanceDrain', drain: drain.key, event }, () => undefined)
   }
 }
 
-function moveShifts (world: World, control: ControlModel): void {
+function advanceShifts (world: World, control: ControlModel): void {
   const { now } = world.network
   const rule = new FixedStepRule()
   for (const shift of listItems(control.machine.config, 'shift')) {
@@ -121,7 +121,7 @@
     const headroom = { measuredAt, busy, slots: 100, originBusy: 10 }
     const step = planShift(shift, headroom, rule, { lookupTtlMs: 200, reportLagMs: 200, staleMs: 1000 }, now)
     if (step.type === 'wait') continue
-    passStep(world, 'shiftStep', control.host)
+    enterStep(world, 'shiftStep', control.host)
     const event = step.type === 'step' ? 'stepDone' : step.type === 'finish' ? 'finish' : 'settled'
     const percent = step.type === 'step' ? step.percent : shift.percent
     propose(world, control, { type: 'advanceShift', shift: shift.key, event, fromPercent: shift.percent, percent }, () => undefined)
--- a/packages/faults/src/core/times.ts
+++ b/packages/faults/src/core/times.ts
@@ -1,4 +1,4 @@
-/** Time constants of the model, in milliseconds; shorter than the daemon's, in the same proportions. */
+/** Time constants of the model, in milliseconds. They are shorter than the daemon's, in the same proportions. */
 export const times = {
   heartbeatMs: 50,
   electionMs: 300,
--- a/packages/faults/src/core/world.ts
+++ b/packages/faults/src/core/world.ts
@@ -1,19 +1,19 @@
-/** Builds the small system and its steady load. */
+/** Builds the modelled system and runs its steady load. */
 import { brandId, loadChart, createRandom, createRequestId } from '@lynxcourse/base'
 import type { DrainId, ServiceId, ShiftId, ProfileName } from '@lynxcourse/base'
 import { scheduleAt, runUntil } from '@lynxcourse/base/timeline'
 import type { ChangeAnswer } from '@lynxcourse/state'
 import { createChecks, trackRequest } from './checks.js'
-import { addControl, foundCluster, startControl } from './controlModel.js'
-import { addEntry, addServer, lookUp, startEntry } from './entryModel.js'
-import { handIn, readOnce } from './requestModel.js'
+import { addControl, initializeCluster, startControl } from './controlModel.js'
+import { addEntry, addServer, performLookup, startEntry } from './entryModel.js'
+import { submitRequest, sendRead } from './requestModel.js'
 import { createNetwork } from './network.js'
 import type { Host } from './network.js'
-import { addOperator, nextChangeId, publishCap, resetOperators, submitChange } from './operators.js'
+import { addOperator, createChangeId, publishCap, resetProfileChanges, submitChange } from './operators.js'
 import type { Operator } from './operators.js'
 import type { Charts, Guard, World } from '../types/world.js'
 
-/** Where the model's time starts: request ids carry Unix time, so it must look like one. */
+/** Start of the model's time. Request ids contain Unix time, so the start must be a plausible Unix time. */
 const startAt = 1_800_000_000_000
 const latencyMs = 15
 
@@ -21,16 +21,16 @@
 const readEveryMs = 12
 const lookupEveryMs = 100
 const publishEveryMs = 700
-const copyShare = 0.1
+const copyProbability = 0.1
 const highCap = 6
 const lowCap = 3
 
-/** The cap changes with each so many profile changes, so that a lowered one has time to take hold. */
-const capChangesEvery = 5
+/** Number of profile versions with equal caps, so that a lowered cap has time to take effect. */
+const versionsPerCap = 5
 
-/** One VM after the other gets most of the load, so that shares of caps have to move. */
-const hotMs = 800
-const hotShare = 0.6
+/** The entry VMs get most of the load by turns, for this time each, so that their shares of caps have to move. */
+const hotPeriodMs = 800
+const hotProbability = 0.6
 
 let charts: Charts | undefined
 
@@ -39,19 +39,19 @@
   return charts
 }
 
-/** A world with its operators. */
+/** A modelled system with its operators. */
 export interface Scene {
   readonly world: World
   readonly alice: Operator
   readonly bob: Operator
-  /** Version of the profile as the operators know it. */
+  /** Newest version of the profile that the operators know. */
   profileVersion: number
   stopped: boolean
 }
 
-/** Builds three control VMs, four entry VMs and six servers in three regions. */
-export function buildScene (seed: number, without: readonly Guard[] = []): Scene {
-  resetOperators()
+/** Builds a system of three control VMs, four entry VMs and six servers in three regions. */
+export function buildScene (seed: number, disabledGuards: readonly Guard[] = []): Scene {
+  resetProfileChanges()
   const world: World = {
     network: createNetwork(createRandom(seed), latencyMs, startAt),
     charts: loadCharts(),
@@ -59,11 +59,11 @@
     entries: [],
     servers: [],
     checks: createChecks(),
-    armed: [],
-    without: new Set(without)
+    armedFaults: [],
+    disabledGuards: new Set(disabledGuards)
   }
   for (const region of ['r1', 'r2', 'r3']) addControl(world, `c-${region}`, region)
-  foundCluster(world)
+  initializeCluster(world)
   for (const [name, region] of [['e1', 'r1'], ['e2', 'r1'], ['e3', 'r2'], ['e4', 'r3']] as const) addEntry(world, name, region)
   for (const region of ['r1', 'r2', 'r3']) {
     for (const number of [1, 2]) addServer(world, `s-${region}-${number}`, region, `${region}-${number}`, 3)
@@ -71,54 +71,54 @@
   return { world, alice: addOperator(world, 'alice'), bob: addOperator(world, 'bob'), profileVersion: 0, stopped: false }
 }
 
-/** Runs the scene on. */
+/** Advances the scene by `ms` of virtual time. */
 export function runFor (scene: Scene, ms: number): void {
   runUntil(scene.world.network, scene.world.network.now + ms)
 }
 
-function every (scene: Scene, everyMs: number, work: () => void): void {
+function scheduleRepeatedly (scene: Scene, everyMs: number, work: () => void): void {
   scheduleAt(scene.world.network, scene.world.network.now + everyMs, () => {
     if (scene.stopped) return
     work()
-    every(scene, everyMs, work)
+    scheduleRepeatedly(scene, everyMs, work)
   })
 }
 
-/** Starts the steady load: requests with some copies, look-ups, profile changes, a drain and a shift. */
+/** Starts the steady load: once-only requests of which some are duplicated, reads, look-ups and profile changes. */
 export function startLoad (scene: Scene): void {
   const { world, alice } = scene
-  publishNext(scene)
-  submitChange(world, alice, { type: 'pickProfile', changeId: nextChangeId(alice), operator: 'alice', service: brandId<ServiceId>('svc'), profile: brandId<ProfileName>('p') })
-  every(scene, requestEveryMs, () => sendRequest(scene))
-  every(scene, readEveryMs, () => readOnce(world, pickEntry(scene)))
-  every(scene, lookupEveryMs, () => { for (const entry of world.entries) lookUp(world, entry) })
-  every(scene, publishEveryMs, () => publishNext(scene))
+  publishNextCap(scene)
+  submitChange(world, alice, { type: 'pickProfile', changeId: createChangeId(alice), operator: 'alice', service: brandId<ServiceId>('svc'), profile: brandId<ProfileName>('p') })
+  scheduleRepeatedly(scene, requestEveryMs, () => sendRequest(scene))
+  scheduleRepeatedly(scene, readEveryMs, () => sendRead(world, chooseEntry(scene)))
+  scheduleRepeatedly(scene, lookupEveryMs, () => { for (const entry of world.entries) performLookup(world, entry) })
+  scheduleRepeatedly(scene, publishEveryMs, () => publishNextCap(scene))
 }
 
-/** The next profile change; caps go up and down. */
-export function publishNext (scene: Scene): void {
-  const cap = Math.floor(scene.profileVersion / capChangesEvery) % 2 === 0 ? highCap : lowCap
-  publishCap(scene.world, scene.alice, scene.profileVersion, cap, answer => learnVersion(scene, answer))
+/** Publishes the next profile version; caps alternate between high and low. */
+export function publishNextCap (scene: Scene): void {
+  const cap = Math.floor(scene.profileVersion / versionsPerCap) % 2 === 0 ? highCap : lowCap
+  publishCap(scene.world, scene.alice, scene.profileVersion, cap, answer => updateKnownVersion(scene, answer))
 }
 
-/** Takes over what an answer says of the profile's version. */
-export function learnVersion (scene: Scene, answer: ChangeAnswer): void {
+/** Updates the known profile version from the answer to a change. */
+export function updateKnownVersion (scene: Scene, answer: ChangeAnswer): void {
   if (answer.ok) scene.profileVersion = Math.max(scene.profileVersion, answer.itemVersion)
   else if (answer.winner !== undefined) scene.profileVersion = Math.max(scene.profileVersion, answer.winner.version)
 }
 
-/** Starts a drain of one server and a shift, whose steps the matrix strikes at. */
-export function startMoves (scene: Scene): void {
+/** Starts a drain of one server and a shift, so that their steps are reached. */
+export function startDrainAndShift (scene: Scene): void {
   const { world, alice } = scene
   const operator = 'alice'
-  submitChange(world, alice, { type: 'startDrain', changeId: nextChangeId(alice), operator, drain: brandId<DrainId>('d1'), target: { kind: 'server', name: 's-r1-1' }, at: 0 })
-  submitChange(world, alice, { type: 'startShift', changeId: nextChangeId(alice), operator, shift: brandId<ShiftId>('m1'), service: brandId<ServiceId>('svc'), from: brandId('r1'), to: brandId('r2'), percent: 100, stepPercent: 20 })
+  submitChange(world, alice, { type: 'startDrain', changeId: createChangeId(alice), operator, drain: brandId<DrainId>('d1'), target: { kind: 'server', name: 's-r1-1' }, at: 0 })
+  submitChange(world, alice, { type: 'startShift', changeId: createChangeId(alice), operator, shift: brandId<ShiftId>('m1'), service: brandId<ServiceId>('svc'), from: brandId('r1'), to: brandId('r2'), percent: 100, stepPercent: 20 })
 }
 
-function pickEntry (scene: Scene): World['entries'][number] {
+function chooseEntry (scene: Scene): World['entries'][number] {
   const { entries, network } = scene.world
-  const hot = entries[Math.floor(network.now / hotMs) % entries.length]
-  if (hot !== undefined && network.random() < hotShare) return hot
+  const hot = entries[Math.floor(network.now / hotPeriodMs) % entries.length]
+  if (hot !== undefined && network.random() < hotProbability) return hot
   return entries[Math.floor(network.random() * entries.length)] as World['entries'][number]
 }
 
@@ -126,26 +126,26 @@
   const { world } = scene
   const id = createRequestId(world.network.now, world.network.random)
   trackRequest(world, id)
-  handIn(world, pickEntry(scene), id)
-  if (world.network.random() >= copyShare) return
-  // A caller that heard nothing resends, or the network brings a late copy.
+  submitRequest(world, chooseEntry(scene), id)
+  if (world.network.random() >= copyProbability) return
+  // The caller resends after a missing answer, or the network delivers a late duplicate.
   const delay = world.network.random() * 900
-  scheduleAt(world.network, world.network.now + delay, () => handIn(world, pickEntry(scene), id))
+  scheduleAt(world.network, world.network.now + delay, () => submitRequest(world, chooseEntry(scene), id))
 }
 
-/** Ends a process; what it had planned is void. */
+/** Kills a process; its scheduled work is dropped. */
 export function killHost (host: Host): void {
-  host.alive = false
-  host.frozen = false
+  host.isAlive = false
+  host.isFrozen = false
   host.backlog = []
   host.life += 1
 }
 
-/** Starts a process again, from its disk if it has one. */
+/** Restarts a process, from its disk if it has one. */
 export function restartHost (scene: Scene, host: Host): void {
   const { world } = scene
-  if (host.alive) return
-  host.alive = true
+  if (host.isAlive) return
+  host.isAlive = true
   const control = world.controls.find(model => model.host === host)
   if (control !== undefined) startControl(world, control)
   const entry = world.entries.find(model => model.host === host)
--- a/packages/faults/src/types/world.ts
+++ b/packages/faults/src/types/world.ts
@@ -1,4 +1,4 @@
-/** The small system that the fault matrix drives: hosts made of the project's own decision modules. */
+/** Types of the modelled system that the fault matrix runs: its hosts run the product's decision modules. */
 import type { Entry, Replica, StoredLog } from '@lynxcourse/agreement'
 import type { Chart, DrainId, HolderId, Millis, RequestId, ResourceId, VmId } from '@lynxcourse/base'
 import type { ConfigLease } from '@lynxcourse/membership'
@@ -7,7 +7,7 @@
 import type { VmProgress } from '@lynxcourse/steering'
 import type { Host, Network } from '../core/network.js'
 
-/** Steps at which a fault can strike. */
+/** Protocol steps at which a fault can be injected. */
 export const steps = ['lookup', 'claim', 'dispatch', 'answer', 'publish', 'grant', 'shiftStep', 'drainStep', 'repair'] as const
 export type Step = typeof steps[number]
 
@@ -16,14 +16,15 @@
   readonly role: Chart
 }
 
-/** What lasts when a control VM's process dies. */
+/** Persistent state of a control VM; it survives the death of the process. */
 export interface Disk {
   incarnation: string
   cluster: boolean
   stored: StoredLog | undefined
 }
 
-interface Placed {
+/** A proposed command whose log entry is not yet committed. */
+interface PendingProposal {
   readonly term: number
   readonly done: (answer: CommandAnswer) => void
 }
@@ -35,12 +36,12 @@
   disk: Disk
   replica: Replica | undefined
   machine: StateMachine
-  placed: Map<number, Placed>
+  pendingProposals: Map<number, PendingProposal>
   grantor: Grantor
   progress: Map<HolderId, VmProgress & { readonly loads: number }>
-  drainsSeen: Map<DrainId, Millis>
-  view: Config
-  currency: ConfigLease
+  drainFirstSeenAt: Map<DrainId, Millis>
+  publishedConfig: Config
+  configLease: ConfigLease
 }
 
 export interface EntryModel {
@@ -49,16 +50,16 @@
   readonly vm: VmId
   holder: HolderId
   config: Config
-  currency: ConfigLease
+  configLease: ConfigLease
   limits: HolderLimits
   leader: string | undefined
-  /** Control VM asked last. */
-  asked: number
+  /** Index of the control VM that this VM syncs from, modulo the number of control VMs. */
+  controlIndex: number
   nextToken: number
   inFlight: Map<string, number>
-  syncing: boolean
-  reporting: boolean
-  silentReports: boolean
+  isSyncing: boolean
+  isReporting: boolean
+  areReportsStopped: boolean
 }
 
 export interface ServerModel {
@@ -67,57 +68,58 @@
   readonly region: string
   readonly slots: number
   busy: number
-  /** Connections from entry VMs that went silent for good. */
-  readonly silentFrom: Set<string>
+  /** Entry VMs whose messages to this server get no response while the fault lasts. */
+  readonly silentEntryVms: Set<string>
 }
 
-export type Told = 'done' | 'notRun' | 'unknown' | 'taken' | 'refused'
+export type CallerOutcome = 'done' | 'notRun' | 'unknown' | 'taken' | 'refused'
 
-/** One once-only request and its copies. */
-export interface Tracked {
+/** A once-only request and the outcomes of its copies. */
+export interface TrackedRequest {
   readonly id: RequestId
   runs: number
-  readonly told: Told[]
+  readonly outcomes: CallerOutcome[]
   copies: number
 }
 
-/** A copy of a request at one entry VM. */
+/** One copy of a request, at one entry VM. */
 export interface OpenCopy {
   readonly id: RequestId
   readonly isAlive: () => boolean
   readonly isEnded: () => boolean
 }
 
-/** What has been seen so far that the promises are judged by. */
+/** Observations that the invariants are checked against, and the violations found so far. */
 export interface Checks {
   readonly violations: string[]
   readonly committed: Map<number, Entry>
-  readonly requests: Map<RequestId, Tracked>
-  /** Copies handed in, to see at the end that each got its answer unless its VM died. */
+  readonly requests: Map<RequestId, TrackedRequest>
+  /** All submitted copies. At the end, each one must have an answer unless its VM died. */
   readonly open: OpenCopy[]
-  /** When a drain was first applied, by target server. */
+  /** Time at which a drain was first applied, by target server. */
   readonly drained: Map<string, Millis>
-  /** When a configuration version was first applied anywhere. */
+  /** Time at which the first control VM applied a configuration version. */
   readonly applied: Map<number, Millis>
   readonly answers: Map<string, ChangeAnswer>
-  /** Requests in flight per resource over all entry VMs, living or dead. */
+  /** Requests in flight per resource, over all entry VMs including dead ones. */
   readonly load: Map<ResourceId, number>
-  /** Caps in force, newest last. */
+  /** Caps that were in force, newest last. */
   readonly caps: Array<{ readonly at: Millis, readonly cap: number }>
-  /** Whether a majority of disks was lost at once: then the system must stand still, and does no harm. */
+  /** Whether a majority of disks was lost at once. The cluster then has no quorum, and safety must still hold. */
   majorityLost: boolean
   accepted: number
   granted: number
   reads: number
   readsAnswered: number
-  /** How often each step was passed. */
-  readonly passed: Map<Step, number>
+  /** Number of times that each step was reached. */
+  readonly stepCounts: Map<Step, number>
 }
 
-export interface Armed {
+/** A fault that is injected when its step has been reached `left` more times. */
+export interface ArmedFault {
   readonly step: Step
   left: number
-  readonly strike: (host: Host) => void
+  readonly inject: (host: Host) => void
 }
 
 export interface World {
@@ -127,11 +129,11 @@
   readonly entries: EntryModel[]
   readonly servers: ServerModel[]
   readonly checks: Checks
-  /** Faults that wait for their step. */
-  armed: Armed[]
-  /** Guards that a test removes to show that the checks can fail. */
-  readonly without: ReadonlySet<Guard>
+  /** Faults to inject at their step. */
+  armedFaults: ArmedFault[]
+  /** Guards that a test disables to show that the checks can fail. */
+  readonly disabledGuards: ReadonlySet<Guard>
 }
 
-/** Guards of the system that can be taken out, one at a time. */
+/** Guards of the protocols that a test can disable. */
 export type Guard = 'claim' | 'lease' | 'newIncarnation' | 'recordNotRun' | 'preSync'
--- a/packages/replay/src/core/callerModel.ts
+++ b/packages/replay/src/core/callerModel.ts
@@ -1,6 +1,7 @@
 /**
  * Model of the callers: requests arrive as a Poisson process whose rate follows the region's wave. A caller sends to a random
- * running VM of its region (of any region if none runs there), and retries once after a refusal, or after a failure if the request is idempotent.
+ * running VM of its region, or of any region if none runs there. It retries once after a refusal, or after a failure if the
+ * request is idempotent.
  */
 import type { Millis } from '@lynxcourse/base'
 import { scheduleAfter } from '@lynxcourse/base/timeline'
