--- a/packages/faults/src/core/controlLog.ts
+++ b/packages/faults/src/core/controlLog.ts
@@ -51,24 +51,24 @@
   if (output.installSnapshot && output.snapshot !== undefined) control.machine = deserializeStateMachine(world.charts, output.snapshot.data)
   for (const entry of output.committed) {
     checkCommitted(world, control.vm, entry)
-    const before = control.machine.config.version
+    const previousVersion = control.machine.config.version
     const answer = applyEntry(control.machine, entry)
-    if (control.machine.config.version !== before) recordAppliedConfig(world, control)
+    if (control.machine.config.version !== previousVersion) recordAppliedConfig(world, control)
     const proposal = control.pendingProposals.get(entry.index)
     control.pendingProposals.delete(entry.index)
     if (proposal !== undefined && proposal.term === entry.term) proposal.done(answer)
   }
 }
 
-/** Records when a version, its drains and its caps were first applied by any control VM. */
+/** Records the time at which a version, its drains and its caps were first applied by any control VM. */
 function recordAppliedConfig (world: World, control: ControlModel): void {
   const { checks, network } = world
   const { config } = control.machine
   if (checks.applied.has(config.version)) return
   checks.applied.set(config.version, network.now)
   for (const drain of listItems(config, 'drain')) {
-    const isOn = drain.state === 'draining' || drain.state === 'drained'
-    if (isOn && !checks.drained.has(drain.target.name)) checks.drained.set(drain.target.name, network.now)
+    const isActive = drain.state === 'draining' || drain.state === 'drained'
+    if (isActive && !checks.drained.has(drain.target.name)) checks.drained.set(drain.target.name, network.now)
     if (drain.state === 'cancelled') checks.drained.delete(drain.target.name)
   }
   const cap = Math.max(0, ...listCaps(config).values())
@@ -82,6 +82,7 @@
   persist(world, control, output)
 }
 
+/** Returns whether a control VM is the established leader. */
 export function isLeader (control: ControlModel): boolean {
   return control.replica !== undefined && isEstablishedLeader(control.replica)
 }
--- a/packages/faults/src/core/controlModel.ts
+++ b/packages/faults/src/core/controlModel.ts
@@ -9,7 +9,7 @@
 import type { Host } from './network.js'
 import { times } from './times.js'
 import type { ControlModel, World } from '../types/world.js'
-import { runPeriodicTasks, createModelGrantor } from './controlDuties.js'
+import { runPeriodicTasks, createModelGrantor } from './controlTasks.js'
 import { processEvent } from './controlLog.js'
 
 const tickIntervalMs = 20
--- a/packages/faults/src/core/controlDuties.ts
+++ b/packages/faults/src/core/controlTasks.ts
@@ -57,6 +57,7 @@
   renewConfigLease(control.configLease, Math.min(now, control.replica.quorumConfirmedAt), 0)
 }
 
+/** Runs the leader tasks, or syncs from the leader if this control VM is a follower or its quorum is not confirmed. */
 export function runPeriodicTasks (world: World, control: ControlModel): void {
   const { now } = world.network
   if (!mayGrant(control, now)) {
--- a/packages/faults/src/core/entryModel.ts
+++ b/packages/faults/src/core/entryModel.ts
@@ -5,8 +5,8 @@
 import { createConfigLease, isLeaseValid, renewConfigLease } from '@lynxcourse/membership'
 import { listActiveDrains, createConfig, listCaps, applyDelta } from '@lynxcourse/state'
 import { checkConfigCurrent, checkVersion, enterStep } from './checks.js'
-import { answerReport, answerSync } from './controlDuties.js'
-import type { Report } from './controlDuties.js'
+import { answerReport, answerSync } from './controlTasks.js'
+import type { Report } from './controlTasks.js'
 import { scheduleRepeatedly } from './controlModel.js'
 import { addHost, send } from './network.js'
 import { times } from './times.js'
@@ -119,9 +119,9 @@
 /** Returns whether this VM may act on its configuration now: whether its lease is valid. */
 export function mayAct (world: World, entry: EntryModel): boolean {
   const now = world.network.now
-  const current = world.disabledGuards.has('lease') ? entry.config.version > 0 : isLeaseValid(entry.configLease, now)
-  if (current) checkConfigCurrent(world, entry.vm, entry.config.version, times.leaseMs)
-  return current
+  const isCurrent = world.disabledGuards.has('lease') ? entry.config.version > 0 : isLeaseValid(entry.configLease, now)
+  if (isCurrent) checkConfigCurrent(world, entry.vm, entry.config.version, times.leaseMs)
+  return isCurrent
 }
 
 /** Returns the servers that no active drain covers. */
--- a/packages/faults/src/core/faultKinds.ts
+++ b/packages/faults/src/core/faultKinds.ts
@@ -7,8 +7,8 @@
 import { isolateHost, unfreeze } from './network.js'
 import type { Host } from './network.js'
 import { publishCap } from './operators.js'
-import { killHost, updateKnownVersion, restartHost } from './world.js'
-import type { Scene } from './world.js'
+import { killHost, updateKnownVersion, restartHost } from './scene.js'
+import type { Scene } from './scene.js'
 import type { ControlModel, World } from '../types/world.js'
 
 /** A fault that can be injected at a step. */
@@ -64,11 +64,11 @@
 /** Erases a control VM's disk and restarts the process under a new incarnation. */
 export function loseDisk (scene: Scene, control: ControlModel): void {
   killHost(control.host)
-  const next = scene.world.disabledGuards.has('newIncarnation') ? control.disk.incarnation : `i${Number(control.disk.incarnation.slice(1)) + 1}`
+  const nextIncarnation = scene.world.disabledGuards.has('newIncarnation') ? control.disk.incarnation : `i${Number(control.disk.incarnation.slice(1)) + 1}`
   const voterIds = getNewestVoters(scene.world)
-  control.disk = { incarnation: next, cluster: false, stored: undefined }
-  const left = voterIds.filter(id => scene.world.controls.some(other => getControlId(other) === id)).length
-  if (left <= voterIds.length / 2) scene.world.checks.majorityLost = true
+  control.disk = { incarnation: nextIncarnation, cluster: false, stored: undefined }
+  const remainingVoters = voterIds.filter(id => scene.world.controls.some(other => getControlId(other) === id)).length
+  if (remainingVoters <= voterIds.length / 2) scene.world.checks.majorityLost = true
   scheduleAfter(scene, 300, () => restartHost(scene, control.host))
 }
 
--- a/packages/faults/src/core/matrix.ts
+++ b/packages/faults/src/core/matrix.ts
@@ -11,8 +11,8 @@
 import { steps } from '../types/world.js'
 import type { Guard, Step } from '../types/world.js'
 import type { Host } from './network.js'
-import { buildScene, runFor, startLoad, startDrainAndShift } from './world.js'
-import type { Scene } from './world.js'
+import { buildScene, runFor, startLoad, startDrainAndShift } from './scene.js'
+import type { Scene } from './scene.js'
 
 /** A cell of the matrix: the faults that are injected at a step. */
 export interface Cell {
--- a/packages/faults/src/core/operators.ts
+++ b/packages/faults/src/core/operators.ts
@@ -27,9 +27,12 @@
   return `${operator.host.name}-change-${operator.changes}` as ChangeId
 }
 
-/** Sends a change to the leader, and resends it under the same id until an answer arrives or the timeout ends. */
+/**
+ * Sends a change to all control VMs, of which the leader proposes it, and resends it under the same id until an answer arrives
+ * or the timeout ends.
+ */
 export function submitChange (world: World, operator: Operator, change: Change, done: (answer: ChangeAnswer) => void = () => undefined): void {
-  const until = world.network.now + submitTimeoutMs
+  const deadline = world.network.now + submitTimeoutMs
   let isFinished = false
   const finish = (answer: ChangeAnswer): void => {
     checkSameAnswer(world, change, answer)
@@ -38,7 +41,7 @@
     done(answer)
   }
   const trySend = (): void => {
-    if (isFinished || world.network.now > until) return
+    if (isFinished || world.network.now > deadline) return
     for (const control of world.controls) {
       send(world.network, operator.host, control.host, () => {
         if (!isLeader(control)) return
@@ -56,12 +59,12 @@
 /** Checks that a change that is resent under the same id gets the same answer. */
 function checkSameAnswer (world: World, change: Change, answer: ChangeAnswer): void {
   const text = JSON.stringify(answer)
-  const known = world.checks.answers.get(change.changeId)
-  if (known === undefined) {
+  const previousAnswer = world.checks.answers.get(change.changeId)
+  if (previousAnswer === undefined) {
     world.checks.answers.set(change.changeId, answer)
     if (answer.ok) world.checks.accepted += 1
     checkOneWinner(world, change, answer)
-  } else if (JSON.stringify(known) !== text) {
+  } else if (JSON.stringify(previousAnswer) !== text) {
     recordViolation(world, `change ${change.changeId} got two different answers`)
   }
 }
--- a/packages/faults/src/core/requestModel.ts
+++ b/packages/faults/src/core/requestModel.ts
@@ -144,9 +144,9 @@
   const open = listOpenServers(world, entry).filter(server => !triedServers.has(server.host.name) && (entry.inFlight.get(server.host.name) ?? 0) < server.slots)
   const allowed = open.filter(server => {
     const resources = listResources(server, caps)
-    const may = hasCapacity(entry.limits, resources, world.network.now)
-    if (!may) for (const resource of resources) recordDemand(entry.limits, resource, 1)
-    return may
+    const isAllowed = hasCapacity(entry.limits, resources, world.network.now)
+    if (!isAllowed) for (const resource of resources) recordDemand(entry.limits, resource, 1)
+    return isAllowed
   })
   return allowed[Math.floor(world.network.random() * allowed.length)]
 }
--- a/packages/faults/src/core/world.ts
+++ b/packages/faults/src/core/scene.ts
@@ -17,10 +17,10 @@
 const startAt = 1_800_000_000_000
 const latencyMs = 15
 
-const requestEveryMs = 30
-const readEveryMs = 12
-const lookupEveryMs = 100
-const publishEveryMs = 700
+const requestIntervalMs = 30
+const readIntervalMs = 12
+const lookupIntervalMs = 100
+const publishIntervalMs = 700
 const copyProbability = 0.1
 const highCap = 6
 const lowCap = 3
@@ -76,11 +76,11 @@
   runUntil(scene.world.network, scene.world.network.now + ms)
 }
 
-function scheduleRepeatedly (scene: Scene, everyMs: number, work: () => void): void {
-  scheduleAt(scene.world.network, scene.world.network.now + everyMs, () => {
+function repeatLoad (scene: Scene, intervalMs: number, work: () => void): void {
+  scheduleAt(scene.world.network, scene.world.network.now + intervalMs, () => {
     if (scene.stopped) return
     work()
-    scheduleRepeatedly(scene, everyMs, work)
+    repeatLoad(scene, intervalMs, work)
   })
 }
 
@@ -89,10 +89,10 @@
   const { world, alice } = scene
   publishNextCap(scene)
   submitChange(world, alice, { type: 'pickProfile', changeId: createChangeId(alice), operator: 'alice', service: brandId<ServiceId>('svc'), profile: brandId<ProfileName>('p') })
-  scheduleRepeatedly(scene, requestEveryMs, () => sendRequest(scene))
-  scheduleRepeatedly(scene, readEveryMs, () => sendRead(world, chooseEntry(scene)))
-  scheduleRepeatedly(scene, lookupEveryMs, () => { for (const entry of world.entries) performLookup(world, entry) })
-  scheduleRepeatedly(scene, publishEveryMs, () => publishNextCap(scene))
+  repeatLoad(scene, requestIntervalMs, () => sendRequest(scene))
+  repeatLoad(scene, readIntervalMs, () => sendRead(world, chooseEntry(scene)))
+  repeatLoad(scene, lookupIntervalMs, () => { for (const entry of world.entries) performLookup(world, entry) })
+  repeatLoad(scene, publishIntervalMs, () => publishNextCap(scene))
 }
 
 /** Publishes the next profile version; caps alternate between high and low. */
--- a/packages/replay/src/core/score.ts
+++ b/packages/replay/src/core/score.ts
@@ -52,13 +52,13 @@
 }
 
 /** Records one completed request. */
-export function recordCompletedRequest (score: Score, end: CompletedRequest): void {
-  score.outcomes[end.outcome] += 1
-  score.latencies.recordValue(Math.max(1, Math.round(end.tookMs)))
-  const second = Math.floor(end.startedAt / 1000)
-  for (const sums of [score.total, getSums(score.byRoute, end.route), getSums(score.byRegion, end.region), getSums(score.bySecond, second)]) {
-    sums.attainable += end.attainable
-    sums.earned += end.earned
+export function recordCompletedRequest (score: Score, request: CompletedRequest): void {
+  score.outcomes[request.outcome] += 1
+  score.latencies.recordValue(Math.max(1, Math.round(request.tookMs)))
+  const second = Math.floor(request.startedAt / 1000)
+  for (const sums of [score.total, getSums(score.byRoute, request.route), getSums(score.byRegion, request.region), getSums(score.bySecond, second)]) {
+    sums.attainable += request.attainable
+    sums.earned += request.earned
   }
 }
 
