--- a/packages/daemon/src/core/gateway/fleetView.ts
+++ b/packages/daemon/src/core/gateway/gatewayRefresh.ts
@@ -15,7 +15,7 @@
 export function refreshGateway (gateway: Gateway, now: Millis): void {
   const { node, fleet } = gateway
   const set = findRouteSet(node.config)
-  gateway.table = buildRouteTable(set?.routes ?? [])
+  gateway.routeTable = buildRouteTable(set?.routes ?? [])
   if (set !== undefined) {
     gateway.limits = set.limits
     for (const upstream of set.upstreams) fleet.coldRequestRates.set(upstream.name, upstream.warmupPerSecond)
@@ -46,7 +46,7 @@
 const travelCreep = 1.01
 
 /** Learns the way to a region from how long a connection to one of its servers took to open. */
-export function noteConnected (gateway: Gateway, address: string, tookMs: Millis): void {
+export function recordConnectTime (gateway: Gateway, address: string, tookMs: Millis): void {
   const { fleet } = gateway
   const region = [...fleet.byId.values()].find(server => server.facts.address === address)?.facts.region
   if (region === undefined) return
