--- a/packages/faults/src/core/matrix.ts
+++ b/packages/faults/src/core/matrix.ts
@@ -24,10 +24,10 @@
   readonly cell: Cell
   readonly seed: number
   /** Whether the step was reached and all faults were injected. */
-  readonly struck: boolean
+  readonly wasInjected: boolean
   readonly violations: readonly string[]
   /** Whether a majority of disks was lost at once. Safety holds, but the cluster is stopped until operators create a new one. */
-  readonly standsStill: boolean
+  readonly lacksQuorum: boolean
   readonly requests: number
   readonly accepted: number
 }
@@ -73,7 +73,7 @@
   runFor(scene, warmUpMs)
   checkAllAnswered(scene)
   const { checks } = scene.world
-  return { cell, seed, struck: areFaultsInjected(), violations: checks.violations, standsStill: checks.majorityLost, requests: checks.requests.size, accepted: checks.accepted }
+  return { cell, seed, wasInjected: areFaultsInjected(), violations: checks.violations, lacksQuorum: checks.majorityLost, requests: checks.requests.size, accepted: checks.accepted }
 }
 
 function armFaults (scene: Scene, cell: Cell): () => boolean {
--- a/packages/replay/__tests__/loadPatterns.test.ts
+++ b/packages/replay/__tests__/loadPatterns.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import { dirname, join } from 'node:path'
 import { fileURLToPath } from 'node:url'
-import { playPattern, readPattern } from '@lynxcourse/replay'
+import { replayPattern, readPattern } from '@lynxcourse/replay'
 import type { Figures } from '@lynxcourse/replay'
 import { createSmallPattern } from './support/smallPattern.js'
 
@@ -22,7 +22,7 @@
  * regions 0.81 and 0.86, while seven of ten slots of the fleet are free.
  */
 test('callers of a region with few servers earn about as much benefit as the others, from the first peak of their demand on', () => {
-  const runs = seeds.map(seed => playPattern(createSmallPattern({ seconds: 36 }), seed))
+  const runs = seeds.map(seed => replayPattern(createSmallPattern({ seconds: 36 }), seed))
   const [north, south, west] = ['north', 'south', 'west'].map(region => computeMean(runs, run => run.byRegion[region] ?? 0)) as [number, number, number]
   assert.ok(south >= 0.9 * (north + west) / 2, `south ${south}, north ${north}, west ${west}`)
 })
@@ -34,7 +34,7 @@
  * published as full in turn. As many requests then find their object cold after a move as on its first use: 0.040 of all.
  */
 test('objects stay at their servers: at most two requests find a moved object cold for every three first uses of an object', () => {
-  const runs = [playPattern({ ...readPattern(join(patterns, 'uneven-regions.yaml')), seconds: 24 }, 1)]
+  const runs = [replayPattern({ ...readPattern(join(patterns, 'uneven-regions.yaml')), seconds: 24 }, 1)]
   const first = computeMean(runs, run => run.cold.first ?? 0)
   const moved = computeMean(runs, run => Object.entries(run.cold).filter(([cause]) => cause.startsWith('moved')).reduce((sum, [, part]) => sum + part, 0))
   assert.ok(moved <= first * 2 / 3, `moved ${moved}, first ${first}`)
--- a/packages/replay/__tests__/replay.test.ts
+++ b/packages/replay/__tests__/replay.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test'
 import { brandId, isLynxError } from '@lynxcourse/base'
 import type { RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { submitJob, createBackend, createTimeline, playPattern, runUntil, readPattern } from '@lynxcourse/replay'
+import { submitJob, createBackend, createTimeline, replayPattern, runUntil, readPattern } from '@lynxcourse/replay'
 import type { Backend, BackendResult, Job } from '@lynxcourse/replay'
 import { createSmallPattern } from './support/smallPattern.js'
 
@@ -20,13 +20,13 @@
 
 test('equal seeds give equal figures, different seeds different ones', () => {
   const pattern = createSmallPattern({ seconds: 4 })
-  assert.deepEqual(playPattern(pattern, 7), playPattern(pattern, 7))
-  assert.notDeepEqual(playPattern(pattern, 7), playPattern(pattern, 8))
+  assert.deepEqual(replayPattern(pattern, 7), replayPattern(pattern, 7))
+  assert.notDeepEqual(replayPattern(pattern, 7), replayPattern(pattern, 8))
 })
 
 test('disabling a mechanism changes the figures', () => {
   const pattern = createSmallPattern({ seconds: 4 })
-  assert.notDeepEqual(playPattern(pattern, 7, new Set(['regionPlan'])), playPattern(pattern, 7))
+  assert.notDeepEqual(replayPattern(pattern, 7, new Set(['regionPlan'])), replayPattern(pattern, 7))
 })
 
 test('a server runs one request per slot, queues up to its limit, rejects the rest, and serves a warm object faster', () => {
--- a/packages/replay/src/core/play.ts
+++ b/packages/replay/src/core/replayPattern.ts
@@ -19,7 +19,7 @@
  * @param seed seed of the random source; equal seeds give equal figures
  * @param disabledMechanisms mechanisms of placement that are turned off
  */
-export function playPattern (pattern: Pattern, seed: number, disabledMechanisms: ReadonlySet<Mechanism> = new Set()): Figures {
+export function replayPattern (pattern: Pattern, seed: number, disabledMechanisms: ReadonlySet<Mechanism> = new Set()): Figures {
   const world = createWorld(pattern, seed, disabledMechanisms)
   startLoadExchange(world)
   scheduleDisturbances(world)
