--- a/packages/daemon/__tests__/support/fleetFixture.ts
+++ b/packages/daemon/__tests__/support/fleetFixture.ts
@@ -13,7 +13,7 @@
 } from '@lynxcourse/daemon'
 import type { FleetControl, FleetDaemon, FleetSettings } from '@lynxcourse/daemon'
 import type { BackendAnnouncement, ChangeAnswer, RouteChangeId, Route, RouteCommand } from '@lynxcourse/state'
-import { route } from '@lynxcourse/state/testing'
+import { createRoute } from '@lynxcourse/state/testing'
 import { findFreePorts } from './freePorts.js'
 
 export const desk = brandId<ServiceId>('desk')
@@ -105,7 +105,7 @@
 
 /** Creates a route to the service `desk`. */
 export function createRouteToDesk (name: string, fields: Partial<Route> = {}): Route {
-  return route(name, { timeoutMs: 1500, isSticky: false, ...fields })
+  return createRoute(name, { timeoutMs: 1500, isSticky: false, ...fields })
 }
 
 /** Creates a command that replaces all routes, with the service `desk` as the only upstream. */
--- a/packages/daemon/src/core/gateway/gatewayRefresh.ts
+++ b/packages/daemon/src/core/gateway/gatewayRefresh.ts
@@ -36,7 +36,7 @@
   for (const id of fleet.byId.keys()) {
     if (presentIds.has(id)) continue
     fleet.byId.delete(id)
-    forgetServer(fleet.warmth, id)
+    forgetServer(fleet.warmObjects, id)
   }
   groupServersByService(fleet)
   applyWeights(fleet, node.loadUpdate.weights)
@@ -75,7 +75,7 @@
   // A server that restarted under its id has lost its caches, and what was learned about the previous process doesn't
   // apply.
   const hasRestarted = known !== undefined && known.facts.bornAt !== facts.bornAt
-  if (hasRestarted) forgetServer(fleet.warmth, key)
+  if (hasRestarted) forgetServer(fleet.warmObjects, key)
   const current = hasRestarted ? undefined : known
   if (current === undefined) {
     // A server announces how long it stays cold; without an announced time it counts as warm. If a VM that has just
@@ -92,5 +92,5 @@
 function markCold (fleet: Fleet, server: FleetServer, until: Millis): void {
   server.coldUntil = until
   server.consecutiveFailures = 0
-  forgetServer(fleet.warmth, server.facts.id)
+  forgetServer(fleet.warmObjects, server.facts.id)
 }
--- a/packages/daemon/src/core/gateway/serving.ts
+++ b/packages/daemon/src/core/gateway/serving.ts
@@ -35,7 +35,7 @@
       case 'send':
         lastResult = await sendToServer(gateway, call, state, step.placement)
         break
-      case 'look':
+      case 'poll':
         recordPoll(call.liveness, (await waitForPoll(gateway.loop.polls)).beganAt)
         break
       case 'wait':
--- a/packages/placement/__tests__/callerLiveness.test.ts
+++ b/packages/placement/__tests__/callerLiveness.test.ts
@@ -24,7 +24,7 @@
   const { tried: _, ...asked } = request({ arrivedAt, deadline })
   const entry = createEntry()
   const run = startRequest(entry, asked, createCallerLiveness(), terms, arrivedAt)
-  assert.equal(decideNextStep(entry, run, terms, arrivedAt).type, 'look')
+  assert.equal(decideNextStep(entry, run, terms, arrivedAt).type, 'poll')
   recordPoll(run.caller, arrivedAt)
   assert.equal(decideNextStep(entry, run, terms, arrivedAt + 5).type, 'send')
 })
@@ -39,7 +39,7 @@
     let polledAt = -Infinity
     for (const tookMs of pollTimes) {
       const step = decideNextStep(entry, run, terms, now)
-      if (step.type !== 'look') {
+      if (step.type !== 'poll') {
         assert.ok(step.type !== 'send' || now - polledAt <= maxAgeMs)
         return
       }
--- a/packages/placement/src/core/request/requestSteps.ts
+++ b/packages/placement/src/core/request/requestSteps.ts
@@ -51,7 +51,7 @@
 export type RequestStep =
   | { readonly type: 'send', readonly placement: Placement }
   /** Poll the caller's connection, record that poll, and call `decideNextStep` again. */
-  | { readonly type: 'look' }
+  | { readonly type: 'poll' }
   /** Wait for capacity and call `decideNextStep` again after `pauseMs`. */
   | { readonly type: 'wait', readonly pauseMs: Millis }
   /** The request has not run and will not run; the caller may retry it. */
@@ -88,7 +88,7 @@
 export function decideNextStep (entry: EntryState, state: RequestState, conditions: DecisionConditions, now: Millis): RequestStep {
   if (state.last !== undefined && isFinalOutcome(state, state.last)) return stepAfterOutcome(state, state.last)
   if (now >= state.request.deadline) return state.possibleRuns === 0 ? createRefuseStep('noTime') : { type: 'fail', reason: 'deadline' }
-  if (needsPoll(state.caller, now)) return { type: 'look' }
+  if (needsPoll(state.caller, now)) return { type: 'poll' }
   const placement = placeRequest(entry.fleet, state.request, now)
   if (placement.type === 'refuse') {
     if (mayWaitForCapacity(entry, state, placement, conditions, now)) return { type: 'wait', pauseMs: computeRecheckDelay(entry.fleet.setup.random) }
--- a/packages/replay/src/core/vmModel.ts
+++ b/packages/replay/src/core/vmModel.ts
@@ -65,7 +65,7 @@
   const step = decideNextStep(entry, run, conditions, world.timeline.now)
   switch (step.type) {
     case 'send': return send(world, active, step.placement)
-    case 'look':
+    case 'poll':
       recordPoll(run.caller, world.timeline.now)
       return performNextStep(world, active)
     case 'wait':
