--- a/scripts/__tests__/explain.test.ts
+++ b/scripts/__tests__/explain.test.ts
@@ -1,19 +1,19 @@
 /** What is read out of log lines, and what is made of it. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { causeOf } from '../explain/causes.js'
-import type { Cause, Holders } from '../explain/causes.js'
-import { readDecision } from '../explain/readLines.js'
+import { classifyDecision } from '../explain/causes.js'
+import type { Cause, SeenServers } from '../explain/causes.js'
+import { readDecision } from '../explain/readDecision.js'
 
 function line (fields: Record<string, unknown>): string {
   return `  12.5 entry-1 ${JSON.stringify({ timestamp: '2026-01-01T00:00:01.000Z', message: 'Sent.', route: 'r', object: '7', server: 's1', place: 'primary', outcome: '200', tookMs: 100, expectedMs: 90, waitMs: 0, ...fields })}`
 }
 
 function causesOf (...lines: string[]): Array<Cause | undefined> {
-  const holders: Holders = new Map()
+  const holders: SeenServers = new Map()
   return lines.map(text => {
     const decision = readDecision(text)
-    return decision === undefined ? undefined : causeOf(holders, decision)
+    return decision === undefined ? undefined : classifyDecision(holders, decision)
   })
 }
 
--- a/scripts/__tests__/soak.test.ts
+++ b/scripts/__tests__/soak.test.ts
@@ -5,159 +5,159 @@
 import { join } from 'node:path'
 import { test } from 'node:test'
 import { planSoak } from '../soak/faultPlan.js'
-import { findBroken } from '../soak/judging.js'
-import { createLedger, probePath } from '../soak/ledger.js'
-import type { Attempt, AttemptEnd, Ledger, Run } from '../soak/ledger.js'
+import { findViolations } from '../soak/invariants.js'
+import { createHistory, probePath } from '../soak/history.js'
+import type { Attempt, AttemptEnd, SoakHistory, Run } from '../soak/history.js'
 import { runSoak } from '../soak/soakRun.js'
-import { waitingPorts } from '../soak/unread.js'
+import { findUnreadPorts } from '../soak/receiveQueue.js'
 
 const size = { controls: 3, entries: 3, servers: 6, domains: 6 }
 
-function attempt (ledger: Ledger, id: string, parts: Partial<Attempt> = {}): void {
-  ledger.attempts.set(id, { id, entry: 'entry-0', path: '/offer/', isIdempotent: false, leavesAfterMs: undefined, sentAt: 0, endedAt: 100, end: answered(200), ...parts })
+function attempt (history: SoakHistory, id: string, parts: Partial<Attempt> = {}): void {
+  history.attempts.set(id, { id, entry: 'entry-0', path: '/offer/', isIdempotent: false, leavesAfterMs: undefined, sentAt: 0, endedAt: 100, end: answered(200), ...parts })
 }
 
 function answered (status: number, isWhole = true): AttemptEnd {
   return { type: 'answer', status, isWhole }
 }
 
-function run (ledger: Ledger, id: string, parts: Partial<Run> = {}): void {
-  ledger.runs.push({ id, path: '/offer/', body: id, server: 's-1', service: 'desk', failureDomain: 'kochi-a', at: 50, readAt: 50, leftMs: 1400, workMs: 40, endedAt: 90, cutAt: undefined, ...parts })
+function run (history: SoakHistory, id: string, parts: Partial<Run> = {}): void {
+  history.runs.push({ id, path: '/offer/', body: id, server: 's-1', service: 'desk', failureDomain: 'kochi-a', at: 50, readAt: 50, leftMs: 1400, workMs: 40, endedAt: 90, cutAt: undefined, ...parts })
 }
 
-function verdict (fill: (ledger: Ledger) => void): string[] {
-  const ledger = createLedger()
-  fill(ledger)
-  return findBroken(ledger).map(line => line.split(':')[0] ?? '')
+function verdict (fill: (history: SoakHistory) => void): string[] {
+  const history = createHistory()
+  fill(history)
+  return findViolations(history).map(line => line.split(':')[0] ?? '')
 }
 
 test('a history that keeps every promise is clean', () => {
-  assert.deepEqual(verdict(ledger => { attempt(ledger, 'a'); run(ledger, 'a') }), [])
+  assert.deepEqual(verdict(history => { attempt(history, 'a'); run(history, 'a') }), [])
 })
 
 test('each broken promise is found', () => {
-  assert.deepEqual(verdict(ledger => { attempt(ledger, 'a'); run(ledger, 'a'); run(ledger, 'a') }), ['twice'])
-  assert.deepEqual(verdict(ledger => { attempt(ledger, 'a', { end: answered(503) }); run(ledger, 'a') }), ['refused'])
-  assert.deepEqual(verdict(ledger => { attempt(ledger, 'a', { end: answered(200, false) }) }), ['mixed'])
-  assert.deepEqual(verdict(ledger => { run(ledger, 'nobody') }), ['unasked'])
-  assert.deepEqual(verdict(ledger => { attempt(ledger, 'a'); run(ledger, 'a', { body: 'other' }) }), ['changed'])
-  assert.deepEqual(verdict(ledger => { attempt(ledger, 'a', { end: answered(404) }) }), ['denied'])
-  assert.deepEqual(verdict(ledger => {
-    ledger.confirmed.push({ type: 'change', subject: 'desk', at: 10, sentAt: 0, version: 4 })
-    ledger.reads.push({ sentAt: 20, version: 3 })
+  assert.deepEqual(verdict(history => { attempt(history, 'a'); run(history, 'a'); run(history, 'a') }), ['twice'])
+  assert.deepEqual(verdict(history => { attempt(history, 'a', { end: answered(503) }); run(history, 'a') }), ['refused'])
+  assert.deepEqual(verdict(history => { attempt(history, 'a', { end: answered(200, false) }) }), ['mixed'])
+  assert.deepEqual(verdict(history => { run(history, 'nobody') }), ['unasked'])
+  assert.deepEqual(verdict(history => { attempt(history, 'a'); run(history, 'a', { body: 'other' }) }), ['changed'])
+  assert.deepEqual(verdict(history => { attempt(history, 'a', { end: answered(404) }) }), ['denied'])
+  assert.deepEqual(verdict(history => {
+    history.confirmed.push({ type: 'change', subject: 'desk', at: 10, sentAt: 0, version: 4 })
+    history.reads.push({ sentAt: 20, version: 3 })
   }), ['read'])
 })
 
 test('requests held past their timeout count where enough of them reach it, at VMs in touch', () => {
-  const fill = (ledger: Ledger, heldMs: number, count: number): void => {
-    for (let sent = 0; sent < count; sent++) attempt(ledger, `a${sent}`, { path: '/read/', isIdempotent: true, sentAt: 10_000, endedAt: 10_000 + heldMs, end: answered(504) })
+  const fill = (history: SoakHistory, heldMs: number, count: number): void => {
+    for (let sent = 0; sent < count; sent++) attempt(history, `a${sent}`, { path: '/read/', isIdempotent: true, sentAt: 10_000, endedAt: 10_000 + heldMs, end: answered(504) })
   }
-  assert.deepEqual(verdict(ledger => fill(ledger, 2100, 8)), ['held'])
-  assert.deepEqual(verdict(ledger => fill(ledger, 1900, 8)), [])
-  assert.deepEqual(verdict(ledger => fill(ledger, 2100, 7)), [])
-  assert.deepEqual(verdict(ledger => {
-    fill(ledger, 2100, 8)
-    ledger.disturbances.push({ subject: 'entry-0', kind: 'freeze', from: 8000, until: 9000 })
+  assert.deepEqual(verdict(history => fill(history, 2100, 8)), ['held'])
+  assert.deepEqual(verdict(history => fill(history, 1900, 8)), [])
+  assert.deepEqual(verdict(history => fill(history, 2100, 7)), [])
+  assert.deepEqual(verdict(history => {
+    fill(history, 2100, 8)
+    history.disturbances.push({ subject: 'entry-0', kind: 'freeze', from: 8000, until: 9000 })
   }), [])
 })
 
 test('work after a confirmed drain or evacuation counts only where the VM was in touch and nothing took it back', () => {
-  const late = (ledger: Ledger): void => {
-    attempt(ledger, 'a', { sentAt: 20_000, endedAt: 20_100 })
-    run(ledger, 'a', { at: 20_050 })
+  const late = (history: SoakHistory): void => {
+    attempt(history, 'a', { sentAt: 20_000, endedAt: 20_100 })
+    run(history, 'a', { at: 20_050 })
   }
   const evacuated = { type: 'evacuate', subject: 'kochi-a', at: 10_000, sentAt: 9900, version: 0 } as const
-  assert.deepEqual(verdict(ledger => { late(ledger); ledger.confirmed.push({ ...evacuated, type: 'drain', subject: 's-1' }) }), ['drain'])
-  assert.deepEqual(verdict(ledger => { late(ledger); ledger.confirmed.push(evacuated) }), ['evacuate'])
-  assert.deepEqual(verdict(ledger => { late(ledger); ledger.confirmed.push(evacuated, { ...evacuated, type: 'readmit', sentAt: 15_000 }) }), [])
-  assert.deepEqual(verdict(ledger => {
-    late(ledger)
-    ledger.confirmed.push(evacuated)
-    ledger.disturbances.push({ subject: 'core', kind: 'kill', from: 15_000, until: 18_000 })
+  assert.deepEqual(verdict(history => { late(history); history.confirmed.push({ ...evacuated, type: 'drain', subject: 's-1' }) }), ['drain'])
+  assert.deepEqual(verdict(history => { late(history); history.confirmed.push(evacuated) }), ['evacuate'])
+  assert.deepEqual(verdict(history => { late(history); history.confirmed.push(evacuated, { ...evacuated, type: 'readmit', sentAt: 15_000 }) }), [])
+  assert.deepEqual(verdict(history => {
+    late(history)
+    history.confirmed.push(evacuated)
+    history.disturbances.push({ subject: 'core', kind: 'kill', from: 15_000, until: 18_000 })
   }), [])
 })
 
 test('work in an evacuated failure domain counts again soon after the links to its server were cut', () => {
-  const late = (ledger: Ledger, healedAt: number): void => {
-    attempt(ledger, 'a', { sentAt: 9500, endedAt: 11_000, end: answered(504) })
-    run(ledger, 'a', { at: 16_500 })
-    ledger.confirmed.push({ type: 'evacuate', subject: 'kochi-a', at: 10_000, sentAt: 9900, version: 0 })
-    ledger.disturbances.push({ subject: 's-1', kind: 'domain silence', from: 9400, until: healedAt })
+  const late = (history: SoakHistory, healedAt: number): void => {
+    attempt(history, 'a', { sentAt: 9500, endedAt: 11_000, end: answered(504) })
+    run(history, 'a', { at: 16_500 })
+    history.confirmed.push({ type: 'evacuate', subject: 'kochi-a', at: 10_000, sentAt: 9900, version: 0 })
+    history.disturbances.push({ subject: 's-1', kind: 'domain silence', from: 9400, until: healedAt })
   }
-  assert.deepEqual(verdict(ledger => late(ledger, 13_000)), ['evacuate'])
-  assert.deepEqual(verdict(ledger => late(ledger, 14_000)), [])
+  assert.deepEqual(verdict(history => late(history, 13_000)), ['evacuate'])
+  assert.deepEqual(verdict(history => late(history, 14_000)), [])
 })
 
 test('a request that runs at more servers than its route allows is found, disturbed ones don\'t count', () => {
-  const tries = (ledger: Ledger): void => {
-    attempt(ledger, 'a', { path: '/read/', isIdempotent: true })
-    for (const server of ['s-1', 's-2', 's-3']) run(ledger, 'a', { path: '/read/', body: '', server })
+  const tries = (history: SoakHistory): void => {
+    attempt(history, 'a', { path: '/read/', isIdempotent: true })
+    for (const server of ['s-1', 's-2', 's-3']) run(history, 'a', { path: '/read/', body: '', server })
   }
   assert.deepEqual(verdict(tries), ['tries'])
-  assert.deepEqual(verdict(ledger => { tries(ledger); ledger.disturbances.push({ subject: 's-2', kind: 'serverCrash', from: 40, until: 60 }) }), [])
+  assert.deepEqual(verdict(history => { tries(history); history.disturbances.push({ subject: 's-2', kind: 'serverCrash', from: 40, until: 60 }) }), [])
 })
 
 test('a server that is told of more time than the route allows, or of none, is found', () => {
-  const told = (leftMs: number | undefined, readAt: number) => (ledger: Ledger): void => { attempt(ledger, 'a'); run(ledger, 'a', { leftMs, readAt }) }
+  const told = (leftMs: number | undefined, readAt: number) => (history: SoakHistory): void => { attempt(history, 'a'); run(history, 'a', { leftMs, readAt }) }
   assert.deepEqual(verdict(told(1400, 500)), [])
   assert.deepEqual(verdict(told(1400, 700)), ['time'])
   assert.deepEqual(verdict(told(undefined, 50)), ['time'])
 })
 
 test('repeats beyond the retry budget of all VMs are found in any window', () => {
-  const arrive = (ledger: Ledger, requests: number, repeats: number, everyMs: number): void => {
-    for (let place = 0; place < requests; place++) ledger.arrivals.push({ id: `a${place}`, server: 's-1', service: 'desk', at: place * everyMs })
-    for (let place = 0; place < repeats; place++) ledger.arrivals.push({ id: `a${place}`, server: 's-1', service: 'desk', at: requests * everyMs + place })
+  const arrive = (history: SoakHistory, requests: number, repeats: number, everyMs: number): void => {
+    for (let place = 0; place < requests; place++) history.arrivals.push({ id: `a${place}`, server: 's-1', service: 'desk', at: place * everyMs })
+    for (let place = 0; place < repeats; place++) history.arrivals.push({ id: `a${place}`, server: 's-1', service: 'desk', at: requests * everyMs + place })
   }
-  assert.deepEqual(verdict(ledger => arrive(ledger, 100, 70, 10)), [])
-  assert.deepEqual(verdict(ledger => arrive(ledger, 100, 71, 10)), ['budget'])
-  assert.deepEqual(verdict(ledger => arrive(ledger, 100, 60, 1000)), ['budget'], 'most requests were before the window')
+  assert.deepEqual(verdict(history => arrive(history, 100, 70, 10)), [])
+  assert.deepEqual(verdict(history => arrive(history, 100, 71, 10)), ['budget'])
+  assert.deepEqual(verdict(history => arrive(history, 100, 60, 1000)), ['budget'], 'most requests were before the window')
 })
 
 test('a request sent after a confirmed change and served by the old one is found', () => {
   const confirmed = { type: 'change', subject: 'ledger', at: 1000, sentAt: 900, version: 5 } as const
-  const probe = (ledger: Ledger, sentAt: number): void => {
-    attempt(ledger, 'a', { path: probePath, isIdempotent: true, sentAt })
-    run(ledger, 'a', { path: probePath, body: '', at: sentAt + 20 })
+  const probe = (history: SoakHistory, sentAt: number): void => {
+    attempt(history, 'a', { path: probePath, isIdempotent: true, sentAt })
+    run(history, 'a', { path: probePath, body: '', at: sentAt + 20 })
   }
-  assert.deepEqual(verdict(ledger => { probe(ledger, 4000); ledger.confirmed.push(confirmed) }), ['change'])
-  assert.deepEqual(verdict(ledger => { probe(ledger, 3000); ledger.confirmed.push(confirmed) }), [])
-  assert.deepEqual(verdict(ledger => { probe(ledger, 4000); ledger.confirmed.push(confirmed, { ...confirmed, version: 6, sentAt: 3990, at: 4100, subject: 'desk' }) }), [])
+  assert.deepEqual(verdict(history => { probe(history, 4000); history.confirmed.push(confirmed) }), ['change'])
+  assert.deepEqual(verdict(history => { probe(history, 3000); history.confirmed.push(confirmed) }), [])
+  assert.deepEqual(verdict(history => { probe(history, 4000); history.confirmed.push(confirmed, { ...confirmed, version: 6, sentAt: 3990, at: 4100, subject: 'desk' }) }), [])
 })
 
 const left: AttemptEnd = { type: 'left', why: 'early' }
 
 test('requests that reach servers after their callers left count where they are more than a few, at VMs in touch', () => {
-  const late = (ledger: Ledger, afterMs: number, count: number, end: AttemptEnd = left): void => {
+  const late = (history: SoakHistory, afterMs: number, count: number, end: AttemptEnd = left): void => {
     for (let place = 0; place < count; place++) {
-      attempt(ledger, `a${place}`, { sentAt: 9900, endedAt: 10_000, end })
-      ledger.arrivals.push({ id: `a${place}`, server: 's-1', service: 'desk', at: 10_000 + afterMs })
+      attempt(history, `a${place}`, { sentAt: 9900, endedAt: 10_000, end })
+      history.arrivals.push({ id: `a${place}`, server: 's-1', service: 'desk', at: 10_000 + afterMs })
     }
   }
-  const froze = (ledger: Ledger, subject: string, until: number): void => { ledger.disturbances.push({ subject, kind: 'pause', from: 9950, until }) }
-  assert.deepEqual(verdict(ledger => late(ledger, 501, 4)), ['gone'])
-  assert.deepEqual(verdict(ledger => late(ledger, 501, 4, { type: 'left', why: 'unread' })), ['gone'])
-  assert.deepEqual(verdict(ledger => late(ledger, 501, 4, { type: 'timeout' })), ['gone'])
-  assert.deepEqual(verdict(ledger => late(ledger, 501, 4, answered(200))), [])
-  assert.deepEqual(verdict(ledger => late(ledger, 500, 4)), [])
-  assert.deepEqual(verdict(ledger => late(ledger, 501, 3)), [])
-  assert.deepEqual(verdict(ledger => { late(ledger, 501, 4); froze(ledger, 'entry-0', 10_300) }), [], 'the VM was not in touch')
-  assert.deepEqual(verdict(ledger => { late(ledger, 501, 4); froze(ledger, 's-1', 10_300) }), [], 'the link to the server was disturbed')
-  assert.deepEqual(verdict(ledger => { late(ledger, 4400, 4); froze(ledger, 'entry-0', 10_300) }), ['gone'], 'the VM was in touch again')
+  const froze = (history: SoakHistory, subject: string, until: number): void => { history.disturbances.push({ subject, kind: 'pause', from: 9950, until }) }
+  assert.deepEqual(verdict(history => late(history, 501, 4)), ['gone'])
+  assert.deepEqual(verdict(history => late(history, 501, 4, { type: 'left', why: 'unread' })), ['gone'])
+  assert.deepEqual(verdict(history => late(history, 501, 4, { type: 'timeout' })), ['gone'])
+  assert.deepEqual(verdict(history => late(history, 501, 4, answered(200))), [])
+  assert.deepEqual(verdict(history => late(history, 500, 4)), [])
+  assert.deepEqual(verdict(history => late(history, 501, 3)), [])
+  assert.deepEqual(verdict(history => { late(history, 501, 4); froze(history, 'entry-0', 10_300) }), [], 'the VM was not in touch')
+  assert.deepEqual(verdict(history => { late(history, 501, 4); froze(history, 's-1', 10_300) }), [], 'the link to the server was disturbed')
+  assert.deepEqual(verdict(history => { late(history, 4400, 4); froze(history, 'entry-0', 10_300) }), ['gone'], 'the VM was in touch again')
 })
 
 test('work that goes on after its callers left counts where it is more than a quarter', () => {
-  const fill = (ledger: Ledger, count: number, atWork: number, parts: Partial<Run> = {}): void => {
+  const fill = (history: SoakHistory, count: number, atWork: number, parts: Partial<Run> = {}): void => {
     for (let place = 0; place < count; place++) {
-      attempt(ledger, `a${place}`, { path: '/read/', isIdempotent: true, sentAt: 9900, endedAt: 10_000, end: left })
-      run(ledger, `a${place}`, { path: '/read/', body: '', at: 9950, readAt: 9950, workMs: 900, endedAt: 10_850, cutAt: place < atWork ? undefined : 10_500, ...parts })
+      attempt(history, `a${place}`, { path: '/read/', isIdempotent: true, sentAt: 9900, endedAt: 10_000, end: left })
+      run(history, `a${place}`, { path: '/read/', body: '', at: 9950, readAt: 9950, workMs: 900, endedAt: 10_850, cutAt: place < atWork ? undefined : 10_500, ...parts })
     }
   }
-  assert.deepEqual(verdict(ledger => fill(ledger, 8, 3)), ['at work'])
-  assert.deepEqual(verdict(ledger => fill(ledger, 8, 2)), [])
-  assert.deepEqual(verdict(ledger => fill(ledger, 8, 8, { endedAt: undefined, cutAt: 10_501 })), ['at work'])
-  assert.deepEqual(verdict(ledger => fill(ledger, 8, 8, { workMs: 550, endedAt: 10_500 })), [], 'it would not have lasted')
-  assert.deepEqual(verdict(ledger => { fill(ledger, 8, 8); ledger.disturbances.push({ subject: 'entry-0', kind: 'kill', from: 8000, until: 8100 }) }), [])
+  assert.deepEqual(verdict(history => fill(history, 8, 3)), ['at work'])
+  assert.deepEqual(verdict(history => fill(history, 8, 2)), [])
+  assert.deepEqual(verdict(history => fill(history, 8, 8, { endedAt: undefined, cutAt: 10_501 })), ['at work'])
+  assert.deepEqual(verdict(history => fill(history, 8, 8, { workMs: 550, endedAt: 10_500 })), [], 'it would not have lasted')
+  assert.deepEqual(verdict(history => { fill(history, 8, 8); history.disturbances.push({ subject: 'entry-0', kind: 'kill', from: 8000, until: 8100 }) }), [])
 })
 
 test('bytes that a VM has not read are found in the kernel\'s table', () => {
@@ -167,17 +167,17 @@
     '   1: 0600407F:1B58 0100007F:C351 01 00000000:00000000 00:00000000 00000000     0        0 0',
     '   2: 0700407F:1B58 0100007F:C352 01 00000000:0000002A 00:00000000 00000000     0        0 0'
   ].join('\n')
-  assert.deepEqual([...waitingPorts(table, '127.64.0.6:7000')], [50_000])
+  assert.deepEqual([...findUnreadPorts(table, '127.64.0.6:7000')], [50_000])
 })
 
 test('a planned stop that cuts a request at work is found, one beside another disturbance is not', () => {
-  const cut = (ledger: Ledger): void => {
-    attempt(ledger, 'a', { sentAt: 9000, endedAt: 9500, end: { type: 'closed', detail: 'UND_ERR_SOCKET' } })
-    run(ledger, 'a', { at: 9100 })
-    ledger.disturbances.push({ subject: 'entry-0', kind: 'term', from: 8800, until: 14_000 })
+  const cut = (history: SoakHistory): void => {
+    attempt(history, 'a', { sentAt: 9000, endedAt: 9500, end: { type: 'closed', detail: 'UND_ERR_SOCKET' } })
+    run(history, 'a', { at: 9100 })
+    history.disturbances.push({ subject: 'entry-0', kind: 'term', from: 8800, until: 14_000 })
   }
   assert.deepEqual(verdict(cut), ['cut'])
-  assert.deepEqual(verdict(ledger => { cut(ledger); ledger.disturbances.push({ subject: 's-1', kind: 'serverReset', from: 9400, until: 9400 }) }), [])
+  assert.deepEqual(verdict(history => { cut(history); history.disturbances.push({ subject: 's-1', kind: 'serverReset', from: 9400, until: 9400 }) }), [])
 })
 
 test('equal seeds draw equal plans, and a series loses one disk at most', () => {
@@ -215,6 +215,6 @@
   const folder = mkdtempSync(join(tmpdir(), 'lynx-soak-ci-'))
   const result = await runSoak(planSoak(ciSeed, size, 1), size, folder)
   console.log(`seed ${ciSeed}: ${result.steps} steps, ${result.requests} requests`)
-  assert.deepEqual(result.broken, [], `logs: ${folder}`)
+  assert.deepEqual(result.violations, [], `logs: ${folder}`)
   rmSync(folder, { recursive: true, force: true })
 })
--- a/scripts/explain.ts
+++ b/scripts/explain.ts
@@ -2,10 +2,10 @@
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
 import { Command } from 'commander'
-import { causeOf, causes } from './explain/causes.js'
-import type { Cause, Holders } from './explain/causes.js'
-import { readDecision } from './explain/readLines.js'
-import type { Decision } from './explain/readLines.js'
+import { classifyDecision, causes } from './explain/causes.js'
+import type { Cause, SeenServers } from './explain/causes.js'
+import { readDecision } from './explain/readDecision.js'
+import type { Decision } from './explain/readDecision.js'
 import { percentile, printTable } from './support/tables.js'
 
 const defaultSpanS = 2
@@ -32,35 +32,35 @@
 interface Row { readonly cause: Cause, readonly decision: Decision }
 
 function explain (decisions: readonly Decision[]): Row[] {
-  const holders: Holders = new Map()
+  const holders: SeenServers = new Map()
   return decisions.flatMap(decision => {
-    const cause = causeOf(holders, decision)
+    const cause = classifyDecision(holders, decision)
     return cause === undefined ? [] : [{ cause, decision }]
   })
 }
 
 function printCauses (rows: readonly Row[]): void {
   printTable('Causes', causes.flatMap(cause => {
-    const held = rows.filter(row => row.cause === cause)
-    if (held.length === 0) return []
-    const took = held.map(row => row.decision.tookMs).filter(ms => !Number.isNaN(ms))
-    const medianMs = took.length === 0 ? '' : Math.round(percentile(took, 0.5))
-    return [{ cause, count: held.length, percent: (held.length / rows.length * 100).toFixed(1), medianMs }]
+    const matching = rows.filter(row => row.cause === cause)
+    if (matching.length === 0) return []
+    const durations = matching.map(row => row.decision.tookMs).filter(ms => !Number.isNaN(ms))
+    const medianMs = durations.length === 0 ? '' : Math.round(percentile(durations, 0.5))
+    return [{ cause, count: matching.length, percent: (matching.length / rows.length * 100).toFixed(1), medianMs }]
   }))
 }
 
 function printOverTime (rows: readonly Row[], spanMs: number): void {
-  const present = causes.filter(cause => rows.some(row => row.cause === cause))
-  const first = rows[0]?.decision.at ?? 0
+  const presentCauses = causes.filter(cause => rows.some(row => row.cause === cause))
+  const firstAt = rows[0]?.decision.at ?? 0
   const spans = new Map<number, Row[]>()
   for (const row of rows) {
-    const span = Math.floor((row.decision.at - first) / spanMs)
+    const span = Math.floor((row.decision.at - firstAt) / spanMs)
     const held = spans.get(span)
     if (held === undefined) spans.set(span, [row])
     else held.push(row)
   }
   printTable('Over time', [...spans].sort(([a], [b]) => a - b).map(([span, held]) => {
-    const counts = present.map(cause => [cause, held.filter(row => row.cause === cause).length] as const)
+    const counts = presentCauses.map(cause => [cause, held.filter(row => row.cause === cause).length] as const)
     return { second: span * spanMs / millisPerSecond, ...Object.fromEntries(counts) }
   }))
 }
--- a/scripts/explain/causes.ts
+++ b/scripts/explain/causes.ts
@@ -1,5 +1,5 @@
 /** Says of each decision why its request was, or may have been, late or lost. */
-import type { Decision } from './readLines.js'
+import type { Decision } from './readDecision.js'
 
 /** Causes, the ones that cost a caller most first. */
 export const causes = [
@@ -11,31 +11,31 @@
 export type Cause = typeof causes[number]
 
 /** Servers that handled each object, as far as the lines tell. */
-export type Holders = Map<string, Set<string>>
+export type SeenServers = Map<string, Set<string>>
 
 /** From so many times the expected time on an answer counts as slow. */
 const slowRatio = 1.5
 /** Part of its bound from which a VM refused by it; the least urgent may fill so much. */
-const boundPart = 0.8
+const boundFraction = 0.8
 
 /** The cause of one decision; what it tells of the object's servers is kept for the next ones. */
-export function causeOf (holders: Holders, decision: Decision): Cause | undefined {
+export function classifyDecision (seenServers: SeenServers, decision: Decision): Cause | undefined {
   switch (decision.message) {
-    case 'Refused.': return refusalCause(decision)
+    case 'Refused.': return getRefusalCause(decision)
     case 'Failed.': return undefined
-    case 'Sent.': return sendCause(holders, decision)
+    case 'Sent.': return getSendCause(seenServers, decision)
   }
 }
 
-function refusalCause ({ reason, underWay, limit }: Decision): Cause {
+function getRefusalCause ({ reason, underWay, limit }: Decision): Cause {
   if (reason === 'noTime') return 'refused: no time left'
   if (reason === 'noServer') return 'refused: no server'
-  return underWay >= limit * boundPart ? 'refused: bound of the VM' : 'refused: queues at servers'
+  return underWay >= limit * boundFraction ? 'refused: bound of the VM' : 'refused: queues at servers'
 }
 
-function sendCause (holders: Holders, decision: Decision): Cause {
+function getSendCause (seenServers: SeenServers, decision: Decision): Cause {
   const { outcome, tookMs, expectedMs } = decision
-  const cold = coldCause(holders, decision)
+  const cold = getColdCause(seenServers, decision)
   switch (outcome) {
     case 'full': return 'shed by its server'
     case 'gone': return 'caller gone'
@@ -50,12 +50,12 @@
 }
 
 /** Why the object was cold at the server; undefined if it was seen there before, or there is no object. */
-function coldCause (holders: Holders, { route, object, server, place }: Decision): Cause | undefined {
+function getColdCause (seenServers: SeenServers, { route, object, server, place }: Decision): Cause | undefined {
   if (object === '') return undefined
   const key = `${route} ${object}`
-  const known = holders.get(key)
+  const known = seenServers.get(key)
   if (known === undefined) {
-    holders.set(key, new Set([server]))
+    seenServers.set(key, new Set([server]))
     return 'cold: first touch'
   }
   if (known.has(server)) return undefined
--- a/scripts/explain/readLines.ts
+++ b/scripts/explain/readDecision.ts
@@ -35,25 +35,25 @@
   if (typeof message !== 'string' || !messages.has(message)) return undefined
   return {
     message: message as Decision['message'],
-    at: Date.parse(textOf(fields.timestamp)),
-    route: textOf(fields.route),
-    object: textOf(fields.object),
-    server: textOf(fields.server),
+    at: Date.parse(toText(fields.timestamp)),
+    route: toText(fields.route),
+    object: toText(fields.object),
+    server: toText(fields.server),
     place: typeof fields.place === 'string' ? fields.place : undefined,
-    outcome: textOf(fields.outcome),
-    reason: textOf(fields.reason ?? fields.detail),
-    tookMs: numberOf(fields.tookMs),
-    expectedMs: numberOf(fields.expectedMs),
-    waitMs: numberOf(fields.waitMs),
-    underWay: numberOf(fields.underWay),
-    limit: numberOf(fields.limit)
+    outcome: toText(fields.outcome),
+    reason: toText(fields.reason ?? fields.detail),
+    tookMs: toNumber(fields.tookMs),
+    expectedMs: toNumber(fields.expectedMs),
+    waitMs: toNumber(fields.waitMs),
+    underWay: toNumber(fields.underWay),
+    limit: toNumber(fields.limit)
   }
 }
 
-function textOf (value: unknown): string {
+function toText (value: unknown): string {
   return typeof value === 'string' ? value : ''
 }
 
-function numberOf (value: unknown): number {
+function toNumber (value: unknown): number {
   return typeof value === 'number' ? value : NaN
 }
--- a/scripts/soak/controlClient.ts
+++ b/scripts/soak/controlClient.ts
@@ -6,7 +6,7 @@
 import { sleep } from '../support/processes.js'
 
 const callTimeoutMs = 1000
-const pauseMs = 60
+const retryDelayMs = 60
 
 /** The control VMs as those outside reach them. */
 export interface ControlClient {
@@ -22,27 +22,27 @@
 /** Calls one control VM after the other, beginning anywhere; the first answer counts. */
 export async function callAny<Result> (client: ControlClient, method: string, params: object): Promise<Result> {
   const first = Math.floor(client.random() * client.addresses.length)
-  let problem: unknown
-  for (let step = 0; step < client.addresses.length; step++) {
-    const address = client.addresses[(first + step) % client.addresses.length] ?? ''
+  let lastError: unknown
+  for (let offset = 0; offset < client.addresses.length; offset++) {
+    const address = client.addresses[(first + offset) % client.addresses.length] ?? ''
     try {
       return await callPeer<Result>(client.rpc, address, method, params)
     } catch (err) {
-      problem = err
+      lastError = err
     }
   }
-  throw new Error(`no control VM answered ${method}: ${getErrorMessage(problem)}`, { cause: problem })
+  throw new Error(`no control VM answered ${method}: ${getErrorMessage(lastError)}`, { cause: lastError })
 }
 
 /** Calls until some control VM answers; undefined if none does in time. */
-export async function callUntilClear<Result> (client: ControlClient, method: string, params: object, withinMs: number): Promise<Result | undefined> {
-  const end = performance.now() + withinMs
-  while (performance.now() < end) {
+export async function callUntilAnswered<Result> (client: ControlClient, method: string, params: object, timeoutMs: number): Promise<Result | undefined> {
+  const deadline = performance.now() + timeoutMs
+  while (performance.now() < deadline) {
     try {
       return await callAny<Result>(client, method, params)
     } catch {
       // Faults are what a soak is about; the same order is sent again until one answer is clear.
-      await sleep(pauseMs)
+      await sleep(retryDelayMs)
     }
   }
   return undefined
--- a/scripts/soak/stubServer.ts
+++ b/scripts/soak/fakeServer.ts
@@ -8,24 +8,24 @@
 import { sleep } from '../support/processes.js'
 import { startFaultProxy } from './faultProxy.js'
 import type { FaultProxy } from './faultProxy.js'
-import { longPath } from './ledger.js'
-import type { Ledger, Run } from './ledger.js'
+import { longPath } from './history.js'
+import type { SoakHistory, Run } from './history.js'
 
 const slots = 4
-const queue = 6
-const shortestWorkMs = 15
-const longestWorkMs = 120
+const queueLimit = 6
+const minWorkMs = 15
+const maxWorkMs = 120
 /** Work of requests on the long path, well inside the routes' timeout. */
 const longWorkMs = 900
 /** One in so many servers works on when its connection closes. */
-const goingOnEvery = 5
+const ignoreCloseEvery = 5
 const answerBytes = 1500
 
 /** One place at which lifetimes of servers follow each other at the same address. */
-export interface StubServer extends AsyncDisposable {
+export interface FakeServer extends AsyncDisposable {
   readonly place: number
   readonly proxy: FaultProxy
-  readonly ledger: Ledger
+  readonly history: SoakHistory
   readonly random: Random
   facts: BackendAnnouncement
   server: Server | undefined
@@ -35,12 +35,12 @@
 }
 
 /** Makes a server and its forwarder; it listens, and announces nothing yet. */
-export async function createStubServer (place: number, service: ServiceId, domain: FailureDomainId, ledger: Ledger, random: Random): Promise<StubServer> {
+export async function createFakeServer (place: number, service: ServiceId, domain: FailureDomainId, history: SoakHistory, random: Random): Promise<FakeServer> {
   const proxy = await startFaultProxy('127.0.0.1:1')
-  const stub: StubServer = {
+  const fake: FakeServer = {
     place,
     proxy,
-    ledger,
+    history,
     random,
     facts: { id: brandId<ServerId>(''), service, address: proxy.address, failureDomain: domain, slots, software: 'stub', isDraining: false, bornAt: 0, seq: 0, coldMs: 0 },
     server: undefined,
@@ -48,100 +48,100 @@
     running: 0,
     waiting: [],
     [Symbol.asyncDispose]: async () => {
-      await endLifetime(stub)
+      await endLifetime(fake)
       await proxy[Symbol.asyncDispose]()
     }
   }
-  await startLifetime(stub, service)
-  return stub
+  await startLifetime(fake, service)
+  return fake
 }
 
 /** Starts a new lifetime, perhaps of another service, at the address of the former one. */
-export async function startLifetime (stub: StubServer, service: ServiceId): Promise<void> {
-  stub.lifetimes += 1
-  stub.running = 0
-  stub.waiting = []
-  const id = brandId<ServerId>(`server-${stub.place}-${stub.lifetimes}`)
-  stub.facts = { ...stub.facts, id, service, isDraining: false, seq: 0 }
+export async function startLifetime (fake: FakeServer, service: ServiceId): Promise<void> {
+  fake.lifetimes += 1
+  fake.running = 0
+  fake.waiting = []
+  const id = brandId<ServerId>(`server-${fake.place}-${fake.lifetimes}`)
+  fake.facts = { ...fake.facts, id, service, isDraining: false, seq: 0 }
   const server = createServer((req, res) => {
-    serve(stub, id, req, res).catch(() => res.destroy())
+    handleRequest(fake, id, req, res).catch(() => res.destroy())
   })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
-  stub.server = server
-  stub.proxy.target = `127.0.0.1:${(server.address() as AddressInfo).port}`
+  fake.server = server
+  fake.proxy.target = `127.0.0.1:${(server.address() as AddressInfo).port}`
 }
 
 /** Ends the lifetime at once: open connections are closed, and what runs is lost. */
-export async function endLifetime (stub: StubServer): Promise<void> {
-  const { server } = stub
-  stub.server = undefined
+export async function endLifetime (fake: FakeServer): Promise<void> {
+  const { server } = fake
+  fake.server = undefined
   server?.closeAllConnections()
   await new Promise<void>(resolve => server === undefined ? resolve() : server.close(() => resolve()))
 }
 
 /** The one right answer of a server to a request. */
-export function answerText (server: string, id: string): string {
-  const word = hashText(`${server} ${id}`).toString(16)
-  return `${server} ${id} ${word.repeat(Math.ceil(answerBytes / word.length))}`
+export function createAnswerText (server: string, id: string): string {
+  const hash = hashText(`${server} ${id}`).toString(16)
+  return `${server} ${id} ${hash.repeat(Math.ceil(answerBytes / hash.length))}`
 }
 
-async function serve (stub: StubServer, self: ServerId, req: IncomingMessage, res: ServerResponse): Promise<void> {
+async function handleRequest (fake: FakeServer, self: ServerId, req: IncomingMessage, res: ServerResponse): Promise<void> {
   const id = String(req.headers['idempotency-key'] ?? '')
   const closed = new Promise<void>(resolve => res.once('close', () => resolve()))
   const body = await readText(req)
   const readAt = performance.now()
   res.setHeader('idempotency-key', id)
-  res.setHeader('lynx-load', String(stub.running + stub.waiting.length))
+  res.setHeader('lynx-load', String(fake.running + fake.waiting.length))
   if (req.headers['lynx-expect-server'] !== self) {
     res.writeHead(421).end()
     return
   }
-  stub.ledger.arrivals.push({ id, server: self, service: stub.facts.service, at: readAt })
-  if (stub.waiting.length >= queue) {
+  fake.history.arrivals.push({ id, server: self, service: fake.facts.service, at: readAt })
+  if (fake.waiting.length >= queueLimit) {
     res.writeHead(503, { 'lynx-not-started': 'full' }).end()
     return
   }
-  const stop = stub.place % goingOnEvery === goingOnEvery - 1 ? new Promise<void>(() => undefined) : closed
-  if (stub.running >= slots && !(await hasTurn(stub, stop))) return
-  const run = beginRun(stub, self, req, body, readAt)
+  const cancelled = fake.place % ignoreCloseEvery === ignoreCloseEvery - 1 ? new Promise<void>(() => undefined) : closed
+  if (fake.running >= slots && !(await waitForSlot(fake, cancelled))) return
+  const run = recordRun(fake, self, req, body, readAt)
   closed.then(() => { if (!res.writableFinished) run.cutAt = performance.now() }, () => undefined)
-  await work(stub, run, stop, res)
+  await processRequest(fake, run, cancelled, res)
 }
 
 /** Waits for a slot; false if the request was given up meanwhile. */
-async function hasTurn (stub: StubServer, stop: Promise<void>): Promise<boolean> {
-  const { waiting } = stub
-  let begin = (): void => undefined
-  const turn = new Promise<void>(resolve => { begin = resolve })
-  waiting.push(begin)
-  await Promise.race([turn, stop])
-  const place = waiting.indexOf(begin)
-  if (place >= 0) waiting.splice(place, 1)
-  return place < 0
+async function waitForSlot (fake: FakeServer, cancelled: Promise<void>): Promise<boolean> {
+  const { waiting } = fake
+  let grant = (): void => undefined
+  const granted = new Promise<void>(resolve => { grant = resolve })
+  waiting.push(grant)
+  await Promise.race([granted, cancelled])
+  const index = waiting.indexOf(grant)
+  if (index >= 0) waiting.splice(index, 1)
+  return index < 0
 }
 
-function beginRun (stub: StubServer, self: ServerId, req: IncomingMessage, body: string, readAt: number): Run {
-  const { service, failureDomain } = stub.facts
+function recordRun (fake: FakeServer, self: ServerId, req: IncomingMessage, body: string, readAt: number): Run {
+  const { service, failureDomain } = fake.facts
   const id = String(req.headers['idempotency-key'] ?? '')
   const left = req.headers['lynx-deadline-ms']
   const leftMs = left === undefined ? undefined : Number(left)
-  const workMs = req.url === longPath ? longWorkMs : shortestWorkMs + stub.random() * (longestWorkMs - shortestWorkMs)
+  const workMs = req.url === longPath ? longWorkMs : minWorkMs + fake.random() * (maxWorkMs - minWorkMs)
   const run: Run = { id, path: req.url ?? '', body, server: self, service, failureDomain, at: performance.now(), readAt, leftMs, workMs, endedAt: undefined, cutAt: undefined }
-  stub.ledger.runs.push(run)
+  fake.history.runs.push(run)
   return run
 }
 
 /** Works until the answer is due or the request is given up. */
-async function work (stub: StubServer, run: Run, stop: Promise<void>, res: ServerResponse): Promise<void> {
-  stub.running += 1
-  await Promise.race([sleep(run.workMs), stop])
+async function processRequest (fake: FakeServer, run: Run, cancelled: Promise<void>, res: ServerResponse): Promise<void> {
+  fake.running += 1
+  await Promise.race([sleep(run.workMs), cancelled])
   run.endedAt = performance.now()
-  if (stub.facts.id !== run.server) return
-  stub.running -= 1
-  stub.waiting.shift()?.()
+  if (fake.facts.id !== run.server) return
+  fake.running -= 1
+  fake.waiting.shift()?.()
   if (res.destroyed) return
   res.setHeader('lynx-server', run.server)
-  res.end(answerText(run.server, run.id))
+  res.end(createAnswerText(run.server, run.id))
 }
 
 async function readText (req: IncomingMessage): Promise<string> {
--- /dev/null
+++ b/scripts/soak/faultInjection.ts
@@ -0,0 +1,215 @@
+/** Carries out the steps of a soak's plan, and notes in the history whom each disturbed and for how long. */
+import type { ServiceId } from '@lynxcourse/base'
+import { sleep } from '../support/processes.js'
+import { sendRequests } from './caller.js'
+import { createCallers } from './callers.js'
+import { callUntilAnswered } from './controlClient.js'
+import { minFaultMs } from './faultPlan.js'
+import type { SoakStep, VmStep } from './faultPlan.js'
+import { resetConnections, setFault } from './faultProxy.js'
+import type { FaultProxy, LinkFault } from './faultProxy.js'
+import type { InjectedFault } from './history.js'
+import { changeRoutes, evacuate, raceChanges } from './operator.js'
+import type { SoakSystem } from './soakSystem.js'
+import { endLifetime, startLifetime } from './fakeServer.js'
+import type { FakeServer } from './fakeServer.js'
+import { killVm, pauseVm, startVm, stopVm, appendPartialRecord, wipeDisk } from './vmProcess.js'
+import type { SoakVm } from './vmProcess.js'
+
+/** A server that leaves serves on for this long after its leaving was confirmed, longer than VMs may send to it. */
+const serveAfterDrainMs = 4000
+/** An address is used again after this. */
+const addressReuseDelayMs = 2000
+const resetShare = 0.6
+/** Turns of a VM that gets a quarter of its time. */
+const shortageStopMs = 150
+const shortageRunMs = 50
+
+type StepOf<Kind extends SoakStep['kind']> = Extract<SoakStep, { readonly kind: Kind }>
+
+/** Carries out one step and ends what it began. */
+export async function runStep (system: SoakSystem, step: SoakStep): Promise<void> {
+  switch (step.kind) {
+    case 'kill':
+    case 'wipe':
+    case 'tear': return await injectKill(system, step)
+    case 'term': return await injectPlannedStop(system, step)
+    case 'pause': return await injectPause(system, step)
+    case 'killCore': return await injectCoreKill(system, step)
+    case 'link': return await injectLinkFault(system, step)
+    case 'reset':
+      injectReset(system, step)
+      return
+    case 'serverLink':
+    case 'serverReset':
+    case 'serverCrash':
+    case 'serverDrain': return await injectServerFault(system, step)
+    case 'change': {
+      await changeRoutes(system.operator)
+      return
+    }
+    case 'race': return await raceChanges(system.operator)
+    case 'domainLink': return await injectDomainFault(system, step)
+    case 'shortage': return await injectCpuShortage(system, step)
+    case 'burst': return await injectBurst(system, step)
+    case 'evacuate': return await evacuate(system.operator, system.domains[step.domain % system.domains.length] as typeof system.domains[0], step.forMs)
+  }
+}
+
+/** Notes a disturbance whose end is set by the function that is given back. */
+function recordFault (system: SoakSystem, subjects: readonly string[], kind: string): () => void {
+  const from = performance.now()
+  const faults = subjects.map(subject => ({ subject, kind, from, until: Infinity }))
+  system.history.disturbances.push(...faults)
+  return () => { for (const fault of faults) (fault as { -readonly [Key in keyof InjectedFault]: InjectedFault[Key] }).until = performance.now() }
+}
+
+function listSubjects (vm: SoakVm): string[] {
+  return vm.callers === undefined ? [vm.name, 'core'] : [vm.name]
+}
+
+/** A VM on which another step is at work is left alone: ending what is ended already shows nothing. */
+function findFreeVm (system: SoakSystem, index: number): SoakVm | undefined {
+  const vm = system.vms[index]
+  return vm === undefined || vm.isEnding || vm.isPaused ? undefined : vm
+}
+
+async function injectKill (system: SoakSystem, step: VmStep): Promise<void> {
+  const vm = findFreeVm(system, step.vm)
+  if (vm === undefined) return
+  const end = recordFault(system, listSubjects(vm), step.kind)
+  await killVm(vm)
+  if (step.kind === 'wipe') wipeDisk(vm)
+  if (step.kind === 'tear') appendPartialRecord(vm)
+  await sleep(step.forMs)
+  startVm(vm, system.seeds, false)
+  end()
+}
+
+async function injectPlannedStop (system: SoakSystem, step: VmStep): Promise<void> {
+  const vm = findFreeVm(system, step.vm)
+  if (vm === undefined) return
+  const end = recordFault(system, listSubjects(vm), 'term')
+  await stopVm(vm)
+  await sleep(step.forMs)
+  startVm(vm, system.seeds, false)
+  end()
+}
+
+async function injectPause (system: SoakSystem, step: VmStep): Promise<void> {
+  const vm = findFreeVm(system, step.vm)
+  if (vm === undefined) return
+  const end = recordFault(system, listSubjects(vm), 'pause')
+  pauseVm(vm, true)
+  await sleep(step.forMs)
+  pauseVm(vm, false)
+  end()
+}
+
+/** Stops and continues a VM by turns. This is no disturbance: a VM that is short of processor time owes every promise. */
+async function injectCpuShortage (system: SoakSystem, step: StepOf<'shortage'>): Promise<void> {
+  const until = performance.now() + step.forMs
+  while (performance.now() < until) {
+    const vm = findFreeVm(system, step.vm)
+    if (vm !== undefined) await pauseBriefly(system, vm)
+    await sleep(shortageRunMs)
+  }
+}
+
+/** A turn that a late timer makes as long as a freeze is noted as one. */
+async function pauseBriefly (system: SoakSystem, vm: SoakVm): Promise<void> {
+  const from = performance.now()
+  vm.child?.kill('SIGSTOP')
+  await sleep(shortageStopMs)
+  if (!vm.isPaused) vm.child?.kill('SIGCONT')
+  const until = performance.now()
+  if (until - from >= minFaultMs) system.history.disturbances.push({ subject: vm.name, kind: 'pause', from, until })
+}
+
+/** Kills all control VMs at one moment; their disks stay. */
+async function injectCoreKill (system: SoakSystem, step: StepOf<'killCore'>): Promise<void> {
+  const controls = system.vms.slice(0, system.size.controls).flatMap((_, index) => findFreeVm(system, index) ?? [])
+  const end = recordFault(system, [...controls.map(vm => vm.name), 'core'], 'kill')
+  await Promise.all(controls.map(async vm => await killVm(vm)))
+  await sleep(step.forMs)
+  for (const vm of controls) startVm(vm, system.seeds, false)
+  end()
+}
+
+function getProxy (vm: SoakVm, side: 'rpc' | 'callers'): FaultProxy {
+  return side === 'rpc' ? vm.rpc : vm.callers ?? vm.rpc
+}
+
+async function injectLinkFault (system: SoakSystem, step: StepOf<'link'>): Promise<void> {
+  const vm = system.vms[step.vm] as SoakVm
+  const end = recordFault(system, listSubjects(vm), `link ${step.fault}`)
+  await applyFault(getProxy(vm, step.side), step.fault, step.forMs)
+  end()
+}
+
+async function applyFault (proxy: FaultProxy, fault: LinkFault, forMs: number): Promise<void> {
+  setFault(proxy, fault)
+  await sleep(forMs)
+  setFault(proxy, 'none')
+}
+
+function injectReset (system: SoakSystem, step: StepOf<'reset'>): void {
+  const vm = system.vms[step.vm] as SoakVm
+  const end = recordFault(system, listSubjects(vm), 'reset')
+  resetConnections(getProxy(vm, step.side), resetShare, system.client.random)
+  end()
+}
+
+async function injectServerFault (system: SoakSystem, step: StepOf<'serverLink' | 'serverReset' | 'serverCrash' | 'serverDrain'>): Promise<void> {
+  const server = system.servers[step.server] as FakeServer
+  if (server.server === undefined || server.facts.isDraining) return
+  if (step.kind === 'serverDrain') return await drainServer(system, server)
+  const end = recordFault(system, [server.facts.id], step.kind)
+  if (step.kind === 'serverLink') await applyFault(server.proxy, step.fault, step.forMs)
+  else if (step.kind === 'serverReset') resetConnections(server.proxy, resetShare, system.client.random)
+  else await crashServer(system, server)
+  end()
+}
+
+/** Disturbs the links to all servers of a failure domain at once. */
+async function injectDomainFault (system: SoakSystem, step: StepOf<'domainLink'>): Promise<void> {
+  const domain = system.domains[step.domain % system.domains.length]
+  const affected = system.servers.filter(({ facts }) => facts.failureDomain === domain)
+  const end = recordFault(system, affected.map(({ facts }) => facts.id), `domain ${step.fault}`)
+  await Promise.all(affected.map(async ({ proxy }) => await applyFault(proxy, step.fault, step.forMs)))
+  end()
+}
+
+/** Lets as many callers again come for a while, to one VM if the step names it. */
+async function injectBurst (system: SoakSystem, step: StepOf<'burst'>): Promise<void> {
+  const until = performance.now() + step.forMs
+  const callers = createCallers(system, `burst-${step.at}`, step.at, step.vm === undefined ? undefined : system.vms[step.vm]?.settings.listen.callers)
+  await Promise.all(callers.map(async caller => await sendRequests(caller, () => performance.now() >= until)))
+}
+
+/** Crashes a server; its address goes to a server of the other service. */
+async function crashServer (system: SoakSystem, server: FakeServer): Promise<void> {
+  await endLifetime(server)
+  await sleep(addressReuseDelayMs)
+  await startLifetime(server, getOtherService(system, server))
+}
+
+function getOtherService (system: SoakSystem, server: FakeServer): ServiceId {
+  const index = system.services.indexOf(server.facts.service)
+  return system.services[(index + 1) % system.services.length] as ServiceId
+}
+
+/** Lets a server leave as planned: it serves on for a while after its leaving was confirmed. */
+async function drainServer (system: SoakSystem, server: FakeServer): Promise<void> {
+  const { id, service } = server.facts
+  server.facts = { ...server.facts, isDraining: true }
+  const isConfirmed = (): boolean => system.history.confirmed.some(({ type, subject }) => type === 'drain' && subject === id)
+  for (let waitedMs = 0; waitedMs < serveAfterDrainMs && !isConfirmed(); waitedMs += 100) await sleep(100)
+  await sleep(serveAfterDrainMs)
+  await callUntilAnswered(system.client, 'fleet.dismiss', { server: id }, serveAfterDrainMs)
+  const end = recordFault(system, [id], 'ended')
+  await endLifetime(server)
+  await sleep(addressReuseDelayMs)
+  await startLifetime(server, service)
+  end()
+}
--- a/scripts/soak/faultPlan.ts
+++ b/scripts/soak/faultPlan.ts
@@ -45,20 +45,20 @@
 /** A series of faults, then calm for longer than disturbed VMs may take to be in touch again. */
 const seriesMs = 6000
 const calmMs = 7000
-const mostInSeries = 4
+const maxStepsPerSeries = 4
 /** Shortest freeze. */
-export const shortestMs = 300
-const longestMs = 4000
+export const minFaultMs = 300
+const maxFaultMs = 4000
 
 /** Faults begin this much before or after an evacuation that they go with. */
-const aroundMs = 300
+const evacuationOffsetMs = 300
 /** Cuts of a failure domain that is evacuated: about as long as TCP waits between two resends. */
-const shortestCutMs = 2500
-const longestCutMs = 4100
+const minCutMs = 2500
+const maxCutMs = 4100
 
 /** An entry VM is short of processor time for about as long as one that starts takes to be in touch. */
-const shortestShortageMs = 3000
-const longestShortageMs = 7000
+const minShortageMs = 3000
+const maxShortageMs = 7000
 
 /** Kinds that are drawn by themselves; the others come with an evacuation or a shortage. */
 type StepKind = Exclude<SoakStep['kind'], 'domainLink' | 'burst' | 'shortage'>
@@ -74,46 +74,46 @@
 export function planSoak (seed: number, size: SoakSize, series: number): SoakPlan {
   const random = createRandom(seed)
   // Draws of their own, so that the other faults of a seed don't depend on them.
-  const shortages = createRandom(hashText(`shortage ${seed}`))
+  const shortageRandom = createRandom(hashText(`shortage ${seed}`))
   const steps: SoakStep[] = []
-  for (let number = 0; number < series; number++) {
-    const start = number * (seriesMs + calmMs)
-    const count = 1 + pick(random, mostInSeries)
+  for (let seriesIndex = 0; seriesIndex < series; seriesIndex++) {
+    const start = seriesIndex * (seriesMs + calmMs)
+    const count = 1 + drawInt(random, maxStepsPerSeries)
     let isDiskLost = false
-    for (let place = 0; place < count; place++) {
+    for (let stepIndex = 0; stepIndex < count; stepIndex++) {
       const kind = drawKind(random)
       // One disk at a time: what is confirmed outlives the loss of a minority of disks, not of more.
       if (kind === 'wipe' && isDiskLost) continue
       isDiskLost ||= kind === 'wipe'
-      const step = drawStep(random, size, kind, start + pick(random, seriesMs))
+      const step = drawStep(random, size, kind, start + drawInt(random, seriesMs))
       steps.push(step)
-      if (step.kind === 'evacuate') steps.push(...drawAround(random, size, step))
+      if (step.kind === 'evacuate') steps.push(...drawEvacuationFaults(random, size, step))
     }
-    steps.push(...drawShortage(shortages, size, start))
+    steps.push(...drawShortage(shortageRandom, size, start))
   }
   steps.sort((a, b) => a.at - b.at)
   return { seed, steps, lengthMs: series * (seriesMs + calmMs) }
 }
 
-function pick (random: Random, below: number): number {
+function drawInt (random: Random, below: number): number {
   return Math.floor(random() * below)
 }
 
 function drawKind (random: Random): StepKind {
-  let left = random() * weights.reduce((sum, [, weight]) => sum + weight, 0)
+  let remaining = random() * weights.reduce((sum, [, weight]) => sum + weight, 0)
   for (const [kind, weight] of weights) {
-    left -= weight
-    if (left < 0) return kind
+    remaining -= weight
+    if (remaining < 0) return kind
   }
   return 'change'
 }
 
 function drawStep (random: Random, size: SoakSize, kind: StepKind, at: number): SoakStep {
-  const forMs = shortestMs + pick(random, longestMs - shortestMs)
-  const vm = pick(random, size.controls + size.entries)
-  const control = pick(random, size.controls)
-  const server = pick(random, size.servers)
-  const fault = linkFaults[pick(random, linkFaults.length)] ?? 'silence'
+  const forMs = minFaultMs + drawInt(random, maxFaultMs - minFaultMs)
+  const vm = drawInt(random, size.controls + size.entries)
+  const control = drawInt(random, size.controls)
+  const server = drawInt(random, size.servers)
+  const fault = linkFaults[drawInt(random, linkFaults.length)] ?? 'silence'
   const side = vm < size.controls || random() < 0.5 ? 'rpc' : 'callers'
   switch (kind) {
     case 'kill':
@@ -130,27 +130,27 @@
     case 'serverDrain': return { at, kind, server }
     case 'change':
     case 'race': return { at, kind }
-    case 'evacuate': return { at, kind, domain: pick(random, size.domains), forMs: forMs + calmMs }
+    case 'evacuate': return { at, kind, domain: drawInt(random, size.domains), forMs: forMs + calmMs }
   }
 }
 
 /** What goes wrong while a failure domain is evacuated: its servers are cut off or dark, an entry VM is frozen, many callers come. */
-function drawAround (random: Random, size: SoakSize, { at, domain }: Evacuation): SoakStep[] {
-  const near = (): number => Math.max(0, at - aroundMs + pick(random, 2 * aroundMs))
+function drawEvacuationFaults (random: Random, size: SoakSize, { at, domain }: Evacuation): SoakStep[] {
+  const drawTime = (): number => Math.max(0, at - evacuationOffsetMs + drawInt(random, 2 * evacuationOffsetMs))
   const fault = random() < 0.75 ? 'silence' : 'dropAnswers'
-  const steps: SoakStep[] = [{ at: near(), kind: 'domainLink', domain, fault, forMs: shortestCutMs + pick(random, longestCutMs - shortestCutMs) }]
-  if (random() < 0.5) steps.push({ at: near(), kind: 'pause', vm: size.controls + pick(random, size.entries), forMs: shortestMs + pick(random, longestMs - shortestMs) })
-  if (random() < 0.5) steps.push({ at: near(), kind: 'burst', forMs: longestMs })
+  const steps: SoakStep[] = [{ at: drawTime(), kind: 'domainLink', domain, fault, forMs: minCutMs + drawInt(random, maxCutMs - minCutMs) }]
+  if (random() < 0.5) steps.push({ at: drawTime(), kind: 'pause', vm: size.controls + drawInt(random, size.entries), forMs: minFaultMs + drawInt(random, maxFaultMs - minFaultMs) })
+  if (random() < 0.5) steps.push({ at: drawTime(), kind: 'burst', forMs: maxFaultMs })
   return steps
 }
 
 /** An entry VM gets a part of its time only, every second one from its start on, every second one under a burst of its own. */
 function drawShortage (random: Random, size: SoakSize, start: number): SoakStep[] {
-  const at = start + pick(random, seriesMs / 2)
-  const vm = size.controls + pick(random, size.entries)
-  const forMs = shortestShortageMs + pick(random, longestShortageMs - shortestShortageMs)
+  const at = start + drawInt(random, seriesMs / 2)
+  const vm = size.controls + drawInt(random, size.entries)
+  const forMs = minShortageMs + drawInt(random, maxShortageMs - minShortageMs)
   const steps: SoakStep[] = [{ at, kind: 'shortage', vm, forMs }]
-  if (random() < 0.5) steps.unshift({ at, kind: 'kill', vm, forMs: shortestMs })
+  if (random() < 0.5) steps.unshift({ at, kind: 'kill', vm, forMs: minFaultMs })
   if (random() < 0.5) steps.push({ at, kind: 'burst', vm, forMs })
   return steps
 }
--- a/scripts/soak/faultProxy.ts
+++ b/scripts/soak/faultProxy.ts
@@ -21,25 +21,25 @@
   readonly near: Socket
   readonly far: Socket
   /** What its senders' kernels send again until a silence is over. */
-  held: Held[]
+  pending: PendingDelivery[]
   /** A direction that lost bytes stays dead: TCP would not go on after a gap either. */
   isDead: boolean
 }
 
 /** Bytes, or the end of a connection, on their way. */
-interface Held {
+interface PendingDelivery {
   readonly from: Socket
   readonly at: number
-  readonly arrive: () => void
+  readonly deliver: () => void
 }
 
 const delayMs = 120
 /** TCP sends again after this, then after twice as long each time. */
-const firstResendMs = 1000
+const initialRetransmitMs = 1000
 
 /** Starts a forwarder to `IP:port` on a free port of its own. */
 export async function startFaultProxy (target: string): Promise<FaultProxy> {
-  const server = createServer(near => { pair(proxy, near) })
+  const server = createServer(near => { connectPair(proxy, near) })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
   const proxy: FaultProxy = {
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
@@ -48,40 +48,40 @@
     fault: 'none',
     pairs: new Set(),
     [Symbol.asyncDispose]: async () => {
-      resetAll(proxy, 1)
+      resetConnections(proxy, 1)
       await new Promise<void>(resolve => server.close(() => resolve()))
     }
   }
   return proxy
 }
 
-function pair (proxy: FaultProxy, near: Socket): void {
+function connectPair (proxy: FaultProxy, near: Socket): void {
   const [host, port] = proxy.target.split(':')
   const far = connect({ host, port: Number(port), noDelay: true })
   near.setNoDelay(true)
-  const sockets: SocketPair = { near, far, held: [], isDead: false }
+  const sockets: SocketPair = { near, far, pending: [], isDead: false }
   proxy.pairs.add(sockets)
   forward(proxy, sockets, near, far, 'dropRequests')
   forward(proxy, sockets, far, near, 'dropAnswers')
 }
 
-function forward (proxy: FaultProxy, sockets: SocketPair, from: Socket, to: Socket, dropping: LinkFault): void {
-  const pass = (arrive: () => void): void => {
-    if (proxy.fault === dropping) sockets.isDead = true
+function forward (proxy: FaultProxy, sockets: SocketPair, from: Socket, to: Socket, dropFault: LinkFault): void {
+  const relay = (deliver: () => void): void => {
+    if (proxy.fault === dropFault) sockets.isDead = true
     if (sockets.isDead) return
-    if (proxy.fault === 'silence' || sockets.held.length > 0) sockets.held.push({ from, at: performance.now(), arrive })
-    else if (proxy.fault === 'delay') setTimeout(arrive, delayMs)
-    else arrive()
+    if (proxy.fault === 'silence' || sockets.pending.length > 0) sockets.pending.push({ from, at: performance.now(), deliver })
+    else if (proxy.fault === 'delay') setTimeout(deliver, delayMs)
+    else deliver()
   }
-  from.on('data', chunk => pass(() => { if (!to.destroyed) to.write(chunk) }))
-  from.on('end', () => pass(() => { to.end() }))
+  from.on('data', chunk => relay(() => { if (!to.destroyed) to.write(chunk) }))
+  from.on('end', () => relay(() => { to.end() }))
   from.on('error', () => undefined)
   from.on('close', hadError => {
     // The other end may not hear of it for as long as the fault lasts: it is kept until it is closed as well.
     if (to.destroyed) proxy.pairs.delete(sockets)
     // A kernel that resets a connection forgets what it has not got through.
-    if (hadError) sockets.held = sockets.held.filter(held => held.from !== from)
-    pass(() => { if (hadError) reset(to); else to.destroySoon() })
+    if (hadError) sockets.pending = sockets.pending.filter(delivery => delivery.from !== from)
+    relay(() => { if (hadError) reset(to); else to.destroySoon() })
   })
 }
 
@@ -91,24 +91,24 @@
   if (fault === 'silence') return
   const now = performance.now()
   for (const sockets of proxy.pairs) {
-    const [first] = sockets.held
-    if (first !== undefined) setTimeout(() => sendAgain(proxy, sockets), untilResend(first.at, now))
+    const [first] = sockets.pending
+    if (first !== undefined) setTimeout(() => deliverPending(proxy, sockets), computeRetransmitDelay(first.at, now))
   }
 }
 
-function untilResend (sentAt: number, now: number): number {
-  let resendAt = sentAt + firstResendMs
-  for (let pauseMs = 2 * firstResendMs; resendAt < now; pauseMs *= 2) resendAt += pauseMs
-  return resendAt - now
+function computeRetransmitDelay (sentAt: number, now: number): number {
+  let retransmitAt = sentAt + initialRetransmitMs
+  for (let pauseMs = 2 * initialRetransmitMs; retransmitAt < now; pauseMs *= 2) retransmitAt += pauseMs
+  return retransmitAt - now
 }
 
-function sendAgain (proxy: FaultProxy, sockets: SocketPair): void {
+function deliverPending (proxy: FaultProxy, sockets: SocketPair): void {
   if (proxy.fault === 'silence') return
-  for (const { arrive } of sockets.held.splice(0)) arrive()
+  for (const { deliver } of sockets.pending.splice(0)) deliver()
 }
 
 /** Resets a share of the open connections. */
-export function resetAll (proxy: FaultProxy, share: number, random: () => number = () => 0): void {
+export function resetConnections (proxy: FaultProxy, share: number, random: () => number = () => 0): void {
   for (const sockets of [...proxy.pairs]) {
     if (random() >= share) continue
     proxy.pairs.delete(sockets)
--- a/scripts/soak/ledger.ts
+++ b/scripts/soak/history.ts
@@ -62,7 +62,7 @@
 }
 
 /** A disturbance of one VM or server; `core` for those of any control VM. */
-export interface Disturbance {
+export interface InjectedFault {
   readonly subject: string
   readonly kind: string
   readonly from: number
@@ -70,25 +70,25 @@
 }
 
 /** A read of the routes that was answered. */
-export interface ReadSeen { readonly sentAt: number, readonly version: number }
+export interface RouteRead { readonly sentAt: number, readonly version: number }
 
-export interface Ledger {
+export interface SoakHistory {
   readonly attempts: Map<string, Attempt>
   readonly runs: Run[]
   readonly arrivals: Arrival[]
   readonly confirmed: Confirmed[]
-  readonly disturbances: Disturbance[]
-  readonly reads: ReadSeen[]
+  readonly disturbances: InjectedFault[]
+  readonly reads: RouteRead[]
   /** What went wrong as it happened: processes that ended by themselves, two orders accepted on one base. */
-  readonly notes: string[]
+  readonly recordedViolations: string[]
 }
 
 /** Bounds of the promises, in milliseconds. */
 export const bounds = {
   /** Disturbed VMs owe the promises with a time bound again after this. */
-  contactMs: 4000,
+  vmRecoveryMs: 4000,
   /** A server whose links were disturbed counts again after this. */
-  linkMs: 3000,
+  linkRecoveryMs: 3000,
   drainMs: 2500,
   evacuateMs: 5000,
   changeMs: 2500,
@@ -96,26 +96,26 @@
   timeoutMs: 1500,
   graceMs: 500,
   /** How long after its caller's close a request may reach a server or be worked on, and how many may reach one later. */
-  goneMs: 500,
-  goneFew: 3,
+  abandonedMs: 500,
+  maxLateArrivals: 3,
   /** Most servers at which one request of the soak's routes may run. */
   maxAttempts: 2,
   /** As in the VMs' settings by default. */
   retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 50 }
 }
 
-export function createLedger (): Ledger {
-  return { attempts: new Map(), runs: [], arrivals: [], confirmed: [], disturbances: [], reads: [], notes: [] }
+export function createHistory (): SoakHistory {
+  return { attempts: new Map(), runs: [], arrivals: [], confirmed: [], disturbances: [], reads: [], recordedViolations: [] }
 }
 
 /** Whether a VM was in touch at a moment: neither it nor the control VMs were disturbed of late. */
-export function isInTouch (ledger: Ledger, vm: string, at: number): boolean {
-  return isCalm(ledger, vm, at, bounds.contactMs) && isCalm(ledger, 'core', at, bounds.contactMs)
+export function isVmFaultFree (history: SoakHistory, vm: string, at: number): boolean {
+  return isFaultFree(history, vm, at, bounds.vmRecoveryMs) && isFaultFree(history, 'core', at, bounds.vmRecoveryMs)
 }
 
 /** Whether nothing disturbed a VM or a server of late. */
-export function isCalm (ledger: Ledger, of: string, at: number, forMs: number): boolean {
-  return !ledger.disturbances.some(({ subject, from, until }) => subject === of && from <= at && at <= until + forMs)
+export function isFaultFree (history: SoakHistory, target: string, at: number, recoveryMs: number): boolean {
+  return !history.disturbances.some(({ subject, from, until }) => subject === target && from <= at && at <= until + recoveryMs)
 }
 
 /** Path of the route that changes move from service to service. */
@@ -125,8 +125,8 @@
 export const longPath = '/read/long'
 
 /** Share of the attempts sent in a span that were answered with a success; those whose caller may leave early are left out. */
-export function servedShare (ledger: Ledger, from: number, until: number): { readonly share: number, readonly sent: number } {
-  const sent = [...ledger.attempts.values()].filter(attempt => attempt.leavesAfterMs === undefined && attempt.sentAt >= from && attempt.sentAt < until)
+export function measureServedShare (history: SoakHistory, from: number, until: number): { readonly share: number, readonly sent: number } {
+  const sent = [...history.attempts.values()].filter(attempt => attempt.leavesAfterMs === undefined && attempt.sentAt >= from && attempt.sentAt < until)
   const served = sent.filter(attempt => attempt.end?.type === 'answer' && attempt.end.status === 200)
   return { share: sent.length === 0 ? 0 : served.length / sent.length, sent: sent.length }
 }
--- a/scripts/soak/sendChecks.ts
+++ b/scripts/soak/sendChecks.ts
@@ -1,38 +1,38 @@
 /** Promises on how often requests are sent to servers, and with how much time. */
-import { bounds, isCalm, isInTouch } from './ledger.js'
-import type { Arrival, Ledger, Run } from './ledger.js'
+import { bounds, isFaultFree, isVmFaultFree } from './history.js'
+import type { Arrival, SoakHistory, Run } from './history.js'
 
 /** A request runs at no more servers than its route allows; those that were disturbed meanwhile don't count. */
-export function brokenTries (ledger: Ledger): string[] {
+export function checkAttemptLimit (history: SoakHistory): string[] {
   const servers = new Map<string, Set<string>>()
-  for (const { id, server, at } of ledger.runs) {
-    if (!isCalm(ledger, server, at, bounds.contactMs)) continue
+  for (const { id, server, at } of history.runs) {
+    if (!isFaultFree(history, server, at, bounds.vmRecoveryMs)) continue
     servers.set(id, (servers.get(id) ?? new Set()).add(server))
   }
   return [...servers].flatMap(([id, at]) => at.size > bounds.maxAttempts ? [`tries: ${id} ran at ${[...at].join()}`] : [])
 }
 
 /** What a server is told of the time left ends no later than the route's timeout, counted from when the caller sent the request. */
-export function brokenTimeLeft (ledger: Ledger): string[] {
-  return ledger.runs.flatMap(run => {
-    const attempt = ledger.attempts.get(run.id)
-    if (attempt === undefined || !isCalmRun(ledger, run, attempt.entry, attempt.sentAt)) return []
+export function checkTimeLeft (history: SoakHistory): string[] {
+  return history.runs.flatMap(run => {
+    const attempt = history.attempts.get(run.id)
+    if (attempt === undefined || !isRunFaultFree(history, run, attempt.entry, attempt.sentAt)) return []
     const endsAfterMs = run.leftMs === undefined ? Infinity : run.readAt + run.leftMs - attempt.sentAt
     return endsAfterMs > bounds.timeoutMs + bounds.graceMs ? [`time: ${run.server} was told ${run.leftMs ?? 'nothing'} of the time left of ${run.id}, ${Math.round(run.readAt - attempt.sentAt)} ms after it was sent`] : []
   })
 }
 
-function isCalmRun (ledger: Ledger, run: Run, entry: string, sentAt: number): boolean {
-  return isInTouch(ledger, entry, sentAt) && isInTouch(ledger, entry, run.at) && isCalm(ledger, run.server, run.at, bounds.contactMs)
+function isRunFaultFree (history: SoakHistory, run: Run, entry: string, sentAt: number): boolean {
+  return isVmFaultFree(history, entry, sentAt) && isVmFaultFree(history, entry, run.at) && isFaultFree(history, run.server, run.at, bounds.vmRecoveryMs)
 }
 
 /** In any window, the arrivals of a service beyond the first of each request stay within the retry budget of all VMs together. */
-export function brokenBudgets (ledger: Ledger): string[] {
-  const services = [...new Set(ledger.arrivals.map(({ service }) => service))]
-  return services.flatMap(service => brokenBudget(service, ledger.arrivals.filter(arrival => arrival.service === service)))
+export function checkRetryBudgets (history: SoakHistory): string[] {
+  const services = [...new Set(history.arrivals.map(({ service }) => service))]
+  return services.flatMap(service => checkRetryBudget(service, history.arrivals.filter(arrival => arrival.service === service)))
 }
 
-function brokenBudget (service: string, arrivals: readonly Arrival[]): string[] {
+function checkRetryBudget (service: string, arrivals: readonly Arrival[]): string[] {
   const { ratio, windowMs, slack } = bounds.retryBudget
   const seen = new Set<string>()
   const marked = arrivals.map(({ id, at }) => {
--- a/scripts/soak/soakWorld.ts
+++ b/scripts/soak/soakSystem.ts
@@ -1,4 +1,4 @@
-/** Builds what one run of the soak consists of: VMs, backend servers, an operator and the ledger. */
+/** Builds what one run of the soak consists of: VMs, backend servers, an operator and the history. */
 import { mkdirSync } from 'node:fs'
 import { join } from 'node:path'
 import { brandId, createRandom } from '@lynxcourse/base'
@@ -8,22 +8,22 @@
 import { createControlClient } from './controlClient.js'
 import type { ControlClient } from './controlClient.js'
 import type { SoakSize } from './faultPlan.js'
-import { createLedger } from './ledger.js'
-import type { Ledger } from './ledger.js'
+import { createHistory } from './history.js'
+import type { SoakHistory } from './history.js'
 import { createOperator } from './operator.js'
 import type { Operator } from './operator.js'
-import { createStubServer } from './stubServer.js'
-import type { StubServer } from './stubServer.js'
+import { createFakeServer } from './fakeServer.js'
+import type { FakeServer } from './fakeServer.js'
 import { createSoakVm } from './vmProcess.js'
 import type { SoakVm } from './vmProcess.js'
 
 /** Everything that one run consists of. */
-export interface SoakWorld {
+export interface SoakSystem {
   readonly size: SoakSize
-  readonly ledger: Ledger
+  readonly history: SoakHistory
   readonly vms: readonly SoakVm[]
   readonly seeds: readonly string[]
-  readonly servers: readonly StubServer[]
+  readonly servers: readonly FakeServer[]
   readonly domains: readonly FailureDomainId[]
   readonly services: readonly ServiceId[]
   readonly client: ControlClient
@@ -35,41 +35,41 @@
 export const regions: Record<string, string[]> = { kochi: ['kochi-a', 'kochi-b'], chennai: ['chennai-a', 'chennai-b'], mumbai: ['mumbai-a', 'mumbai-b'] }
 const domains = Object.values(regions).flat().map(name => brandId<FailureDomainId>(name))
 
-/** Builds a world whose VMs are not started yet; what it opens is owned by the stack. */
-export async function buildWorld (seed: number, size: SoakSize, folder: string, stack: Owned): Promise<SoakWorld> {
+/** Builds a system whose VMs are not started yet; what it opens is owned by the stack. */
+export async function createSoakSystem (seed: number, size: SoakSize, folder: string, stack: Owned): Promise<SoakSystem> {
   const random = createRandom(seed + 1)
-  const ledger = createLedger()
+  const history = createHistory()
   mkdirSync(folder, { recursive: true })
   const vms: SoakVm[] = []
-  for (let place = 0; place < size.controls + size.entries; place++) {
-    vms.push(own(stack, await createSoakVm(settingsOf(place, size, folder), folder, ledger)))
+  for (let index = 0; index < size.controls + size.entries; index++) {
+    vms.push(own(stack, await createSoakVm(createVmSettings(index, size, folder), folder, history)))
   }
   const controls = vms.slice(0, size.controls)
-  const servers: StubServer[] = []
-  for (let place = 0; place < size.servers; place++) {
-    servers.push(own(stack, await createStubServer(place, services[place % services.length] as ServiceId, domains[Math.floor(place / services.length) % domains.length] as FailureDomainId, ledger, random)))
+  const servers: FakeServer[] = []
+  for (let index = 0; index < size.servers; index++) {
+    servers.push(own(stack, await createFakeServer(index, services[index % services.length] as ServiceId, domains[Math.floor(index / services.length) % domains.length] as FailureDomainId, history, random)))
   }
   const client = createControlClient(controls.map(vm => vm.rpc.address), random)
   own(stack, client.rpc)
   const seeds = controls.slice(0, 3).map(vm => vm.rpc.address)
-  return { size, ledger, vms, seeds, servers, domains, services, client, operator: createOperator(client, ledger, services) }
+  return { size, history, vms, seeds, servers, domains, services, client, operator: createOperator(client, history, services) }
 }
 
 /**
  * An address of its own for each VM. Ports of the one loopback address that were free a moment ago may be taken by
  * an outgoing connection while a VM is down, and the VM then can't start again.
  */
-function ipOf (place: number): string {
-  return `127.${64 + process.pid % 64}.${(process.pid >> 6) % 256}.${place + 1}`
+function getVmIp (index: number): string {
+  return `127.${64 + process.pid % 64}.${(process.pid >> 6) % 256}.${index + 1}`
 }
 
-function settingsOf (place: number, size: SoakSize, folder: string): FleetFileInput {
-  const isControl = place < size.controls
-  const ip = ipOf(place)
+function createVmSettings (index: number, size: SoakSize, folder: string): FleetFileInput {
+  const isControl = index < size.controls
+  const ip = getVmIp(index)
   const [rpc, callers, metrics] = [`${ip}:7100`, `${ip}:7000`, `${ip}:7200`]
-  const domain = domains[place % domains.length] as FailureDomainId
+  const domain = domains[index % domains.length] as FailureDomainId
   const region = brandId<RegionId>(domain.slice(0, -2))
-  const name = isControl ? `control-${place}` : `entry-${place - size.controls}`
+  const name = isControl ? `control-${index}` : `entry-${index - size.controls}`
   return {
     vm: name,
     roles: [isControl ? 'control' : 'entry'],
--- a/scripts/soak/vmProcess.ts
+++ b/scripts/soak/vmProcess.ts
@@ -9,18 +9,18 @@
 import { ended, kill, sleep } from '../support/processes.js'
 import { startFaultProxy } from './faultProxy.js'
 import type { FaultProxy } from './faultProxy.js'
-import type { Ledger } from './ledger.js'
+import type { SoakHistory } from './history.js'
 
-const program = fileURLToPath(import.meta.resolve('@lynxcourse/daemon').replace('daemon.js', 'main.js'))
+const daemonScript = fileURLToPath(import.meta.resolve('@lynxcourse/daemon').replace('daemon.js', 'main.js'))
 
 /** A planned stop that takes longer is ended; longer than the daemon's own bound on it. */
-const stopLimitMs = 8000
+const stopTimeoutMs = 8000
 
 export interface SoakVm extends AsyncDisposable {
   readonly name: string
   readonly settings: FleetFileInput
   readonly folder: string
-  readonly ledger: Ledger
+  readonly history: SoakHistory
   /** In front of the RPC address; other VMs know this address alone. */
   readonly rpc: FaultProxy
   /** In front of the callers' address; undefined at a control VM. */
@@ -32,14 +32,14 @@
 }
 
 /** Makes a VM whose forwarders listen; its process is not started yet. */
-export async function createSoakVm (settings: FleetFileInput, folder: string, ledger: Ledger): Promise<SoakVm> {
+export async function createSoakVm (settings: FleetFileInput, folder: string, history: SoakHistory): Promise<SoakVm> {
   const rpc = await startFaultProxy(settings.listen.rpc)
   const callers = settings.listen.callers === undefined ? undefined : await startFaultProxy(settings.listen.callers)
   const vm: SoakVm = {
     name: settings.vm,
     settings,
     folder,
-    ledger,
+    history,
     rpc,
     callers,
     child: undefined,
@@ -64,13 +64,13 @@
   const file = join(vm.folder, `${vm.name}.yaml`)
   writeFileSync(file, stringify({ fleet: { ...vm.settings, advertisedRpc: vm.rpc.address, seeds, isFirstStart } }))
   const out = openSync(join(vm.folder, `${vm.name}.log`), 'a')
-  const child = spawn(process.execPath, ['--max-old-space-size=150', program, '--config', file], { stdio: ['ignore', out, out] })
+  const child = spawn(process.execPath, ['--max-old-space-size=150', daemonScript, '--config', file], { stdio: ['ignore', out, out] })
   vm.child = child
   vm.isEnding = false
   children.add(child)
   child.once('exit', (code, signal) => {
     children.delete(child)
-    if (!vm.isEnding) vm.ledger.notes.push(`ended: ${vm.name} ended by itself with ${code ?? signal}`)
+    if (!vm.isEnding) vm.history.recordedViolations.push(`ended: ${vm.name} ended by itself with ${code ?? signal}`)
   })
 }
 
@@ -88,9 +88,9 @@
   if (child === undefined) return
   vm.isEnding = true
   child.kill('SIGTERM')
-  const isOver = await Promise.race([ended(child).then(() => true), sleep(stopLimitMs).then(() => false)])
-  if (isOver) return
-  if (!vm.isPaused) vm.ledger.notes.push(`stop: ${vm.name} had not ended ${stopLimitMs} ms after the signal`)
+  const hasExited = await Promise.race([ended(child).then(() => true), sleep(stopTimeoutMs).then(() => false)])
+  if (hasExited) return
+  if (!vm.isPaused) vm.history.recordedViolations.push(`stop: ${vm.name} had not ended ${stopTimeoutMs} ms after the signal`)
   await killVm(vm)
 }
 
@@ -105,8 +105,8 @@
 }
 
 /** Leaves half a record at the end of the log, as a loss of power in the middle of a write does. */
-export function tearLog (vm: SoakVm): void {
-  const half = Buffer.alloc(40)
-  half.writeUInt32LE(5000, 0)
-  appendFileSync(join(vm.settings.dataFolder ?? '', 'control', 'log'), half)
+export function appendPartialRecord (vm: SoakVm): void {
+  const partialRecord = Buffer.alloc(40)
+  partialRecord.writeUInt32LE(5000, 0)
+  appendFileSync(join(vm.settings.dataFolder ?? '', 'control', 'log'), partialRecord)
 }
