--- a/scripts/explain.ts
+++ b/scripts/explain.ts
@@ -1,4 +1,4 @@
-/** `npm run explain -- LOG...`: where requests go wrong, and why, by VMs' log lines. */
+/** `npm run explain -- LOG...`: counts the causes of late, refused and lost requests from VMs' log lines. */
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
 import { Command } from 'commander'
@@ -14,9 +14,9 @@
 interface Arguments { readonly span: string }
 
 const program = new Command('explain')
-  .description('Counts the causes of late, refused and lost requests in log files, whole and over time.')
-  .argument('<log...>', 'files with log lines of entry VMs')
-  .option('--span <seconds>', 'length of a row over time', String(defaultSpanS))
+  .description('Counts the causes of late, refused and lost requests in log files, in total and over time.')
+  .argument('<log...>', 'log files of entry VMs')
+  .option('--span <seconds>', 'length of the time span of each row', String(defaultSpanS))
 
 async function readAll (files: readonly string[]): Promise<Decision[]> {
   const decisions: Decision[] = []
@@ -55,12 +55,12 @@
   const spans = new Map<number, Row[]>()
   for (const row of rows) {
     const span = Math.floor((row.decision.at - firstAt) / spanMs)
-    const held = spans.get(span)
-    if (held === undefined) spans.set(span, [row])
-    else held.push(row)
+    const spanRows = spans.get(span)
+    if (spanRows === undefined) spans.set(span, [row])
+    else spanRows.push(row)
   }
-  printTable('Over time', [...spans].sort(([a], [b]) => a - b).map(([span, held]) => {
-    const counts = presentCauses.map(cause => [cause, held.filter(row => row.cause === cause).length] as const)
+  printTable('Over time', [...spans].sort(([a], [b]) => a - b).map(([span, spanRows]) => {
+    const counts = presentCauses.map(cause => [cause, spanRows.filter(row => row.cause === cause).length] as const)
     return { second: span * spanMs / millisPerSecond, ...Object.fromEntries(counts) }
   }))
 }
@@ -68,9 +68,9 @@
 async function main (): Promise<void> {
   program.parse()
   const rows = explain(await readAll(program.args))
-  if (rows.length === 0) program.error('error: no decisions on requests in these files')
+  if (rows.length === 0) program.error('error: the files contain no request decisions')
   const spanMs = Number(program.opts<Arguments>().span) * millisPerSecond
-  if (!(spanMs > 0)) program.error('error: --span: must be above 0')
+  if (!(spanMs > 0)) program.error('error: --span must be greater than 0')
   printCauses(rows)
   printOverTime(rows, spanMs)
 }
--- a/scripts/explain/causes.ts
+++ b/scripts/explain/causes.ts
@@ -1,7 +1,7 @@
-/** Says of each decision why its request was, or may have been, late or lost. */
+/** Classifies decisions by why their requests were, or may have been, late or lost. */
 import type { Decision } from './readDecision.js'
 
-/** Causes, the ones that cost a caller most first. */
+/** Causes, in order of decreasing cost to the caller. */
 export const causes = [
   'lost with its server', 'timeout under cold work', 'timeout', 'refused: bound of the VM', 'refused: queues at servers', 'refused: no time left',
   'refused: no server', 'shed by its server', 'cold: first touch', 'cold: placed anew', 'cold: beside its server', 'slower than expected', 'as expected',
@@ -10,15 +10,15 @@
 
 export type Cause = typeof causes[number]
 
-/** Servers that handled each object, as far as the lines tell. */
+/** Servers that handled each object, according to the lines read so far. */
 export type SeenServers = Map<string, Set<string>>
 
-/** From so many times the expected time on an answer counts as slow. */
+/** An answer that took more than this multiple of the expected time counts as slow. */
 const slowRatio = 1.5
-/** Part of its bound from which a VM refused by it; the least urgent may fill so much. */
+/** Fraction of a VM's limit from which a refusal is attributed to the limit; the least urgent requests may use this much. */
 const boundFraction = 0.8
 
-/** The cause of one decision; what it tells of the object's servers is kept for the next ones. */
+/** Classifies one decision and records its server in `seenServers` for later decisions on the same object. */
 export function classifyDecision (seenServers: SeenServers, decision: Decision): Cause | undefined {
   switch (decision.message) {
     case 'Refused.': return getRefusalCause(decision)
@@ -49,7 +49,7 @@
   }
 }
 
-/** Why the object was cold at the server; undefined if it was seen there before, or there is no object. */
+/** Returns why the object was cold at the server; undefined if the server handled it before, or there is no object. */
 function getColdCause (seenServers: SeenServers, { route, object, server, place }: Decision): Cause | undefined {
   if (object === '') return undefined
   const key = `${route} ${object}`
--- a/scripts/explain/readDecision.ts
+++ b/scripts/explain/readDecision.ts
@@ -1,9 +1,9 @@
-/** Reads the decisions on requests out of VMs' log lines. */
+/** Parses request decisions from VMs' log lines. */
 
-/** What a line tells of one decision; fields that other lines lack are undefined. */
+/** Fields of one decision; texts that a line lacks are empty, numbers are NaN. */
 export interface Decision {
   readonly message: 'Sent.' | 'Refused.' | 'Failed.'
-  /** Unix milliseconds by the clock of the VM that wrote the line. */
+  /** Unix time in milliseconds, by the clock of the VM that wrote the line. */
   readonly at: number
   readonly route: string
   readonly object: string
@@ -20,7 +20,7 @@
 
 const messages = new Set(['Sent.', 'Refused.', 'Failed.'])
 
-/** The decision of a line; undefined for any other line. A collector may have put its own words before the JSON. */
+/** Parses the decision of a line; returns undefined for other lines. A log collector may have put a prefix before the JSON. */
 export function readDecision (line: string): Decision | undefined {
   const start = line.indexOf('{')
   if (start < 0) return undefined
@@ -28,7 +28,7 @@
   try {
     fields = JSON.parse(line.slice(start)) as Record<string, unknown>
   } catch {
-    // A line that a process had not written to its end when it died.
+    // The process died before it had written the whole line.
     return undefined
   }
   const { message } = fields
--- a/scripts/soak.ts
+++ b/scripts/soak.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the fault soak: the real daemons as processes of their own, with faults from outside, and the
- * promises checked by what callers, servers and operators see. Exit code 1 if one was broken.
+ * Runs the fault soak: starts real daemons as separate processes, injects faults from outside and checks the system's
+ * promises against what callers, servers and operators observe. Exits with code 1 if a promise was broken.
  */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -25,20 +25,20 @@
 
 function parsePositiveInt (text: string): number {
   const value = Number(text)
-  if (!Number.isInteger(value) || value < 1) throw new InvalidArgumentError('expected a whole number from 1')
+  if (!Number.isInteger(value) || value < 1) throw new InvalidArgumentError('expected a whole number of at least 1')
   return value
 }
 
 const options = new Command('soak')
-  .description('Plays random faults against real daemons; equal seeds draw equal faults.')
+  .description('Injects random faults into real daemons; the same seed draws the same faults.')
   .option('--seed <n>', 'first seed', parsePositiveInt, 1)
-  .option('--seeds <n>', 'seeds to play, one after the other', parsePositiveInt, 1)
-  .option('--minutes <n>', 'play fresh seeds for so long instead', parsePositiveInt)
-  .option('--series <n>', 'series of faults in one run, 13 s each', parsePositiveInt, 3)
-  .option('--controls <n>', 'control VMs', parsePositiveInt, 5)
-  .option('--entries <n>', 'entry VMs', parsePositiveInt, 6)
-  .option('--servers <n>', 'backend servers', parsePositiveInt, 12)
-  .option('--folder <folder>', 'where state and logs stay; default: a temporary folder, kept for runs that fail')
+  .option('--seeds <n>', 'number of seeds to run, one after the other', parsePositiveInt, 1)
+  .option('--minutes <n>', 'run new seeds for this many minutes instead', parsePositiveInt)
+  .option('--series <n>', 'number of fault series in one run, 13 s each', parsePositiveInt, 3)
+  .option('--controls <n>', 'number of control VMs', parsePositiveInt, 5)
+  .option('--entries <n>', 'number of entry VMs', parsePositiveInt, 6)
+  .option('--servers <n>', 'number of backend servers', parsePositiveInt, 12)
+  .option('--folder <folder>', 'folder for state and logs; default: a temporary folder, kept only for failed runs')
   .parse()
   .opts<Options>()
 
@@ -56,12 +56,12 @@
 }
 
 function formatAbandoned ({ left, unread, late, longRunning, stillRunning }: AbandonedSummary): string {
-  return `  callers left ${left} requests, ${unread} of them unread: ${late.length} came late, ${stillRunning.length} of ${longRunning} long ones were worked on\n`
+  return `  callers left ${left} requests, ${unread} of them unread by their VM: ${late.length} reached servers late, ${stillRunning.length} of ${longRunning} long requests kept running\n`
 }
 
-/** A run that could not be played to its end proves nothing, so it counts as one that broke a promise. */
+/** Returns the result of a run that did not finish. Such a run proves nothing, so it counts as a violation. */
 function createFailedResult (seed: number, err: unknown): SoakResult {
-  return { seed, violations: [`not played to its end: ${getErrorMessage(err)}`], requests: 0, servedShare: 0, finalServedShare: 0, steps: 0, gone: undefined }
+  return { seed, violations: [`the run did not finish: ${getErrorMessage(err)}`], requests: 0, servedShare: 0, finalServedShare: 0, steps: 0, gone: undefined }
 }
 
 async function main (): Promise<void> {
--- a/scripts/soak/abandonedChecks.ts
+++ b/scripts/soak/abandonedChecks.ts
@@ -1,39 +1,39 @@
-/** The promise that work ends when its caller has gone. */
+/** Checks that requests end when their callers close the connection. */
 import { bounds, isFaultFree, isVmFaultFree } from './history.js'
 import type { Attempt, SoakHistory } from './history.js'
 
-/** Of the work that would have gone on, the share that may. */
+/** Maximum share of abandoned long requests that may keep running. */
 const maxStillRunningShare = 0.25
 
-/** An attempt whose caller closed the connection, and when that can have reached the VM. */
+/** An attempt whose caller closed the connection; `reachedAt` is the time from which the VM can know of the close. */
 interface AbandonedRequest {
   readonly attempt: Attempt
   readonly reachedAt: number
 }
 
-/** What became of the requests whose callers left; lines name the requests. */
+/** Counts of the requests whose callers closed the connection, and descriptions of those that violate a bound. */
 export interface AbandonedSummary {
   readonly left: number
-  /** Those of them that their VM had not read after a second. */
+  /** Requests that their callers closed because the VM had not read them in time. */
   readonly unread: number
-  /** Arrivals at servers that were too late. */
+  /** Arrivals at servers too long after the close. */
   readonly late: readonly string[]
-  /** Idempotent requests whose work would have lasted beyond the bound, and those of them that were still worked on. */
+  /** Idempotent requests that would run beyond the bound, and descriptions of those that were still running then. */
   readonly longRunning: number
   readonly stillRunning: readonly string[]
 }
 
-/** Once a VM in touch can know of its caller's close, it sends a request to no server and has work on it ended. */
+/** Checks that a fault-free VM sends no request to a server after the caller closed, and cancels those in flight. */
 export function checkAbandoned (history: SoakHistory): string[] {
   const { late, longRunning, stillRunning } = summarizeAbandoned(history)
   const joinFirst = (lines: readonly string[]): string => lines.slice(0, 3).join(', ')
   return [
-    ...late.length > bounds.maxLateArrivals ? [`gone: ${late.length} requests reached servers late, the first ${joinFirst(late)}`] : [],
-    ...stillRunning.length > longRunning * maxStillRunningShare ? [`at work: servers worked on ${stillRunning.length} of ${longRunning} long requests ${bounds.abandonedMs} ms after the close, the first ${joinFirst(stillRunning)}`] : []
+    ...late.length > bounds.maxLateArrivals ? [`gone: ${late.length} requests reached servers late, the first are ${joinFirst(late)}`] : [],
+    ...stillRunning.length > longRunning * maxStillRunningShare ? [`at work: servers were still processing ${stillRunning.length} of ${longRunning} long requests ${bounds.abandonedMs} ms after the close, the first are ${joinFirst(stillRunning)}`] : []
   ]
 }
 
-/** Counts where VMs were in touch and the links to the servers calm. */
+/** Summarizes abandoned requests; requests near a fault of their VM or server are not counted as violations. */
 export function summarizeAbandoned (history: SoakHistory): AbandonedSummary {
   const abandoned = new Map([...history.attempts.values()].flatMap(attempt => toAbandonedEntry(history, attempt)))
   const longRunning = findLongRunning(history, abandoned)
@@ -61,7 +61,7 @@
   })
 }
 
-/** Requests whose work would have lasted beyond the bound, and whether a server was at work on them then. */
+/** Returns the abandoned requests that would run beyond the bound, each with whether a server still ran it then. */
 function findLongRunning (history: SoakHistory, abandoned: ReadonlyMap<string, AbandonedRequest>): Map<string, boolean> {
   const longRunning = new Map<string, boolean>()
   for (const run of history.runs) {
--- a/scripts/soak/caller.ts
+++ b/scripts/soak/caller.ts
@@ -1,4 +1,4 @@
-/** A caller of a soak: looks up entry VMs, sends requests over connections that it keeps, and notes how each ended. */
+/** A simulated caller: looks up entry VMs, sends requests over pooled connections and records how each ended. */
 import type { Socket } from 'node:net'
 import { Pool, buildConnector } from 'undici'
 import type { Random } from '@lynxcourse/base'
@@ -12,20 +12,20 @@
 import { createAnswerText } from './fakeServer.js'
 import { hasUnreadBytes } from './receiveQueue.js'
 
-/** How long a caller waits for an answer: longer than the routes' timeout, so that it sees whether that one is kept. */
+/** How long a caller waits for an answer: longer than the routes' timeout, so that a late answer is still recorded. */
 const deadlineMs = 3000
 const pauseMs = 90
-/** An idempotent request that its VM has not read by then is given up. */
+/** A caller abandons an idempotent request that its VM has not read within this time. */
 const unreadTimeoutMs = 1000
-/** Shares of reads that are long, and of requests whose callers leave before the answer. */
+/** Share of reads that take long, and shares of requests whose callers close the connection before the answer. */
 const longShare = 0.08
-const leaveShare = { long: 0.75, impatient: 0.5, short: 0.06 }
+const leaveShare = { long: 0.75, often: 0.5, short: 0.06 }
 const minLeaveMs = 20
 const maxLeaveMs = 320
-/** An entry VM that failed is not used again for this long while there are others. */
+/** A caller avoids an entry VM for this long after a failure, if others are available. */
 const avoidMs = 1500
 
-/** Where a look-up's addresses are reached, and which VM each belongs to. */
+/** An entry VM and the proxy through which callers reach it. */
 export interface EntryVm { readonly vm: string, readonly proxy: FaultProxy }
 
 export interface Caller {
@@ -35,9 +35,9 @@
   readonly places: ReadonlyMap<string, EntryVm>
   readonly history: SoakHistory
   readonly random: Random
-  /** Keeps to one entry VM until its connection fails, whatever look-ups say. */
+  /** Whether the caller uses the same entry VM until a connection to it fails, regardless of lookups. */
   readonly isPinned: boolean
-  /** Leaves before the answer more often. */
+  /** Whether the caller often closes the connection before the answer. */
   readonly leavesOften: boolean
   readonly pools: Map<string, Pool>
   readonly sockets: Set<Socket>
@@ -48,7 +48,7 @@
   sent: number
 }
 
-/** Sends requests one after the other until the soak is over. */
+/** Sends requests one after the other until `isOver` returns true. */
 export async function sendRequests (caller: Caller, isOver: () => boolean): Promise<void> {
   while (!isOver()) {
     const address = await chooseEntry(caller)
@@ -78,7 +78,7 @@
 
 async function sendRequest (caller: Caller, address: string): Promise<void> {
   const entryVm = caller.places.get(address)
-  if (entryVm === undefined) throw new Error(`look-up named ${address}, which is no entry VM`)
+  if (entryVm === undefined) throw new Error(`the lookup returned ${address}, which is not the address of an entry VM`)
   caller.sent += 1
   const path = drawPath(caller.random)
   const attempt: Attempt = { id: `${caller.name}-${caller.sent}`, entry: entryVm.vm, path, isIdempotent: path !== '/offer/', leavesAfterMs: drawLeaveDelay(caller, path), sentAt: performance.now(), endedAt: undefined, end: undefined }
@@ -97,7 +97,7 @@
 }
 
 function drawLeaveDelay ({ random, leavesOften }: Caller, path: string): number | undefined {
-  const share = path === longPath ? leaveShare.long : leavesOften ? leaveShare.impatient : leaveShare.short
+  const share = path === longPath ? leaveShare.long : leavesOften ? leaveShare.often : leaveShare.short
   const isLeaving = random() < share
   const afterMs = minLeaveMs + random() * (maxLeaveMs - minLeaveMs)
   return isLeaving ? afterMs : undefined
@@ -140,7 +140,7 @@
   return pool
 }
 
-/** Connects as a pool does by itself, and notes the connections that are open. */
+/** Creates a connector that works like the default one and tracks the caller's open sockets. */
 function createConnector (caller: Caller): buildConnector.connector {
   const connect = buildConnector({ timeout: 1000 })
   return (options, callback) => {
--- a/scripts/soak/callers.ts
+++ b/scripts/soak/callers.ts
@@ -1,14 +1,17 @@
-/** Makes a soak's callers: some for each entry VM, from all regions. */
+/** Creates the simulated callers of a run: several per entry VM, spread over all regions. */
 import { createRandom } from '@lynxcourse/base'
 import type { Caller, EntryVm } from './caller.js'
 import { regions } from './soakSystem.js'
 import type { SoakSystem } from './soakSystem.js'
 
 const callersPerEntry = 3
-/** Callers that keep to one VM are so many more. */
+/** Factor by which the number of callers grows when all are pinned to one VM. */
 const pinnedFactor = 8
 
-/** Makes callers for all entry VMs, under names that begin alike; if an address is given, more of them, which keep to its VM and leave sooner. */
+/**
+ * Creates callers in proportion to the number of entry VMs; their names start with the prefix. If an address is given,
+ * there are more of them, all pinned to that VM, and they close connections early more often.
+ */
 export function createCallers (system: SoakSystem, prefix: string, seed: number, pinnedAddress?: string): Caller[] {
   const entries = system.vms.flatMap(vm => vm.callers === undefined ? [] : [{ name: vm.name, proxy: vm.callers }])
   const places = new Map<string, EntryVm>(entries.map(({ name, proxy }) => [proxy.target, { vm: name, proxy }]))
--- a/scripts/soak/controlClient.ts
+++ b/scripts/soak/controlClient.ts
@@ -1,4 +1,4 @@
-/** How operators and servers of a soak reach the control VMs: any of them, again until the answer is clear. */
+/** Client of the control VMs for operators and servers: tries them in turn, and retries until one answers. */
 import { getErrorMessage } from '@lynxcourse/base'
 import type { Random } from '@lynxcourse/base'
 import { callPeer, createRpcClient } from '@lynxcourse/daemon'
@@ -8,7 +8,7 @@
 const callTimeoutMs = 1000
 const retryDelayMs = 60
 
-/** The control VMs as those outside reach them. */
+/** An RPC client and the addresses of the control VMs. */
 export interface ControlClient {
   readonly rpc: RpcClient
   readonly addresses: readonly string[]
@@ -19,7 +19,7 @@
   return { rpc: createRpcClient({ timeoutMs: callTimeoutMs, localAddress: '', tls: () => undefined, metrics: undefined }), addresses, random }
 }
 
-/** Calls one control VM after the other, beginning anywhere; the first answer counts. */
+/** Calls the control VMs in turn, starting at a random one, and returns the first answer. Throws if none answers. */
 export async function callAny<Result> (client: ControlClient, method: string, params: object): Promise<Result> {
   const first = Math.floor(client.random() * client.addresses.length)
   let lastError: unknown
@@ -34,14 +34,14 @@
   throw new Error(`no control VM answered ${method}: ${getErrorMessage(lastError)}`, { cause: lastError })
 }
 
-/** Calls until some control VM answers; undefined if none does in time. */
+/** Retries a call until a control VM answers; returns undefined if none answers in time. */
 export async function callUntilAnswered<Result> (client: ControlClient, method: string, params: object, timeoutMs: number): Promise<Result | undefined> {
   const deadline = performance.now() + timeoutMs
   while (performance.now() < deadline) {
     try {
       return await callAny<Result>(client, method, params)
     } catch {
-      // Faults are what a soak is about; the same order is sent again until one answer is clear.
+      // Failures are expected during a soak: the same call is retried until one attempt succeeds.
       await sleep(retryDelayMs)
     }
   }
--- a/scripts/soak/fakeServer.ts
+++ b/scripts/soak/fakeServer.ts
@@ -1,4 +1,4 @@
-/** A stand-in backend server of a soak: runs requests, keeps account of them, announces itself, drains and crashes. */
+/** A fake backend server: processes requests, records them in the history, and can drain and crash. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -15,13 +15,13 @@
 const queueLimit = 6
 const minWorkMs = 15
 const maxWorkMs = 120
-/** Work of requests on the long path, well inside the routes' timeout. */
+/** Processing time of requests on the long path, well within the routes' timeout. */
 const longWorkMs = 900
-/** One in so many servers works on when its connection closes. */
+/** One in this many servers keeps processing a request after its connection has closed. */
 const ignoreCloseEvery = 5
 const answerBytes = 1500
 
-/** One place at which lifetimes of servers follow each other at the same address. */
+/** A series of server lifetimes, one after the other, at the same address. */
 export interface FakeServer extends AsyncDisposable {
   readonly place: number
   readonly proxy: FaultProxy
@@ -34,7 +34,7 @@
   waiting: Array<() => void>
 }
 
-/** Makes a server and its forwarder; it listens, and announces nothing yet. */
+/** Creates a server and its proxy; the server listens, but is not announced yet. */
 export async function createFakeServer (place: number, service: ServiceId, domain: FailureDomainId, history: SoakHistory, random: Random): Promise<FakeServer> {
   const proxy = await startFaultProxy('127.0.0.1:1')
   const fake: FakeServer = {
@@ -56,7 +56,7 @@
   return fake
 }
 
-/** Starts a new lifetime, perhaps of another service, at the address of the former one. */
+/** Starts a new lifetime, possibly of another service, at the same address. */
 export async function startLifetime (fake: FakeServer, service: ServiceId): Promise<void> {
   fake.lifetimes += 1
   fake.running = 0
@@ -71,7 +71,7 @@
   fake.proxy.target = `127.0.0.1:${(server.address() as AddressInfo).port}`
 }
 
-/** Ends the lifetime at once: open connections are closed, and what runs is lost. */
+/** Ends the lifetime immediately: open connections are closed, and running requests are lost. */
 export async function endLifetime (fake: FakeServer): Promise<void> {
   const { server } = fake
   fake.server = undefined
@@ -79,7 +79,7 @@
   await new Promise<void>(resolve => server === undefined ? resolve() : server.close(() => resolve()))
 }
 
-/** The one right answer of a server to a request. */
+/** Creates the answer that a given server must give to a given request. */
 export function createAnswerText (server: string, id: string): string {
   const hash = hashText(`${server} ${id}`).toString(16)
   return `${server} ${id} ${hash.repeat(Math.ceil(answerBytes / hash.length))}`
@@ -108,7 +108,7 @@
   await processRequest(fake, run, cancelled, res)
 }
 
-/** Waits for a slot; false if the request was given up meanwhile. */
+/** Waits for a slot; returns false if the request was cancelled first. */
 async function waitForSlot (fake: FakeServer, cancelled: Promise<void>): Promise<boolean> {
   const { waiting } = fake
   let grant = (): void => undefined
@@ -131,7 +131,7 @@
   return run
 }
 
-/** Works until the answer is due or the request is given up. */
+/** Occupies a slot until the processing time has passed or the request is cancelled, then answers. */
 async function processRequest (fake: FakeServer, run: Run, cancelled: Promise<void>, res: ServerResponse): Promise<void> {
   fake.running += 1
   await Promise.race([sleep(run.workMs), cancelled])
--- a/scripts/soak/faultInjection.ts
+++ b/scripts/soak/faultInjection.ts
@@ -1,4 +1,4 @@
-/** Carries out the steps of a soak's plan, and notes in the history whom each disturbed and for how long. */
+/** Runs the steps of a plan, and records in the history which VMs and servers each fault affected and for how long. */
 import type { ServiceId } from '@lynxcourse/base'
 import { sleep } from '../support/processes.js'
 import { sendRequests } from './caller.js'
@@ -16,18 +16,18 @@
 import { killVm, pauseVm, startVm, stopVm, appendPartialRecord, wipeDisk } from './vmProcess.js'
 import type { SoakVm } from './vmProcess.js'
 
-/** A server that leaves serves on for this long after its leaving was confirmed, longer than VMs may send to it. */
+/** A drained server keeps serving for this long after its drain was confirmed, longer than VMs may send requests to it. */
 const serveAfterDrainMs = 4000
-/** An address is used again after this. */
+/** Delay before the address of an ended server is used again. */
 const addressReuseDelayMs = 2000
 const resetShare = 0.6
-/** Turns of a VM that gets a quarter of its time. */
+/** A VM in a shortage is alternately stopped and running, and so gets a quarter of its processor time. */
 const shortageStopMs = 150
 const shortageRunMs = 50
 
 type StepOf<Kind extends SoakStep['kind']> = Extract<SoakStep, { readonly kind: Kind }>
 
-/** Carries out one step and ends what it began. */
+/** Runs one step; resolves when its fault has ended. */
 export async function runStep (system: SoakSystem, step: SoakStep): Promise<void> {
   switch (step.kind) {
     case 'kill':
@@ -56,7 +56,7 @@
   }
 }
 
-/** Notes a disturbance whose end is set by the function that is given back. */
+/** Records a fault that starts now; the returned function records its end. */
 function recordFault (system: SoakSystem, subjects: readonly string[], kind: string): () => void {
   const from = performance.now()
   const faults = subjects.map(subject => ({ subject, kind, from, until: Infinity }))
@@ -68,7 +68,7 @@
   return vm.callers === undefined ? [vm.name, 'core'] : [vm.name]
 }
 
-/** A VM on which another step is at work is left alone: ending what is ended already shows nothing. */
+/** Returns the VM unless another step has ended or paused its process; a second such fault would test nothing. */
 function findFreeVm (system: SoakSystem, index: number): SoakVm | undefined {
   const vm = system.vms[index]
   return vm === undefined || vm.isEnding || vm.isPaused ? undefined : vm
@@ -106,7 +106,7 @@
   end()
 }
 
-/** Stops and continues a VM by turns. This is no disturbance: a VM that is short of processor time owes every promise. */
+/** Alternately stops and continues a VM. This is not recorded as a fault: a VM short of processor time must keep every promise. */
 async function injectCpuShortage (system: SoakSystem, step: StepOf<'shortage'>): Promise<void> {
   const until = performance.now() + step.forMs
   while (performance.now() < until) {
@@ -116,7 +116,7 @@
   }
 }
 
-/** A turn that a late timer makes as long as a freeze is noted as one. */
+/** Stops a VM for a moment. If a late timer makes the stop as long as a pause, the stop is recorded as one. */
 async function pauseBriefly (system: SoakSystem, vm: SoakVm): Promise<void> {
   const from = performance.now()
   vm.child?.kill('SIGSTOP')
@@ -126,7 +126,7 @@
   if (until - from >= minFaultMs) system.history.disturbances.push({ subject: vm.name, kind: 'pause', from, until })
 }
 
-/** Kills all control VMs at one moment; their disks stay. */
+/** Kills all control VMs at the same time; their disks stay intact. */
 async function injectCoreKill (system: SoakSystem, step: StepOf<'killCore'>): Promise<void> {
   const controls = system.vms.slice(0, system.size.controls).flatMap((_, index) => findFreeVm(system, index) ?? [])
   const end = recordFault(system, [...controls.map(vm => vm.name), 'core'], 'kill')
@@ -171,7 +171,7 @@
   end()
 }
 
-/** Disturbs the links to all servers of a failure domain at once. */
+/** Injects a link fault at all servers of a failure domain at the same time. */
 async function injectDomainFault (system: SoakSystem, step: StepOf<'domainLink'>): Promise<void> {
   const domain = system.domains[step.domain % system.domains.length]
   const affected = system.servers.filter(({ facts }) => facts.failureDomain === domain)
@@ -180,14 +180,14 @@
   end()
 }
 
-/** Lets as many callers again come for a while, to one VM if the step names it. */
+/** Adds a second set of callers for a while; they call a single VM if the step names one. */
 async function injectBurst (system: SoakSystem, step: StepOf<'burst'>): Promise<void> {
   const until = performance.now() + step.forMs
   const callers = createCallers(system, `burst-${step.at}`, step.at, step.vm === undefined ? undefined : system.vms[step.vm]?.settings.listen.callers)
   await Promise.all(callers.map(async caller => await sendRequests(caller, () => performance.now() >= until)))
 }
 
-/** Crashes a server; its address goes to a server of the other service. */
+/** Crashes a server; a server of the other service takes over its address. */
 async function crashServer (system: SoakSystem, server: FakeServer): Promise<void> {
   await endLifetime(server)
   await sleep(addressReuseDelayMs)
@@ -199,7 +199,7 @@
   return system.services[(index + 1) % system.services.length] as ServiceId
 }
 
-/** Lets a server leave as planned: it serves on for a while after its leaving was confirmed. */
+/** Drains a server: it keeps serving for a while after the drain was confirmed, then ends. */
 async function drainServer (system: SoakSystem, server: FakeServer): Promise<void> {
   const { id, service } = server.facts
   server.facts = { ...server.facts, isDraining: true }
--- a/scripts/soak/faultPlan.ts
+++ b/scripts/soak/faultPlan.ts
@@ -1,9 +1,9 @@
-/** Draws the faults of a soak from its seed: in series with calm between them, overlapping within a series. */
+/** Draws the faults of a run from its seed: series of overlapping faults, each followed by a fault-free period. */
 import { hashText, createRandom } from '@lynxcourse/base'
 import type { Random } from '@lynxcourse/base'
 import type { LinkFault } from './faultProxy.js'
 
-/** A fault or a planned change, `at` milliseconds after the start of the traffic. */
+/** A fault or a planned change; `at` is in milliseconds after the start of the traffic. */
 export type SoakStep = VmStep | { readonly at: number } & (
   | { readonly kind: 'killCore', readonly forMs: number }
   | { readonly kind: 'link', readonly vm: number, readonly side: 'rpc' | 'callers', readonly fault: Exclude<LinkFault, 'none'>, readonly forMs: number }
@@ -19,7 +19,7 @@
 
 type Evacuation = Extract<SoakStep, { readonly kind: 'evacuate' }>
 
-/** A fault of one VM's process; `wipe` empties a control VM's disk, `tear` leaves half a record at the end of its log. */
+/** A fault of one VM's process; `wipe` empties a control VM's disk, `tear` leaves a partial record at the end of its log. */
 export interface VmStep {
   readonly at: number
   readonly kind: 'kill' | 'term' | 'pause' | 'wipe' | 'tear'
@@ -27,7 +27,7 @@
   readonly forMs: number
 }
 
-/** Sizes of the system that the plan is for; the control VMs come first. */
+/** Size of the system that a plan is drawn for; control VMs have the lowest VM indexes. */
 export interface SoakSize {
   readonly controls: number
   readonly entries: number
@@ -38,51 +38,51 @@
 export interface SoakPlan {
   readonly seed: number
   readonly steps: readonly SoakStep[]
-  /** Length of the traffic with faults. */
+  /** Length of the phase with faults. */
   readonly lengthMs: number
 }
 
-/** A series of faults, then calm for longer than disturbed VMs may take to be in touch again. */
+/** Length of a fault series and of the fault-free period after it, which is longer than VMs may take to recover. */
 const seriesMs = 6000
-const calmMs = 7000
+const faultFreeMs = 7000
 const maxStepsPerSeries = 4
-/** Shortest freeze. */
+/** Shortest duration of a fault; a pause of this length or more counts as a fault. */
 export const minFaultMs = 300
 const maxFaultMs = 4000
 
-/** Faults begin this much before or after an evacuation that they go with. */
+/** Faults that accompany an evacuation begin at most this long before or after it. */
 const evacuationOffsetMs = 300
-/** Cuts of a failure domain that is evacuated: about as long as TCP waits between two resends. */
+/** Duration of link faults in an evacuated failure domain: about the interval between two TCP retransmissions. */
 const minCutMs = 2500
 const maxCutMs = 4100
 
-/** An entry VM is short of processor time for about as long as one that starts takes to be in touch. */
+/** Duration of a shortage of processor time: about the time that a starting entry VM takes to become ready. */
 const minShortageMs = 3000
 const maxShortageMs = 7000
 
-/** Kinds that are drawn by themselves; the others come with an evacuation or a shortage. */
+/** Kinds that are drawn independently; the others accompany an evacuation or are drawn by `drawShortage`. */
 type StepKind = Exclude<SoakStep['kind'], 'domainLink' | 'burst' | 'shortage'>
 
-/** Kinds with their weights. */
+/** Relative frequencies of the kinds. */
 const weights: ReadonlyArray<readonly [StepKind, number]> = [
   ['kill', 3], ['term', 4], ['pause', 3], ['wipe', 1], ['tear', 1], ['killCore', 1], ['link', 4], ['reset', 2],
   ['serverLink', 3], ['serverReset', 2], ['serverCrash', 2], ['serverDrain', 2], ['change', 3], ['race', 1], ['evacuate', 2]
 ]
 const linkFaults: ReadonlyArray<Exclude<LinkFault, 'none'>> = ['silence', 'dropRequests', 'dropAnswers', 'delay']
 
-/** Draws the plan of a seed; equal seeds and sizes give equal plans. */
+/** Draws the plan of a seed; the same seed, size and number of series give the same plan. */
 export function planSoak (seed: number, size: SoakSize, series: number): SoakPlan {
   const random = createRandom(seed)
-  // Draws of their own, so that the other faults of a seed don't depend on them.
+  // Shortages use a separate generator, so that they don't affect the other faults of a seed.
   const shortageRandom = createRandom(hashText(`shortage ${seed}`))
   const steps: SoakStep[] = []
   for (let seriesIndex = 0; seriesIndex < series; seriesIndex++) {
-    const start = seriesIndex * (seriesMs + calmMs)
+    const start = seriesIndex * (seriesMs + faultFreeMs)
     const count = 1 + drawInt(random, maxStepsPerSeries)
     let isDiskLost = false
     for (let stepIndex = 0; stepIndex < count; stepIndex++) {
       const kind = drawKind(random)
-      // One disk at a time: what is confirmed outlives the loss of a minority of disks, not of more.
+      // At most one disk per series: confirmed changes survive the loss of a minority of disks only.
       if (kind === 'wipe' && isDiskLost) continue
       isDiskLost ||= kind === 'wipe'
       const step = drawStep(random, size, kind, start + drawInt(random, seriesMs))
@@ -92,7 +92,7 @@
     steps.push(...drawShortage(shortageRandom, size, start))
   }
   steps.sort((a, b) => a.at - b.at)
-  return { seed, steps, lengthMs: series * (seriesMs + calmMs) }
+  return { seed, steps, lengthMs: series * (seriesMs + faultFreeMs) }
 }
 
 function drawInt (random: Random, below: number): number {
@@ -130,11 +130,11 @@
     case 'serverDrain': return { at, kind, server }
     case 'change':
     case 'race': return { at, kind }
-    case 'evacuate': return { at, kind, domain: drawInt(random, size.domains), forMs: forMs + calmMs }
+    case 'evacuate': return { at, kind, domain: drawInt(random, size.domains), forMs: forMs + faultFreeMs }
   }
 }
 
-/** What goes wrong while a failure domain is evacuated: its servers are cut off or dark, an entry VM is frozen, many callers come. */
+/** Draws the faults around an evacuation: a link fault at the domain's servers, and perhaps a paused entry VM or more callers. */
 function drawEvacuationFaults (random: Random, size: SoakSize, { at, domain }: Evacuation): SoakStep[] {
   const drawTime = (): number => Math.max(0, at - evacuationOffsetMs + drawInt(random, 2 * evacuationOffsetMs))
   const fault = random() < 0.75 ? 'silence' : 'dropAnswers'
@@ -144,7 +144,10 @@
   return steps
 }
 
-/** An entry VM gets a part of its time only, every second one from its start on, every second one under a burst of its own. */
+/**
+ * Draws a shortage of processor time at one entry VM. Half of the shortages begin with a restart of the VM, and half come
+ * with a burst of callers to it.
+ */
 function drawShortage (random: Random, size: SoakSize, start: number): SoakStep[] {
   const at = start + drawInt(random, seriesMs / 2)
   const vm = size.controls + drawInt(random, size.entries)
--- a/scripts/soak/faultProxy.ts
+++ b/scripts/soak/faultProxy.ts
@@ -1,14 +1,14 @@
-/** A TCP forwarder on loopback whose connections a soak delays, resets, cuts one way or silences. */
+/** A TCP proxy on loopback that can delay, reset or silence its connections, or drop one direction of them. */
 import { connect, createServer } from 'node:net'
 import type { AddressInfo, Server, Socket } from 'node:net'
 
 /**
- * What a forwarder does to bytes: `silence` holds both directions as a cut does, `dropRequests` and `dropAnswers` lose one
- * direction for good, so that only a timeout at an end can tell.
+ * Fault that a proxy applies: `silence` holds back both directions, as an interrupted link does; `dropRequests` and
+ * `dropAnswers` lose one direction for good, so that the ends notice only by a timeout.
  */
 export type LinkFault = 'none' | 'silence' | 'dropRequests' | 'dropAnswers' | 'delay'
 
-/** A forwarder; its fault applies to open connections as well as to new ones. */
+/** A proxy; its fault applies to open connections as well as to new ones. */
 export interface FaultProxy extends AsyncDisposable {
   readonly address: string
   readonly server: Server
@@ -20,13 +20,13 @@
 interface SocketPair {
   readonly near: Socket
   readonly far: Socket
-  /** What its senders' kernels send again until a silence is over. */
+  /** Deliveries that TCP retransmits until a silence has ended. */
   pending: PendingDelivery[]
-  /** A direction that lost bytes stays dead: TCP would not go on after a gap either. */
+  /** Whether bytes were lost. Nothing is forwarded after that, as TCP delivers nothing after a gap. */
   isDead: boolean
 }
 
-/** Bytes, or the end of a connection, on their way. */
+/** Bytes or the end of a connection, still to be delivered. */
 interface PendingDelivery {
   readonly from: Socket
   readonly at: number
@@ -34,10 +34,10 @@
 }
 
 const delayMs = 120
-/** TCP sends again after this, then after twice as long each time. */
+/** TCP retransmits after this delay, and doubles it after each retransmission. */
 const initialRetransmitMs = 1000
 
-/** Starts a forwarder to `IP:port` on a free port of its own. */
+/** Starts a proxy to `IP:port` on a free port. */
 export async function startFaultProxy (target: string): Promise<FaultProxy> {
   const server = createServer(near => { connectPair(proxy, near) })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
@@ -77,15 +77,15 @@
   from.on('end', () => relay(() => { to.end() }))
   from.on('error', () => undefined)
   from.on('close', hadError => {
-    // The other end may not hear of it for as long as the fault lasts: it is kept until it is closed as well.
+    // The close may not reach the other end while the fault lasts, so the pair is kept until both ends are closed.
     if (to.destroyed) proxy.pairs.delete(sockets)
-    // A kernel that resets a connection forgets what it has not got through.
+    // A kernel that resets a connection discards the bytes that were not delivered.
     if (hadError) sockets.pending = sockets.pending.filter(delivery => delivery.from !== from)
     relay(() => { if (hadError) reset(to); else to.destroySoon() })
   })
 }
 
-/** Sets a forwarder's fault; what a silence held goes on its way when it is sent again. */
+/** Sets a proxy's fault. After a silence, pending bytes are delivered when TCP would next retransmit them. */
 export function setFault (proxy: FaultProxy, fault: LinkFault): void {
   proxy.fault = fault
   if (fault === 'silence') return
@@ -107,7 +107,7 @@
   for (const { deliver } of sockets.pending.splice(0)) deliver()
 }
 
-/** Resets a share of the open connections. */
+/** Resets a random share of the open connections. */
 export function resetConnections (proxy: FaultProxy, share: number, random: () => number = () => 0): void {
   for (const sockets of [...proxy.pairs]) {
     if (random() >= share) continue
@@ -117,7 +117,10 @@
   }
 }
 
-/** Closes a connection with a reset. One that is being shut down can't be reset any more: Node would leave it open for ever. */
+/**
+ * Closes a connection with a reset. A socket that is connecting or shutting down is destroyed instead: Node can't reset
+ * a socket that is shutting down and would leave it open forever.
+ */
 function reset (socket: Socket): void {
   if (socket.writableEnded || socket.connecting) socket.destroy()
   else socket.resetAndDestroy()
--- a/scripts/soak/history.ts
+++ b/scripts/soak/history.ts
@@ -1,27 +1,27 @@
-/** What callers, servers and operators saw in a soak. */
+/** The history of a soak run: what callers, servers and operators observed, and the injected faults. */
 
 /** How an attempt ended for its caller. */
 export type AttemptEnd =
   | { readonly type: 'answer', readonly status: number, readonly isWhole: boolean }
   | { readonly type: 'closed', readonly detail: string }
   | { readonly type: 'timeout' }
-  /** Its caller closed the connection before the answer, of its own will or since the VM had not read the request. */
+  /** The caller closed the connection before the answer: after a drawn delay, or because the VM had not read the request. */
   | { readonly type: 'left', readonly why: 'early' | 'unread' }
 
-/** One request that a caller sent, under an id of its own. */
+/** One request that a caller sent; the id is unique. */
 export interface Attempt {
   readonly id: string
   readonly entry: string
   readonly path: string
   readonly isIdempotent: boolean
   readonly sentAt: number
-  /** When its caller leaves if it has no answer by then; undefined for one that waits. */
+  /** Time after which the caller closes the connection without an answer; undefined if the caller waits. */
   readonly leavesAfterMs: number | undefined
   endedAt: number | undefined
   end: AttemptEnd | undefined
 }
 
-/** One request as a server began to work on it. */
+/** One request that a server started to process. */
 export interface Run {
   readonly id: string
   readonly path: string
@@ -30,19 +30,19 @@
   readonly service: string
   readonly failureDomain: string
   readonly at: number
-  /** When the server had read it, before it waited for a slot. */
+  /** When the server had read the whole request, before the request waited for a slot. */
   readonly readAt: number
-  /** What the VM told of the time that is left; undefined if it told nothing. */
+  /** Remaining time that the VM sent with the request; undefined if it sent none. */
   readonly leftMs: number | undefined
-  /** How long the work lasts if nothing ends it. */
+  /** Processing time if nothing interrupts it. */
   readonly workMs: number
-  /** When the work ended, with or without an answer. */
+  /** When processing ended, with or without an answer. */
   endedAt: number | undefined
-  /** When its connection closed before the whole answer was sent. */
+  /** When the connection closed, if that was before the whole answer was sent. */
   cutAt: number | undefined
 }
 
-/** One request as it came to the server that it was for, whether that one ran it or not. */
+/** One request that reached the intended server, whether the server ran it or not. */
 export interface Arrival {
   readonly id: string
   readonly server: string
@@ -50,18 +50,18 @@
   readonly at: number
 }
 
-/** Something that was confirmed and binds from then on. */
+/** An operation that was confirmed and is binding from then on. */
 export interface Confirmed {
   readonly type: 'drain' | 'evacuate' | 'readmit' | 'change'
-  /** Server, failure domain, or the service that the probing route leads to. */
+  /** Server, failure domain, or the service that the probe route points to. */
   readonly subject: string
   readonly at: number
-  /** When the order was sent for the first time. */
+  /** When the operation was first sent. */
   readonly sentAt: number
   readonly version: number
 }
 
-/** A disturbance of one VM or server; `core` for those of any control VM. */
+/** A fault injected at one VM or server; faults of any control VM are also recorded for the subject `core`. */
 export interface InjectedFault {
   readonly subject: string
   readonly kind: string
@@ -69,7 +69,7 @@
   readonly until: number
 }
 
-/** A read of the routes that was answered. */
+/** An answered read of the routes. */
 export interface RouteRead { readonly sentAt: number, readonly version: number }
 
 export interface SoakHistory {
@@ -79,28 +79,28 @@
   readonly confirmed: Confirmed[]
   readonly disturbances: InjectedFault[]
   readonly reads: RouteRead[]
-  /** What went wrong as it happened: processes that ended by themselves, two orders accepted on one base. */
+  /** Violations detected during the run, such as a process that exits by itself or two changes accepted on one base version. */
   readonly recordedViolations: string[]
 }
 
-/** Bounds of the promises, in milliseconds. */
+/** Bounds of the promises. */
 export const bounds = {
-  /** Disturbed VMs owe the promises with a time bound again after this. */
+  /** Time after a fault of a VM before promises with a time bound apply to it again. */
   vmRecoveryMs: 4000,
-  /** A server whose links were disturbed counts again after this. */
+  /** Time after a fault of a server before drains, evacuations and changes are checked there again. */
   linkRecoveryMs: 3000,
   drainMs: 2500,
   evacuateMs: 5000,
   changeMs: 2500,
-  /** Timeout of the soak's routes, and how much later a final answer may come. */
+  /** Timeout of the routes, and how much later a final answer may arrive. */
   timeoutMs: 1500,
   graceMs: 500,
-  /** How long after its caller's close a request may reach a server or be worked on, and how many may reach one later. */
+  /** How long after its caller's close a request may reach a server or keep running, and how many may reach one later. */
   abandonedMs: 500,
   maxLateArrivals: 3,
-  /** Most servers at which one request of the soak's routes may run. */
+  /** Maximum number of servers at which one request may run. */
   maxAttempts: 2,
-  /** As in the VMs' settings by default. */
+  /** The default of the VMs' settings. */
   retryBudget: { ratio: 0.2, windowMs: 10_000, slack: 50 }
 }
 
@@ -108,23 +108,23 @@
   return { attempts: new Map(), runs: [], arrivals: [], confirmed: [], disturbances: [], reads: [], recordedViolations: [] }
 }
 
-/** Whether a VM was in touch at a moment: neither it nor the control VMs were disturbed of late. */
+/** Returns whether neither the VM nor the control VMs had a recent fault at a given time. */
 export function isVmFaultFree (history: SoakHistory, vm: string, at: number): boolean {
   return isFaultFree(history, vm, at, bounds.vmRecoveryMs) && isFaultFree(history, 'core', at, bounds.vmRecoveryMs)
 }
 
-/** Whether nothing disturbed a VM or a server of late. */
+/** Returns whether a VM or a server had no fault at a given time, and none within the recovery time before it. */
 export function isFaultFree (history: SoakHistory, target: string, at: number, recoveryMs: number): boolean {
   return !history.disturbances.some(({ subject, from, until }) => subject === target && from <= at && at <= until + recoveryMs)
 }
 
-/** Path of the route that changes move from service to service. */
+/** Path of the route that route changes move between the services. */
 export const probePath = '/probe/'
 
-/** Path of requests whose work lasts long. */
+/** Path of requests with a long processing time. */
 export const longPath = '/read/long'
 
-/** Share of the attempts sent in a span that were answered with a success; those whose caller may leave early are left out. */
+/** Measures the share of attempts sent in a period that succeeded; attempts whose caller may leave early are excluded. */
 export function measureServedShare (history: SoakHistory, from: number, until: number): { readonly share: number, readonly sent: number } {
   const sent = [...history.attempts.values()].filter(attempt => attempt.leavesAfterMs === undefined && attempt.sentAt >= from && attempt.sentAt < until)
   const served = sent.filter(attempt => attempt.end?.type === 'answer' && attempt.end.status === 200)
--- a/scripts/soak/invariants.ts
+++ b/scripts/soak/invariants.ts
@@ -1,10 +1,10 @@
-/** The promises that a soak is held against. */
+/** The invariants of a soak run, checked against its history. */
 import { checkAbandoned } from './abandonedChecks.js'
 import { bounds, isFaultFree, isVmFaultFree, probePath } from './history.js'
 import type { Attempt, Confirmed, InjectedFault, SoakHistory, Run } from './history.js'
 import { checkRetryBudgets, checkTimeLeft, checkAttemptLimit } from './sendChecks.js'
 
-/** Every broken promise, one line each. */
+/** Returns all violations, one line each; the text before the colon names the invariant. */
 export function findViolations (history: SoakHistory): string[] {
   return [
     ...history.recordedViolations,
@@ -23,12 +23,12 @@
 
 function checkAnswer ({ id, entry, end }: Attempt): string[] {
   if (end?.type !== 'answer') return []
-  if (end.status === 200 && !end.isWhole) return [`mixed: ${id} got a success at ${entry} that is not its own whole answer`]
-  if (end.status === 404) return [`denied: ${id} got 404 at ${entry} on a route that was always there`]
+  if (end.status === 200 && !end.isWhole) return [`mixed: ${id} got a success from ${entry} whose body is not the complete answer to this request`]
+  if (end.status === 404) return [`denied: ${id} got 404 from ${entry} on a route that always existed`]
   return []
 }
 
-/** Statuses that say that the request did not run and never will. */
+/** Statuses that guarantee that the request did not run and never will. */
 const notRunStatuses = new Set([408, 421, 429, 503])
 
 function checkRuns (history: SoakHistory): string[] {
@@ -37,7 +37,7 @@
   for (const run of history.runs) {
     const attempt = history.attempts.get(run.id)
     counts.set(run.id, (counts.get(run.id) ?? 0) + 1)
-    if (attempt === undefined) violations.push(`unasked: ${run.server} ran ${run.id}, which nobody sent`)
+    if (attempt === undefined) violations.push(`unasked: ${run.server} ran ${run.id}, which no caller sent`)
     else if (attempt.path !== run.path || (!attempt.isIdempotent && run.body !== run.id)) violations.push(`changed: ${run.server} ran ${run.id} as ${run.path} ${run.body}`)
   }
   for (const [id, count] of counts) {
@@ -49,7 +49,7 @@
   return violations
 }
 
-/** A drain or an evacuation: no work later than its bound, until it is taken back. */
+/** Checks that a confirmed drain or evacuation keeps requests away from its bound on, until it is revoked. */
 function checkConfirmation (history: SoakHistory, confirmed: Confirmed): string[] {
   const { type, subject, at } = confirmed
   if (type === 'readmit') return []
@@ -66,7 +66,7 @@
     isFaultFree(history, run.server, run.at, bounds.linkRecoveryMs)
 }
 
-/** A change: requests sent later than its bound follow it, or a change sent after it. */
+/** Checks that requests sent after the bound of a confirmed change follow it, until a newer change is sent. */
 function checkChange (history: SoakHistory, confirmed: Confirmed): string[] {
   const later = history.confirmed.filter(other => other.type === 'change' && other.version > confirmed.version)
   const nextSentAt = Math.min(Infinity, ...later.map(other => other.sentAt))
@@ -78,35 +78,35 @@
   return violatingRuns.map(run => `change: ${run.id} ran at ${run.service} after version ${confirmed.version} moved it to ${confirmed.subject}`)
 }
 
-/** A read that began after a confirmation never shows an older version, whoever answers it. */
+/** Checks that a read that began after a confirmation never returns an older version, whichever control VM answers. */
 function checkReads (history: SoakHistory): string[] {
   const changes = history.confirmed.filter(({ type }) => type === 'change')
   return history.reads.flatMap(read => {
     const missed = changes.find(change => change.at < read.sentAt && change.version > read.version)
-    return missed === undefined ? [] : [`read: version ${read.version} was shown after ${missed.version} was confirmed`]
+    return missed === undefined ? [] : [`read: version ${read.version} was returned after version ${missed.version} was confirmed`]
   })
 }
 
-/** Fewer requests that reach their timeout tell of chance. */
+/** Fewer timed-out requests are too small a sample. */
 const minTimedOut = 8
 
-/** Of the requests that reached their route's timeout at VMs in touch, half and more have their final answer soon after it. */
+/** Checks that of the requests that reached their route's timeout at fault-free VMs, at least half end soon after it. */
 function checkTimeouts (history: SoakHistory): string[] {
   const getElapsedMs = ({ sentAt, endedAt }: Attempt): number => (endedAt ?? Infinity) - sentAt
   const reached = [...history.attempts.values()].filter(attempt => getElapsedMs(attempt) > bounds.timeoutMs &&
     isVmFaultFree(history, attempt.entry, attempt.sentAt) && isVmFaultFree(history, attempt.entry, attempt.sentAt + bounds.timeoutMs))
   const overdue = reached.filter(attempt => getElapsedMs(attempt) > bounds.timeoutMs + bounds.graceMs)
   if (reached.length < minTimedOut || overdue.length * 2 <= reached.length) return []
-  return [`held: ${overdue.length} of ${reached.length} requests that reached their route's timeout had no answer ${bounds.graceMs} ms later, the first ${overdue[0]?.id ?? ''}`]
+  return [`held: ${overdue.length} of ${reached.length} requests that reached their route's timeout had no answer ${bounds.graceMs} ms after it; the first is ${overdue[0]?.id ?? ''}`]
 }
 
-/** A planned stop cuts nothing that a server has answered or works on, where nothing else disturbed the VM or the server. */
+/** Checks that a planned stop cuts no request that a server ran, unless another fault affected the VM or the server. */
 function checkPlannedStops (history: SoakHistory): string[] {
   const stops = history.disturbances.filter(({ kind }) => kind === 'term')
   return stops.flatMap(stop => {
     const cut = [...history.attempts.values()].filter(attempt => attempt.entry === stop.subject && attempt.end?.type === 'closed' &&
       (attempt.endedAt ?? 0) >= stop.from && (attempt.endedAt ?? 0) <= stop.until && isOnlyStopped(history, attempt, stop))
-    return cut.map(attempt => `cut: ${attempt.id} ran and its connection was closed while ${stop.subject} stopped as planned`)
+    return cut.map(attempt => `cut: ${attempt.id} ran, and its connection was closed during the planned stop of ${stop.subject}`)
   })
 }
 
--- a/scripts/soak/operator.ts
+++ b/scripts/soak/operator.ts
@@ -1,4 +1,4 @@
-/** The operator of a soak: changes routes, races against a second one, evacuates failure domains, reads back. */
+/** A simulated operator: changes routes, races against a second operator, evacuates failure domains and reads routes. */
 import type { FailureDomainId, ServiceId } from '@lynxcourse/base'
 import type { RoutesReadResult } from '@lynxcourse/daemon'
 import type { ChangeAnswer, RouteChangeId, ReplaceRoutesCommand, Route, RouteCommand } from '@lynxcourse/state'
@@ -8,7 +8,7 @@
 import { bounds, probePath } from './history.js'
 import type { SoakHistory } from './history.js'
 
-/** An order is given up after this; by then every fault of a series is over. */
+/** Timeout of a command; longer than a series of faults, so that every fault has ended by then. */
 const commandTimeoutMs = 15_000
 const readIntervalMs = 400
 const maxVersionGap = 3
@@ -17,11 +17,11 @@
   readonly client: ControlClient
   readonly history: SoakHistory
   readonly services: readonly ServiceId[]
-  /** Newest version known to be in force, and where its probing route leads. */
+  /** Newest version known to be in force. */
   version: number
   /** Highest version that was ever sent. */
   highestVersion: number
-  /** Versions whose order got no clear answer: they may be in force or not. */
+  /** Versions whose change got no answer: they may be in force or not. */
   readonly unansweredVersions: Set<number>
   orders: number
 }
@@ -34,7 +34,7 @@
   return { name, host: 'soak.example', pathPrefix, isIdempotent, timeoutMs: bounds.timeoutMs, aimMs: 300, rank, service, split: [], maxAttempts: bounds.maxAttempts, isSticky: false, homes: [], annotations: {} }
 }
 
-/** A whole set of routes; the version says where the probing route leads. */
+/** Creates a command that replaces all routes; the version determines the service of the probe route. */
 function createReplaceCommand (operator: Operator, version: number): ReplaceRoutesCommand {
   const [first, second] = operator.services as [ServiceId, ServiceId]
   operator.orders += 1
@@ -60,13 +60,13 @@
   return operator.highestVersion
 }
 
-/** Sends a change, built on the newest version, until its answer is clear. */
+/** Sends a change based on the newest version and retries until it is answered; returns whether it was accepted. */
 export async function changeRoutes (operator: Operator): Promise<boolean> {
   const version = allocateVersion(operator)
   return await submitRoutes(operator, createReplaceCommand(operator, version), version)
 }
 
-/** Two operators change the same version at once: one of them at most may succeed. */
+/** Sends two changes based on the same version concurrently; if both are accepted, records a violation. */
 export async function raceChanges (operator: Operator): Promise<void> {
   const versions = [allocateVersion(operator), allocateVersion(operator)]
   const base = operator.version
@@ -80,7 +80,7 @@
   operator.unansweredVersions.add(version)
   const answer = await callUntilAnswered<ChangeAnswer>(operator.client, 'fleet.submit', { command }, commandTimeoutMs)
   if (answer === undefined) {
-    // Not known: the next change builds on what a read shows.
+    // The outcome is unknown: the next change is based on the version that a read returns.
     await refreshVersion(operator)
     return false
   }
@@ -99,7 +99,7 @@
   if (read !== undefined) operator.version = Math.max(operator.version, read.routesVersion)
 }
 
-/** Keeps work away from a failure domain for a while. */
+/** Evacuates a failure domain for a while, then readmits it. */
 export async function evacuate (operator: Operator, failureDomain: FailureDomainId, forMs: number): Promise<void> {
   const { history } = operator
   const sentAt = performance.now()
@@ -108,7 +108,7 @@
   await sleep(forMs)
   history.confirmed.push({ type: 'readmit', subject: failureDomain, at: performance.now(), sentAt: performance.now(), version: 0 })
   const isReadmitted = await submit(operator, { type: 'evacuate', failureDomain, isActive: false })
-  if (!isReadmitted) history.recordedViolations.push(`order: the end of the evacuation of ${failureDomain} had no clear answer in ${commandTimeoutMs} ms`)
+  if (!isReadmitted) history.recordedViolations.push(`order: ending the evacuation of ${failureDomain} was not accepted within ${commandTimeoutMs} ms`)
 }
 
 async function submit (operator: Operator, command: RouteCommand): Promise<boolean> {
@@ -116,7 +116,7 @@
   return answer?.ok === true
 }
 
-/** Reads the routes again and again. */
+/** Reads the routes at intervals and records the versions until `isOver` returns true. */
 export async function pollRoutes (operator: Operator, isOver: () => boolean): Promise<void> {
   while (!isOver()) {
     const sentAt = performance.now()
@@ -126,10 +126,10 @@
   }
 }
 
-/** What is wrong with the routes that are in force in the end. */
+/** Records a violation unless the routes in force at the end are the newest confirmed or a newer unanswered version. */
 export async function checkFinalRoutes (operator: Operator): Promise<void> {
   const read = await callUntilAnswered<RoutesReadResult>(operator.client, 'fleet.read', {}, commandTimeoutMs)
   const newestConfirmed = Math.max(0, ...operator.history.confirmed.filter(({ type }) => type === 'change').map(({ version }) => version))
   const isExpected = read !== undefined && (read.routesVersion === newestConfirmed || (read.routesVersion > newestConfirmed && operator.unansweredVersions.has(read.routesVersion)))
-  if (!isExpected) operator.history.recordedViolations.push(`lost: version ${read?.routesVersion ?? 'none'} is in force in the end, ${newestConfirmed} was confirmed`)
+  if (!isExpected) operator.history.recordedViolations.push(`lost: version ${read?.routesVersion ?? 'none'} is in force at the end, but version ${newestConfirmed} was confirmed`)
 }
--- a/scripts/soak/receiveQueue.ts
+++ b/scripts/soak/receiveQueue.ts
@@ -1,14 +1,14 @@
-/** Whether a VM has read what a caller sent, as the kernel tells: bytes that wait in the VM's receive queue. */
+/** Finds requests that a VM has not read yet, by the bytes in the kernel's receive queues of its connections. */
 import { readFileSync } from 'node:fs'
 import type { Socket } from 'node:net'
 import type { FaultProxy } from './faultProxy.js'
 
-/** The kernel's table is read again after this: many callers ask at once, and reading it takes long. */
+/** How long the kernel's connection table is cached: many callers check at the same time, and reading the table is slow. */
 const tableCacheMs = 50
 let cachedTable = ''
 let cachedAt = -Infinity
 
-/** Whether bytes of a caller wait behind a forwarder until the VM reads them. */
+/** Returns whether a VM behind a proxy has not yet read bytes that a caller sent over one of the sockets. */
 export function hasUnreadBytes (proxy: FaultProxy, sockets: ReadonlySet<Socket>, now: number): boolean {
   const callerPorts = new Set([...sockets].map(({ localPort }) => localPort))
   const proxyPorts = [...proxy.pairs].filter(pair => callerPorts.has(pair.near.remotePort)).map(pair => pair.far.localPort)
@@ -23,7 +23,7 @@
   return cachedTable
 }
 
-/** Ports of the peers of a listening address whose bytes wait, from the kernel's table of connections. */
+/** Returns the peer ports of a listening address's connections that have unread bytes, from the text of `/proc/net/tcp`. */
 export function findUnreadPorts (table: string, address: string): Set<number> {
   const localAddress = formatTableAddress(address)
   const rows = table.split('\n').filter(line => line.includes(localAddress)).map(line => line.trim().split(/\s+/))
@@ -33,7 +33,7 @@
   }))
 }
 
-/** Writes `IPv4:port` as the table does: the bytes of the IP last to first. */
+/** Formats `IPv4:port` as in the table: in hexadecimal, with the bytes of the IP address reversed. */
 function formatTableAddress (address: string): string {
   const [ip, port] = address.split(':')
   const bytes = ip?.split('.').reverse().map(byte => Number(byte).toString(16).padStart(2, '0')).join('')
--- a/scripts/soak/sendChecks.ts
+++ b/scripts/soak/sendChecks.ts
@@ -1,8 +1,8 @@
-/** Promises on how often requests are sent to servers, and with how much time. */
+/** Checks how often requests are sent to servers, and with which remaining time. */
 import { bounds, isFaultFree, isVmFaultFree } from './history.js'
 import type { Arrival, SoakHistory, Run } from './history.js'
 
-/** A request runs at no more servers than its route allows; those that were disturbed meanwhile don't count. */
+/** Checks that a request runs at no more servers than its route allows; servers with a recent fault don't count. */
 export function checkAttemptLimit (history: SoakHistory): string[] {
   const servers = new Map<string, Set<string>>()
   for (const { id, server, at } of history.runs) {
@@ -12,13 +12,13 @@
   return [...servers].flatMap(([id, at]) => at.size > bounds.maxAttempts ? [`tries: ${id} ran at ${[...at].join()}`] : [])
 }
 
-/** What a server is told of the time left ends no later than the route's timeout, counted from when the caller sent the request. */
+/** Checks that the remaining time sent to a server ends within the route's timeout, counted from the caller's send time. */
 export function checkTimeLeft (history: SoakHistory): string[] {
   return history.runs.flatMap(run => {
     const attempt = history.attempts.get(run.id)
     if (attempt === undefined || !isRunFaultFree(history, run, attempt.entry, attempt.sentAt)) return []
     const endsAfterMs = run.leftMs === undefined ? Infinity : run.readAt + run.leftMs - attempt.sentAt
-    return endsAfterMs > bounds.timeoutMs + bounds.graceMs ? [`time: ${run.server} was told ${run.leftMs ?? 'nothing'} of the time left of ${run.id}, ${Math.round(run.readAt - attempt.sentAt)} ms after it was sent`] : []
+    return endsAfterMs > bounds.timeoutMs + bounds.graceMs ? [`time: ${run.server} received ${run.leftMs ?? 'nothing'} as the remaining time of ${run.id}, ${Math.round(run.readAt - attempt.sentAt)} ms after it was sent`] : []
   })
 }
 
@@ -26,7 +26,7 @@
   return isVmFaultFree(history, entry, sentAt) && isVmFaultFree(history, entry, run.at) && isFaultFree(history, run.server, run.at, bounds.vmRecoveryMs)
 }
 
-/** In any window, the arrivals of a service beyond the first of each request stay within the retry budget of all VMs together. */
+/** Checks that in any window, the repeated arrivals of a service's requests stay within the retry budget of all VMs together. */
 export function checkRetryBudgets (history: SoakHistory): string[] {
   const services = [...new Set(history.arrivals.map(({ service }) => service))]
   return services.flatMap(service => checkRetryBudget(service, history.arrivals.filter(arrival => arrival.service === service)))
@@ -35,18 +35,18 @@
 function checkRetryBudget (service: string, arrivals: readonly Arrival[]): string[] {
   const { ratio, windowMs, slack } = bounds.retryBudget
   const seen = new Set<string>()
-  const marked = arrivals.map(({ id, at }) => {
+  const markedArrivals = arrivals.map(({ id, at }) => {
     const isRepeat = seen.has(id)
     seen.add(id)
     return { at, isRepeat }
   })
   let from = 0
   let repeats = 0
-  for (const [place, { at, isRepeat }] of marked.entries()) {
+  for (const [place, { at, isRepeat }] of markedArrivals.entries()) {
     if (isRepeat) repeats += 1
-    for (; (marked[from]?.at ?? at) < at - windowMs; from++) if (marked[from]?.isRepeat === true) repeats -= 1
-    const firsts = place + 1 - from - repeats
-    if (repeats > ratio * firsts + slack) return [`budget: ${service} had ${repeats} repeats beside ${firsts} requests in ${windowMs} ms`]
+    for (; (markedArrivals[from]?.at ?? at) < at - windowMs; from++) if (markedArrivals[from]?.isRepeat === true) repeats -= 1
+    const firstArrivals = place + 1 - from - repeats
+    if (repeats > ratio * firstArrivals + slack) return [`budget: ${service} had ${repeats} repeated and ${firstArrivals} first arrivals in ${windowMs} ms`]
   }
   return []
 }
--- a/scripts/soak/soakRun.ts
+++ b/scripts/soak/soakRun.ts
@@ -1,4 +1,4 @@
-/** One run of the soak: builds the system, lets callers and faults at it, and judges what was seen. */
+/** Runs the soak for one seed: starts the system, sends traffic, injects faults and checks the recorded history. */
 import { getErrorMessage } from '@lynxcourse/base'
 import { createOwned } from '@lynxcourse/daemon'
 import { request } from 'undici'
@@ -20,26 +20,26 @@
 import { startVm } from './vmProcess.js'
 import type { SoakVm } from './vmProcess.js'
 
-/** What a run showed. */
+/** Result of one run. */
 export interface SoakResult {
   readonly seed: number
   readonly violations: readonly string[]
   readonly requests: number
-  /** Share of all requests that were answered with a success, and of those after the last fault. */
+  /** Share of requests answered with a success: over the whole run, and after the last fault. */
   readonly servedShare: number
   readonly finalServedShare: number
   readonly steps: number
-  /** Undefined if the run was not played to its end. */
+  /** Undefined if the run did not finish. */
   readonly gone: AbandonedSummary | undefined
 }
 
 const announceIntervalMs = 600
-/** After the last fault, the time until all must be well again, and then the time in which it is measured. */
+/** Time within which all VMs must be ready again after the last fault, and length of the fault-free phase that follows. */
 const recoveryMs = 15_000
 const finalPhaseMs = 4000
 const minFinalServedShare = 0.9
 
-/** Plays a plan; the folder takes settings, state and logs. */
+/** Runs a plan; settings, state and logs go to the folder. */
 export async function runSoak (plan: SoakPlan, size: SoakSize, folder: string): Promise<SoakResult> {
   await using stack = createOwned()
   const system = await createSoakSystem(plan.seed, size, folder, stack)
@@ -68,11 +68,11 @@
   await sleep(Math.max(0, startedAt + plan.lengthMs - performance.now()))
 }
 
-/** Share of requests served once all faults are over; a low one breaks a promise. */
+/** Measures the share of requests served once all faults have ended; a share below the minimum is a violation. */
 async function measureFinalServedShare (system: SoakSystem): Promise<number> {
   const from = performance.now()
   await sleep(finalPhaseMs)
-  // The last ones sent may still be at work.
+  // The most recent requests may still be in flight.
   const { share, sent } = measureServedShare(system.history, from, performance.now() - finalPhaseMs / 4)
   if (share < minFinalServedShare) system.history.recordedViolations.push(`recover: ${(share * 100).toFixed(0)} % of ${sent} requests were served after the last fault`)
   return share
@@ -90,7 +90,7 @@
   return res.statusCode === 200
 }
 
-/** Ends all faults that still last and waits until every VM is ready again. */
+/** Ends all link faults and waits until every VM is ready again. */
 async function restoreSystem (system: SoakSystem): Promise<void> {
   for (const vm of system.vms) {
     setFault(vm.rpc, 'none')
@@ -109,7 +109,7 @@
   }
 }
 
-/** Sends one announcement; a draining server notes the moment at which its leaving was confirmed. */
+/** Sends one announcement; records when the drain of a draining server was first confirmed. */
 async function announce (system: SoakSystem, server: FakeServer): Promise<void> {
   server.facts = { ...server.facts, seq: server.facts.seq + 1 }
   const { facts } = server
--- a/scripts/soak/soakSystem.ts
+++ b/scripts/soak/soakSystem.ts
@@ -1,4 +1,4 @@
-/** Builds what one run of the soak consists of: VMs, backend servers, an operator and the history. */
+/** Creates the system of one soak run: VMs, backend servers, an operator and the history. */
 import { mkdirSync } from 'node:fs'
 import { join } from 'node:path'
 import { brandId, createRandom } from '@lynxcourse/base'
@@ -17,7 +17,7 @@
 import { createSoakVm } from './vmProcess.js'
 import type { SoakVm } from './vmProcess.js'
 
-/** Everything that one run consists of. */
+/** The system under test and the history of one run. */
 export interface SoakSystem {
   readonly size: SoakSize
   readonly history: SoakHistory
@@ -35,7 +35,7 @@
 export const regions: Record<string, string[]> = { kochi: ['kochi-a', 'kochi-b'], chennai: ['chennai-a', 'chennai-b'], mumbai: ['mumbai-a', 'mumbai-b'] }
 const domains = Object.values(regions).flat().map(name => brandId<FailureDomainId>(name))
 
-/** Builds a system whose VMs are not started yet; what it opens is owned by the stack. */
+/** Creates a system whose VMs are not started yet; the stack owns the resources that it opens. */
 export async function createSoakSystem (seed: number, size: SoakSize, folder: string, stack: Owned): Promise<SoakSystem> {
   const random = createRandom(seed + 1)
   const history = createHistory()
@@ -56,8 +56,8 @@
 }
 
 /**
- * An address of its own for each VM. Ports of the one loopback address that were free a moment ago may be taken by
- * an outgoing connection while a VM is down, and the VM then can't start again.
+ * Returns a separate loopback address for each VM. On a shared address, an outgoing connection could take the port of a
+ * VM that is down, and the VM could not start again.
  */
 function getVmIp (index: number): string {
   return `127.${64 + process.pid % 64}.${(process.pid >> 6) % 256}.${index + 1}`
--- a/scripts/soak/vmProcess.ts
+++ b/scripts/soak/vmProcess.ts
@@ -1,4 +1,4 @@
-/** One VM of a soak: the real daemon in a process of its own, reached through forwarders that can be disturbed. */
+/** One VM of a soak: the real daemon in a separate process, reached through proxies that can inject link faults. */
 import { spawn } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
 import { appendFileSync, openSync, rmSync, writeFileSync } from 'node:fs'
@@ -13,7 +13,7 @@
 
 const daemonScript = fileURLToPath(import.meta.resolve('@lynxcourse/daemon').replace('daemon.js', 'main.js'))
 
-/** A planned stop that takes longer is ended; longer than the daemon's own bound on it. */
+/** A planned stop that takes longer than this is a violation; the value exceeds the daemon's own limit. */
 const stopTimeoutMs = 8000
 
 export interface SoakVm extends AsyncDisposable {
@@ -21,9 +21,9 @@
   readonly settings: FleetFileInput
   readonly folder: string
   readonly history: SoakHistory
-  /** In front of the RPC address; other VMs know this address alone. */
+  /** Proxy in front of the RPC address; other VMs know only the address of the proxy. */
   readonly rpc: FaultProxy
-  /** In front of the callers' address; undefined at a control VM. */
+  /** Proxy in front of the address for callers; undefined for a control VM. */
   readonly callers: FaultProxy | undefined
   child: ChildProcess | undefined
   /** Whether the soak itself is ending the process. */
@@ -31,7 +31,7 @@
   isPaused: boolean
 }
 
-/** Makes a VM whose forwarders listen; its process is not started yet. */
+/** Creates a VM whose proxies listen; its process is not started yet. */
 export async function createSoakVm (settings: FleetFileInput, folder: string, history: SoakHistory): Promise<SoakVm> {
   const rpc = await startFaultProxy(settings.listen.rpc)
   const callers = settings.listen.callers === undefined ? undefined : await startFaultProxy(settings.listen.callers)
@@ -54,12 +54,12 @@
   return vm
 }
 
-/** Processes that run now: a soak that is broken off takes them with it. */
+/** Running daemon processes, which are killed when the soak is interrupted. */
 const children = new Set<ChildProcess>()
 process.on('exit', () => { for (const child of children) child.kill('SIGKILL') })
 for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, () => process.exit(1))
 
-/** Starts the process. */
+/** Writes the VM's settings and starts its daemon process. */
 export function startVm (vm: SoakVm, seeds: readonly string[], isFirstStart: boolean): void {
   const file = join(vm.folder, `${vm.name}.yaml`)
   writeFileSync(file, stringify({ fleet: { ...vm.settings, advertisedRpc: vm.rpc.address, seeds, isFirstStart } }))
@@ -70,11 +70,11 @@
   children.add(child)
   child.once('exit', (code, signal) => {
     children.delete(child)
-    if (!vm.isEnding) vm.history.recordedViolations.push(`ended: ${vm.name} ended by itself with ${code ?? signal}`)
+    if (!vm.isEnding) vm.history.recordedViolations.push(`ended: ${vm.name} exited by itself with ${code ?? signal}`)
   })
 }
 
-/** Ends the process at once. */
+/** Kills the process and waits until it has exited. */
 export async function killVm (vm: SoakVm): Promise<void> {
   if (vm.child === undefined) return
   vm.isEnding = true
@@ -82,7 +82,7 @@
   vm.isPaused = false
 }
 
-/** Stops the process as planned; one that does not end in time breaks a promise. */
+/** Stops the process with SIGTERM. If it does not exit in time, kills it, and records a violation unless it is paused. */
 export async function stopVm (vm: SoakVm): Promise<void> {
   const { child } = vm
   if (child === undefined) return
@@ -90,7 +90,7 @@
   child.kill('SIGTERM')
   const hasExited = await Promise.race([ended(child).then(() => true), sleep(stopTimeoutMs).then(() => false)])
   if (hasExited) return
-  if (!vm.isPaused) vm.history.recordedViolations.push(`stop: ${vm.name} had not ended ${stopTimeoutMs} ms after the signal`)
+  if (!vm.isPaused) vm.history.recordedViolations.push(`stop: ${vm.name} had not exited ${stopTimeoutMs} ms after SIGTERM`)
   await killVm(vm)
 }
 
@@ -104,7 +104,7 @@
   rmSync(vm.settings.dataFolder ?? '', { recursive: true, force: true })
 }
 
-/** Leaves half a record at the end of the log, as a loss of power in the middle of a write does. */
+/** Appends a partial record to the log, as a power failure during a write does. */
 export function appendPartialRecord (vm: SoakVm): void {
   const partialRecord = Buffer.alloc(40)
   partialRecord.writeUInt32LE(5000, 0)
