--- a/scripts/soak/abandonedChecks.ts
+++ b/scripts/soak/abandonedChecks.ts
@@ -14,7 +14,7 @@
 /** Counts of the requests whose callers closed the connection, and descriptions of those that violate a bound. */
 export interface AbandonedSummary {
   readonly left: number
-  /** Requests that their callers closed because the VM had not read them in time. */
+  /** Requests that their callers closed because the VM had not read them within a second. */
   readonly unread: number
   /** Arrivals at servers too long after the close. */
   readonly late: readonly string[]
--- a/scripts/soak/faultInjection.ts
+++ b/scripts/soak/faultInjection.ts
@@ -106,7 +106,7 @@
   end()
 }
 
-/** Alternately stops and continues a VM. This is not recorded as a fault: a VM short of processor time must keep every promise. */
+/** Alternately stops and continues a VM. This is not recorded as a fault, since the VM must still keep every promise. */
 async function injectCpuShortage (system: SoakSystem, step: StepOf<'shortage'>): Promise<void> {
   const until = performance.now() + step.forMs
   while (performance.now() < until) {
--- a/scripts/soak/faultPlan.ts
+++ b/scripts/soak/faultPlan.ts
@@ -134,7 +134,7 @@
   }
 }
 
-/** Draws the faults around an evacuation: a link fault at the domain's servers, and perhaps a paused entry VM or more callers. */
+/** Draws the faults around an evacuation: a link fault at its servers, perhaps a paused entry VM, perhaps more callers. */
 function drawEvacuationFaults (random: Random, size: SoakSize, { at, domain }: Evacuation): SoakStep[] {
   const drawTime = (): number => Math.max(0, at - evacuationOffsetMs + drawInt(random, 2 * evacuationOffsetMs))
   const fault = random() < 0.75 ? 'silence' : 'dropAnswers'
--- a/scripts/soak/history.ts
+++ b/scripts/soak/history.ts
@@ -79,7 +79,7 @@
   readonly confirmed: Confirmed[]
   readonly disturbances: InjectedFault[]
   readonly reads: RouteRead[]
-  /** Violations detected during the run, such as a process that exits by itself or two changes accepted on one base version. */
+  /** Violations detected during the run: for example a process that exited by itself, or two changes accepted on one base. */
   readonly recordedViolations: string[]
 }
 
--- a/scripts/soak/invariants.ts
+++ b/scripts/soak/invariants.ts
@@ -49,7 +49,7 @@
   return violations
 }
 
-/** Checks that a confirmed drain or evacuation keeps requests away from its bound on, until it is revoked. */
+/** Checks that no request starts at a drained server or in an evacuated failure domain after the bound, until a readmission. */
 function checkConfirmation (history: SoakHistory, confirmed: Confirmed): string[] {
   const { type, subject, at } = confirmed
   if (type === 'readmit') return []
--- a/scripts/soak/operator.ts
+++ b/scripts/soak/operator.ts
@@ -17,7 +17,7 @@
   readonly client: ControlClient
   readonly history: SoakHistory
   readonly services: readonly ServiceId[]
-  /** Newest version known to be in force. */
+  /** Newest version known to be in force; it determines the service of the probe route. */
   version: number
   /** Highest version that was ever sent. */
   highestVersion: number
--- a/scripts/soak/sendChecks.ts
+++ b/scripts/soak/sendChecks.ts
@@ -26,7 +26,7 @@
   return isVmFaultFree(history, entry, sentAt) && isVmFaultFree(history, entry, run.at) && isFaultFree(history, run.server, run.at, bounds.vmRecoveryMs)
 }
 
-/** Checks that in any window, the repeated arrivals of a service's requests stay within the retry budget of all VMs together. */
+/** Checks that repeated arrivals of a service's requests stay within the retry budget of all VMs together in any window. */
 export function checkRetryBudgets (history: SoakHistory): string[] {
   const services = [...new Set(history.arrivals.map(({ service }) => service))]
   return services.flatMap(service => checkRetryBudget(service, history.arrivals.filter(arrival => arrival.service === service)))
