--- a/scripts/bench/memberHost.ts
+++ b/scripts/bench/memberHost.ts
@@ -1,5 +1,5 @@
 /** Many entry daemons in one process, for measuring what each costs and how fast changes reach them. */
-import { settingsSchema, silentLogs, startDaemon } from '@lynxcourse/daemon'
+import { settingsSchema, createSilentLogs, startDaemon } from '@lynxcourse/daemon'
 import type { Daemon } from '@lynxcourse/daemon'
 import { answerOrders } from '../support/childOrders.js'
 import { settingsOf, tidewiseRegions } from '../support/topology.js'
@@ -36,9 +36,9 @@
     vm: `member-${number}`, region: region?.region ?? '', failureDomain: region?.domains[0] ?? '', isControl: false, ip, http: `${ip}:0`, rpc: `${ip}:0`, metrics: `${ip}:0`
   }
   const cfg = settingsSchema.parse(settingsOf(plan, [...control, plan], ''))
-  const daemon = await startDaemon(cfg, cfg.callerBlocks, { logs: silentLogs(), seed: number })
+  const daemon = await startDaemon(cfg, cfg.callerBlocks, { logs: createSilentLogs(), seed: number })
   let version = 0
-  daemon.node.onChange.push(() => {
+  daemon.node.changeListeners.push(() => {
     const now = daemon.node.config.version
     if (now === version) return
     for (let passed = version + 1; passed <= now; passed++) {
@@ -60,7 +60,7 @@
       return {}
     case 'versions': {
       const versions = [...reached].map(([version, { count, last }]) => [version, count, last] as const)
-      const current = daemons.filter(daemon => Number.isFinite(daemon.node.currency.confirmedAt)).length
+      const current = daemons.filter(daemon => Number.isFinite(daemon.node.configLease.confirmedAt)).length
       return { versions, nodes: daemons.length, current } satisfies MemberVersions
     }
     case 'cost': {
--- a/scripts/soak/soakRun.ts
+++ b/scripts/soak/soakRun.ts
@@ -1,6 +1,6 @@
 /** Runs the soak for one seed: starts the system, sends traffic, injects faults and checks the recorded history. */
 import { getErrorMessage } from '@lynxcourse/base'
-import { createOwned } from '@lynxcourse/daemon'
+import { createResourceStack } from '@lynxcourse/daemon'
 import { request } from 'undici'
 import { sleep, until } from '../support/processes.js'
 import { sendRequests } from './caller.js'
@@ -41,7 +41,7 @@
 
 /** Runs a plan; settings, state and logs go to the folder. */
 export async function runSoak (plan: SoakPlan, size: SoakSize, folder: string): Promise<SoakResult> {
-  await using stack = createOwned()
+  await using stack = createResourceStack()
   const system = await createSoakSystem(plan.seed, size, folder, stack)
   const { history, operator } = system
   let isOver = false
--- a/scripts/soak/soakSystem.ts
+++ b/scripts/soak/soakSystem.ts
@@ -3,8 +3,8 @@
 import { join } from 'node:path'
 import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServiceId } from '@lynxcourse/base'
-import { own } from '@lynxcourse/daemon'
-import type { FleetFileInput, Owned } from '@lynxcourse/daemon'
+import { addResource } from '@lynxcourse/daemon'
+import type { FleetFileInput, ResourceStack } from '@lynxcourse/daemon'
 import { createControlClient } from './controlClient.js'
 import type { ControlClient } from './controlClient.js'
 import type { SoakSize } from './faultPlan.js'
@@ -36,21 +36,21 @@
 const domains = Object.values(regions).flat().map(name => brandId<FailureDomainId>(name))
 
 /** Creates a system whose VMs are not started yet; the stack owns the resources that it opens. */
-export async function createSoakSystem (seed: number, size: SoakSize, folder: string, stack: Owned): Promise<SoakSystem> {
+export async function createSoakSystem (seed: number, size: SoakSize, folder: string, stack: ResourceStack): Promise<SoakSystem> {
   const random = createRandom(seed + 1)
   const history = createHistory()
   mkdirSync(folder, { recursive: true })
   const vms: SoakVm[] = []
   for (let index = 0; index < size.controls + size.entries; index++) {
-    vms.push(own(stack, await createSoakVm(createVmSettings(index, size, folder), folder, history)))
+    vms.push(addResource(stack, await createSoakVm(createVmSettings(index, size, folder), folder, history)))
   }
   const controls = vms.slice(0, size.controls)
   const servers: FakeServer[] = []
   for (let index = 0; index < size.servers; index++) {
-    servers.push(own(stack, await createFakeServer(index, services[index % services.length] as ServiceId, domains[Math.floor(index / services.length) % domains.length] as FailureDomainId, history, random)))
+    servers.push(addResource(stack, await createFakeServer(index, services[index % services.length] as ServiceId, domains[Math.floor(index / services.length) % domains.length] as FailureDomainId, history, random)))
   }
   const client = createControlClient(controls.map(vm => vm.rpc.address), random)
-  own(stack, client.rpc)
+  addResource(stack, client.rpc)
   const seeds = controls.slice(0, 3).map(vm => vm.rpc.address)
   return { size, history, vms, seeds, servers, domains, services, client, operator: createOperator(client, history, services) }
 }
