--- a/scripts/explain.ts
+++ b/scripts/explain.ts
@@ -1,11 +1,11 @@
-/** `npm run explain -- LOG...`: where requests go wrong, and why, by VMs' log lines. */
+/** `npm run explain -- LOG...`: counts the causes of late, refused and lost requests from VMs' log lines. */
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
 import { Command } from 'commander'
-import { causeOf, causes } from './explain/causes.js'
-import type { Cause, Holders } from './explain/causes.js'
-import { readDecision } from './explain/readLines.js'
-import type { Decision } from './explain/readLines.js'
+import { classifyDecision, causes } from './explain/causes.js'
+import type { Cause, SeenServers } from './explain/causes.js'
+import { readDecision } from './explain/readDecision.js'
+import type { Decision } from './explain/readDecision.js'
 import { percentile, printTable } from './support/tables.js'
 
 const defaultSpanS = 2
@@ -14,9 +14,9 @@
 interface Arguments { readonly span: string }
 
 const program = new Command('explain')
-  .description('Counts the causes of late, refused and lost requests in log files, whole and over time.')
-  .argument('<log...>', 'files with log lines of entry VMs')
-  .option('--span <seconds>', 'length of a row over time', String(defaultSpanS))
+  .description('Counts the causes of late, refused and lost requests in log files, in total and over time.')
+  .argument('<log...>', 'log files of entry VMs')
+  .option('--span <seconds>', 'length of the time span of each row', String(defaultSpanS))
 
 async function readAll (files: readonly string[]): Promise<Decision[]> {
   const decisions: Decision[] = []
@@ -32,35 +32,35 @@
 interface Row { readonly cause: Cause, readonly decision: Decision }
 
 function explain (decisions: readonly Decision[]): Row[] {
-  const holders: Holders = new Map()
+  const holders: SeenServers = new Map()
   return decisions.flatMap(decision => {
-    const cause = causeOf(holders, decision)
+    const cause = classifyDecision(holders, decision)
     return cause === undefined ? [] : [{ cause, decision }]
   })
 }
 
 function printCauses (rows: readonly Row[]): void {
   printTable('Causes', causes.flatMap(cause => {
-    const held = rows.filter(row => row.cause === cause)
-    if (held.length === 0) return []
-    const took = held.map(row => row.decision.tookMs).filter(ms => !Number.isNaN(ms))
-    const medianMs = took.length === 0 ? '' : Math.round(percentile(took, 0.5))
-    return [{ cause, count: held.length, percent: (held.length / rows.length * 100).toFixed(1), medianMs }]
+    const matching = rows.filter(row => row.cause === cause)
+    if (matching.length === 0) return []
+    const durations = matching.map(row => row.decision.tookMs).filter(ms => !Number.isNaN(ms))
+    const medianMs = durations.length === 0 ? '' : Math.round(percentile(durations, 0.5))
+    return [{ cause, count: matching.length, percent: (matching.length / rows.length * 100).toFixed(1), medianMs }]
   }))
 }
 
 function printOverTime (rows: readonly Row[], spanMs: number): void {
-  const present = causes.filter(cause => rows.some(row => row.cause === cause))
-  const first = rows[0]?.decision.at ?? 0
+  const presentCauses = causes.filter(cause => rows.some(row => row.cause === cause))
+  const firstAt = rows[0]?.decision.at ?? 0
   const spans = new Map<number, Row[]>()
   for (const row of rows) {
-    const span = Math.floor((row.decision.at - first) / spanMs)
-    const held = spans.get(span)
-    if (held === undefined) spans.set(span, [row])
-    else held.push(row)
+    const span = Math.floor((row.decision.at - firstAt) / spanMs)
+    const spanRows = spans.get(span)
+    if (spanRows === undefined) spans.set(span, [row])
+    else spanRows.push(row)
   }
-  printTable('Over time', [...spans].sort(([a], [b]) => a - b).map(([span, held]) => {
-    const counts = present.map(cause => [cause, held.filter(row => row.cause === cause).length] as const)
+  printTable('Over time', [...spans].sort(([a], [b]) => a - b).map(([span, spanRows]) => {
+    const counts = presentCauses.map(cause => [cause, spanRows.filter(row => row.cause === cause).length] as const)
     return { second: span * spanMs / millisPerSecond, ...Object.fromEntries(counts) }
   }))
 }
@@ -68,9 +68,9 @@
 async function main (): Promise<void> {
   program.parse()
   const rows = explain(await readAll(program.args))
-  if (rows.length === 0) program.error('error: no decisions on requests in these files')
+  if (rows.length === 0) program.error('error: the files contain no request decisions')
   const spanMs = Number(program.opts<Arguments>().span) * millisPerSecond
-  if (!(spanMs > 0)) program.error('error: --span: must be above 0')
+  if (!(spanMs > 0)) program.error('error: --span must be greater than 0')
   printCauses(rows)
   printOverTime(rows, spanMs)
 }
--- a/scripts/explain/readLines.ts
+++ b/scripts/explain/readDecision.ts
@@ -1,9 +1,9 @@
-/** Reads the decisions on requests out of VMs' log lines. */
+/** Parses request decisions from VMs' log lines. */
 
-/** What a line tells of one decision; fields that other lines lack are undefined. */
+/** Fields of one decision; texts that a line lacks are empty, numbers are NaN. */
 export interface Decision {
   readonly message: 'Sent.' | 'Refused.' | 'Failed.'
-  /** Unix milliseconds by the clock of the VM that wrote the line. */
+  /** Unix time in milliseconds, by the clock of the VM that wrote the line. */
   readonly at: number
   readonly route: string
   readonly object: string
@@ -20,7 +20,7 @@
 
 const messages = new Set(['Sent.', 'Refused.', 'Failed.'])
 
-/** The decision of a line; undefined for any other line. A collector may have put its own words before the JSON. */
+/** Parses the decision of a line; returns undefined for other lines. A log collector may have put a prefix before the JSON. */
 export function readDecision (line: string): Decision | undefined {
   const start = line.indexOf('{')
   if (start < 0) return undefined
@@ -28,32 +28,32 @@
   try {
     fields = JSON.parse(line.slice(start)) as Record<string, unknown>
   } catch {
-    // A line that a process had not written to its end when it died.
+    // The process died before it had written the whole line.
     return undefined
   }
   const { message } = fields
   if (typeof message !== 'string' || !messages.has(message)) return undefined
   return {
     message: message as Decision['message'],
-    at: Date.parse(textOf(fields.timestamp)),
-    route: textOf(fields.route),
-    object: textOf(fields.object),
-    server: textOf(fields.server),
+    at: Date.parse(toText(fields.timestamp)),
+    route: toText(fields.route),
+    object: toText(fields.object),
+    server: toText(fields.server),
     place: typeof fields.place === 'string' ? fields.place : undefined,
-    outcome: textOf(fields.outcome),
-    reason: textOf(fields.reason ?? fields.detail),
-    tookMs: numberOf(fields.tookMs),
-    expectedMs: numberOf(fields.expectedMs),
-    waitMs: numberOf(fields.waitMs),
-    underWay: numberOf(fields.underWay),
-    limit: numberOf(fields.limit)
+    outcome: toText(fields.outcome),
+    reason: toText(fields.reason ?? fields.detail),
+    tookMs: toNumber(fields.tookMs),
+    expectedMs: toNumber(fields.expectedMs),
+    waitMs: toNumber(fields.waitMs),
+    underWay: toNumber(fields.underWay),
+    limit: toNumber(fields.limit)
   }
 }
 
-function textOf (value: unknown): string {
+function toText (value: unknown): string {
   return typeof value === 'string' ? value : ''
 }
 
-function numberOf (value: unknown): number {
+function toNumber (value: unknown): number {
   return typeof value === 'number' ? value : NaN
 }
--- /dev/null
+++ b/scripts/soak/fakeServer.ts
@@ -0,0 +1,151 @@
+/** A fake backend server: processes requests, records them in the history, and can drain and crash. */
+import { createServer } from 'node:http'
+import type { IncomingMessage, Server, ServerResponse } from 'node:http'
+import type { AddressInfo } from 'node:net'
+import { brandId, hashText } from '@lynxcourse/base'
+import type { FailureDomainId, Random, ServerId, ServiceId } from '@lynxcourse/base'
+import type { BackendAnnouncement } from '@lynxcourse/state'
+import { sleep } from '../support/processes.js'
+import { startFaultProxy } from './faultProxy.js'
+import type { FaultProxy } from './faultProxy.js'
+import { longPath } from './history.js'
+import type { SoakHistory, Run } from './history.js'
+
+const slots = 4
+const queueLimit = 6
+const minWorkMs = 15
+const maxWorkMs = 120
+/** Processing time of requests on the long path, well within the routes' timeout. */
+const longWorkMs = 900
+/** One in this many servers keeps processing a request after its connection has closed. */
+const ignoreCloseEvery = 5
+const answerBytes = 1500
+
+/** A series of server lifetimes, one after the other, at the same address. */
+export interface FakeServer extends AsyncDisposable {
+  readonly place: number
+  readonly proxy: FaultProxy
+  readonly history: SoakHistory
+  readonly random: Random
+  facts: BackendAnnouncement
+  server: Server | undefined
+  lifetimes: number
+  running: number
+  waiting: Array<() => void>
+}
+
+/** Creates a server and its proxy; the server listens, but is not announced yet. */
+export async function createFakeServer (place: number, service: ServiceId, domain: FailureDomainId, history: SoakHistory, random: Random): Promise<FakeServer> {
+  const proxy = await startFaultProxy('127.0.0.1:1')
+  const fake: FakeServer = {
+    place,
+    proxy,
+    history,
+    random,
+    facts: { id: brandId<ServerId>(''), service, address: proxy.address, failureDomain: domain, slots, software: 'stub', isDraining: false, bornAt: 0, seq: 0, coldMs: 0 },
+    server: undefined,
+    lifetimes: 0,
+    running: 0,
+    waiting: [],
+    [Symbol.asyncDispose]: async () => {
+      await endLifetime(fake)
+      await proxy[Symbol.asyncDispose]()
+    }
+  }
+  await startLifetime(fake, service)
+  return fake
+}
+
+/** Starts a new lifetime, possibly of another service, at the same address. */
+export async function startLifetime (fake: FakeServer, service: ServiceId): Promise<void> {
+  fake.lifetimes += 1
+  fake.running = 0
+  fake.waiting = []
+  const id = brandId<ServerId>(`server-${fake.place}-${fake.lifetimes}`)
+  fake.facts = { ...fake.facts, id, service, isDraining: false, seq: 0 }
+  const server = createServer((req, res) => {
+    handleRequest(fake, id, req, res).catch(() => res.destroy())
+  })
+  await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
+  fake.server = server
+  fake.proxy.target = `127.0.0.1:${(server.address() as AddressInfo).port}`
+}
+
+/** Ends the lifetime immediately: open connections are closed, and running requests are lost. */
+export async function endLifetime (fake: FakeServer): Promise<void> {
+  const { server } = fake
+  fake.server = undefined
+  server?.closeAllConnections()
+  await new Promise<void>(resolve => server === undefined ? resolve() : server.close(() => resolve()))
+}
+
+/** Creates the answer that a given server must give to a given request. */
+export function createAnswerText (server: string, id: string): string {
+  const hash = hashText(`${server} ${id}`).toString(16)
+  return `${server} ${id} ${hash.repeat(Math.ceil(answerBytes / hash.length))}`
+}
+
+async function handleRequest (fake: FakeServer, self: ServerId, req: IncomingMessage, res: ServerResponse): Promise<void> {
+  const id = String(req.headers['idempotency-key'] ?? '')
+  const closed = new Promise<void>(resolve => res.once('close', () => resolve()))
+  const body = await readText(req)
+  const readAt = performance.now()
+  res.setHeader('idempotency-key', id)
+  res.setHeader('lynx-load', String(fake.running + fake.waiting.length))
+  if (req.headers['lynx-expect-server'] !== self) {
+    res.writeHead(421).end()
+    return
+  }
+  fake.history.arrivals.push({ id, server: self, service: fake.facts.service, at: readAt })
+  if (fake.waiting.length >= queueLimit) {
+    res.writeHead(503, { 'lynx-not-started': 'full' }).end()
+    return
+  }
+  const cancelled = fake.place % ignoreCloseEvery === ignoreCloseEvery - 1 ? new Promise<void>(() => undefined) : closed
+  if (fake.running >= slots && !(await waitForSlot(fake, cancelled))) return
+  const run = recordRun(fake, self, req, body, readAt)
+  closed.then(() => { if (!res.writableFinished) run.cutAt = performance.now() }, () => undefined)
+  await processRequest(fake, run, cancelled, res)
+}
+
+/** Waits for a slot; returns false if the request was cancelled first. */
+async function waitForSlot (fake: FakeServer, cancelled: Promise<void>): Promise<boolean> {
+  const { waiting } = fake
+  let grant = (): void => undefined
+  const granted = new Promise<void>(resolve => { grant = resolve })
+  waiting.push(grant)
+  await Promise.race([granted, cancelled])
+  const index = waiting.indexOf(grant)
+  if (index >= 0) waiting.splice(index, 1)
+  return index < 0
+}
+
+function recordRun (fake: FakeServer, self: ServerId, req: IncomingMessage, body: string, readAt: number): Run {
+  const { service, failureDomain } = fake.facts
+  const id = String(req.headers['idempotency-key'] ?? '')
+  const left = req.headers['lynx-deadline-ms']
+  const leftMs = left === undefined ? undefined : Number(left)
+  const workMs = req.url === longPath ? longWorkMs : minWorkMs + fake.random() * (maxWorkMs - minWorkMs)
+  const run: Run = { id, path: req.url ?? '', body, server: self, service, failureDomain, at: performance.now(), readAt, leftMs, workMs, endedAt: undefined, cutAt: undefined }
+  fake.history.runs.push(run)
+  return run
+}
+
+/** Occupies a slot until the processing time has passed or the request is cancelled, then answers. */
+async function processRequest (fake: FakeServer, run: Run, cancelled: Promise<void>, res: ServerResponse): Promise<void> {
+  fake.running += 1
+  await Promise.race([sleep(run.workMs), cancelled])
+  run.endedAt = performance.now()
+  if (fake.facts.id !== run.server) return
+  fake.running -= 1
+  fake.waiting.shift()?.()
+  if (res.destroyed) return
+  res.setHeader('lynx-server', run.server)
+  res.end(createAnswerText(run.server, run.id))
+}
+
+async function readText (req: IncomingMessage): Promise<string> {
+  const chunks: Buffer[] = []
+  for await (const chunk of req as AsyncIterable<Buffer>) chunks.push(chunk)
+  return Buffer.concat(chunks).toString('utf8')
+}
--- a/scripts/soak/faultProxy.ts
+++ b/scripts/soak/faultProxy.ts
@@ -1,14 +1,14 @@
-/** A TCP forwarder on loopback whose connections a soak delays, resets, cuts one way or silences. */
+/** A TCP proxy on loopback that can delay, reset or silence its connections, or drop one direction of them. */
 import { connect, createServer } from 'node:net'
 import type { AddressInfo, Server, Socket } from 'node:net'
 
 /**
- * What a forwarder does to bytes: `silence` holds both directions as a cut does, `dropRequests` and `dropAnswers` lose one
- * direction for good, so that only a timeout at an end can tell.
+ * Fault that a proxy applies: `silence` holds back both directions, as an interrupted link does; `dropRequests` and
+ * `dropAnswers` lose one direction for good, so that the ends notice only by a timeout.
  */
 export type LinkFault = 'none' | 'silence' | 'dropRequests' | 'dropAnswers' | 'delay'
 
-/** A forwarder; its fault applies to open connections as well as to new ones. */
+/** A proxy; its fault applies to open connections as well as to new ones. */
 export interface FaultProxy extends AsyncDisposable {
   readonly address: string
   readonly server: Server
@@ -20,26 +20,26 @@
 interface SocketPair {
   readonly near: Socket
   readonly far: Socket
-  /** What its senders' kernels send again until a silence is over. */
-  held: Held[]
-  /** A direction that lost bytes stays dead: TCP would not go on after a gap either. */
+  /** Deliveries that TCP retransmits until a silence has ended. */
+  pending: PendingDelivery[]
+  /** Whether bytes were lost. Nothing is forwarded after that, as TCP delivers nothing after a gap. */
   isDead: boolean
 }
 
-/** Bytes, or the end of a connection, on their way. */
-interface Held {
+/** Bytes or the end of a connection, still to be delivered. */
+interface PendingDelivery {
   readonly from: Socket
   readonly at: number
-  readonly arrive: () => void
+  readonly deliver: () => void
 }
 
 const delayMs = 120
-/** TCP sends again after this, then after twice as long each time. */
-const firstResendMs = 1000
+/** TCP retransmits after this delay, and doubles it after each retransmission. */
+const initialRetransmitMs = 1000
 
-/** Starts a forwarder to `IP:port` on a free port of its own. */
+/** Starts a proxy to `IP:port` on a free port. */
 export async function startFaultProxy (target: string): Promise<FaultProxy> {
-  const server = createServer(near => { pair(proxy, near) })
+  const server = createServer(near => { connectPair(proxy, near) })
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve))
   const proxy: FaultProxy = {
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
@@ -48,67 +48,67 @@
     fault: 'none',
     pairs: new Set(),
     [Symbol.asyncDispose]: async () => {
-      resetAll(proxy, 1)
+      resetConnections(proxy, 1)
       await new Promise<void>(resolve => server.close(() => resolve()))
     }
   }
   return proxy
 }
 
-function pair (proxy: FaultProxy, near: Socket): void {
+function connectPair (proxy: FaultProxy, near: Socket): void {
   const [host, port] = proxy.target.split(':')
   const far = connect({ host, port: Number(port), noDelay: true })
   near.setNoDelay(true)
-  const sockets: SocketPair = { near, far, held: [], isDead: false }
+  const sockets: SocketPair = { near, far, pending: [], isDead: false }
   proxy.pairs.add(sockets)
   forward(proxy, sockets, near, far, 'dropRequests')
   forward(proxy, sockets, far, near, 'dropAnswers')
 }
 
-function forward (proxy: FaultProxy, sockets: SocketPair, from: Socket, to: Socket, dropping: LinkFault): void {
-  const pass = (arrive: () => void): void => {
-    if (proxy.fault === dropping) sockets.isDead = true
+function forward (proxy: FaultProxy, sockets: SocketPair, from: Socket, to: Socket, dropFault: LinkFault): void {
+  const relay = (deliver: () => void): void => {
+    if (proxy.fault === dropFault) sockets.isDead = true
     if (sockets.isDead) return
-    if (proxy.fault === 'silence' || sockets.held.length > 0) sockets.held.push({ from, at: performance.now(), arrive })
-    else if (proxy.fault === 'delay') setTimeout(arrive, delayMs)
-    else arrive()
+    if (proxy.fault === 'silence' || sockets.pending.length > 0) sockets.pending.push({ from, at: performance.now(), deliver })
+    else if (proxy.fault === 'delay') setTimeout(deliver, delayMs)
+    else deliver()
   }
-  from.on('data', chunk => pass(() => { if (!to.destroyed) to.write(chunk) }))
-  from.on('end', () => pass(() => { to.end() }))
+  from.on('data', chunk => relay(() => { if (!to.destroyed) to.write(chunk) }))
+  from.on('end', () => relay(() => { to.end() }))
   from.on('error', () => undefined)
   from.on('close', hadError => {
-    // The other end may not hear of it for as long as the fault lasts: it is kept until it is closed as well.
+    // The close may not reach the other end while the fault lasts, so the pair is kept until both ends are closed.
     if (to.destroyed) proxy.pairs.delete(sockets)
-    // A kernel that resets a connection forgets what it has not got through.
-    if (hadError) sockets.held = sockets.held.filter(held => held.from !== from)
-    pass(() => { if (hadError) reset(to); else to.destroySoon() })
+    // A kernel that resets a connection discards the bytes that were not delivered.
+    if (hadError) sockets.pending = sockets.pending.filter(delivery => delivery.from !== from)
+    relay(() => { if (hadError) reset(to); else to.destroySoon() })
   })
 }
 
-/** Sets a forwarder's fault; what a silence held goes on its way when it is sent again. */
+/** Sets a proxy's fault. After a silence, pending bytes are delivered when TCP would next retransmit them. */
 export function setFault (proxy: FaultProxy, fault: LinkFault): void {
   proxy.fault = fault
   if (fault === 'silence') return
   const now = performance.now()
   for (const sockets of proxy.pairs) {
-    const [first] = sockets.held
-    if (first !== undefined) setTimeout(() => sendAgain(proxy, sockets), untilResend(first.at, now))
+    const [first] = sockets.pending
+    if (first !== undefined) setTimeout(() => deliverPending(proxy, sockets), computeRetransmitDelay(first.at, now))
   }
 }
 
-function untilResend (sentAt: number, now: number): number {
-  let resendAt = sentAt + firstResendMs
-  for (let pauseMs = 2 * firstResendMs; resendAt < now; pauseMs *= 2) resendAt += pauseMs
-  return resendAt - now
+function computeRetransmitDelay (sentAt: number, now: number): number {
+  let retransmitAt = sentAt + initialRetransmitMs
+  for (let pauseMs = 2 * initialRetransmitMs; retransmitAt < now; pauseMs *= 2) retransmitAt += pauseMs
+  return retransmitAt - now
 }
 
-function sendAgain (proxy: FaultProxy, sockets: SocketPair): void {
+function deliverPending (proxy: FaultProxy, sockets: SocketPair): void {
   if (proxy.fault === 'silence') return
-  for (const { arrive } of sockets.held.splice(0)) arrive()
+  for (const { deliver } of sockets.pending.splice(0)) deliver()
 }
 
-/** Resets a share of the open connections. */
-export function resetAll (proxy: FaultProxy, share: number, random: () => number = () => 0): void {
+/** Resets a random share of the open connections. */
+export function resetConnections (proxy: FaultProxy, share: number, random: () => number = () => 0): void {
   for (const sockets of [...proxy.pairs]) {
     if (random() >= share) continue
     proxy.pairs.delete(sockets)
@@ -117,7 +117,10 @@
   }
 }
 
-/** Closes a connection with a reset. One that is being shut down can't be reset any more: Node would leave it open for ever. */
+/**
+ * Closes a connection with a reset. A socket that is connecting or shutting down is destroyed instead: Node can't reset
+ * a socket that is shutting down and would leave it open forever.
+ */
 function reset (socket: Socket): void {
   if (socket.writableEnded || socket.connecting) socket.destroy()
   else socket.resetAndDestroy()
