--- a/scripts/__tests__/realFaults.test.ts
+++ b/scripts/__tests__/realFaults.test.ts
@@ -1,4 +1,4 @@
-/** A few faults on real daemons, each a process: kills, freezes, lost disks, racing operators. */
+/** Injects faults into real daemons in separate processes: kills, freezes, lost disks, concurrent operators. */
 import assert from 'node:assert/strict'
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs'
 import { createServer } from 'node:http'
@@ -9,7 +9,7 @@
 import { createRandom, createRequestId } from '@lynxcourse/base'
 import { Client, request } from 'undici'
 import { stringify } from 'yaml'
-import { answers, ended, kill, mustCli, runCli, sleep, until } from '../support/processes.js'
+import { checkHealth, ended, kill, runCliOrThrow, runCli, sleep, until } from '../support/processes.js'
 import type { DaemonProcess } from '../support/processes.js'
 import { restartVm, startSystem, stopSystem } from '../support/system.js'
 import type { SmallSystem } from '../support/system.js'
@@ -23,7 +23,7 @@
 
 let system: SmallSystem
 let folder: string
-let announcing: NodeJS.Timeout
+let announceTimer: NodeJS.Timeout
 let serverAddress = ''
 const runs = new Map<string, number>()
 const server = createServer((req, res) => {
@@ -34,7 +34,7 @@
 
 let seq = 0
 
-/** Announces the stand-in server to all VMs that live. */
+/** Announces the fake server to all VMs; VMs that don't answer are ignored. */
 async function announce (): Promise<void> {
   seq += 1
   const body = JSON.stringify({ server: 'offers-1', service: 'offers', address: serverAddress, failureDomain: 'kochi-a', slots: 50, connections: 330, state: 'serving', incarnation: 1, seq })
@@ -51,14 +51,14 @@
   serverAddress = `${serverIp}:${(server.address() as AddressInfo).port}`
   system = await startSystem(4, folder, { log: { level: 'warn' }, times: { slowStartMs: 1 } }, true)
   await publish('desk', {}, 0)
-  await mustCli(system.rpc, ['service', 'pick', 'offers', 'desk', '--wait'])
+  await runCliOrThrow(system.rpc, ['service', 'pick', 'offers', 'desk', '--wait'])
   await announce()
-  announcing = setInterval(() => { announce().catch(() => undefined) }, 1500)
+  announceTimer = setInterval(() => { announce().catch(() => undefined) }, 1500)
   for (const daemon of system.daemons) await until(`${daemon.plan.vm} serves`, async () => (await call(daemon)).status === 200)
 })
 
 after(async () => {
-  clearInterval(announcing)
+  clearInterval(announceTimer)
   await stopSystem(system)
   server.closeAllConnections()
   await new Promise<void>(resolve => server.close(() => resolve()))
@@ -68,15 +68,15 @@
 async function publish (name: string, fields: object, expectedVersion: number): Promise<void> {
   const file = join(folder, 'profile.yaml')
   writeFileSync(file, stringify({ name, places: ['kochi', 'chennai', 'mumbai'], lookupTtlS: 1, ...fields }))
-  await mustCli(living(), ['profile', 'publish', file, '--expected-version', String(expectedVersion)])
+  await runCliOrThrow(getLiveAddresses(), ['profile', 'publish', file, '--expected-version', String(expectedVersion)])
 }
 
-function living (): string[] {
+function getLiveAddresses (): string[] {
   return system.daemons.filter(daemon => daemon.child.exitCode === null && daemon.child.signalCode === null).sort((a, b) => Number(b.plan.isControl) - Number(a.plan.isControl)).map(daemon => daemon.plan.rpc)
 }
 
-async function versionOf (name: string): Promise<number> {
-  const { stdout } = await mustCli(living(), ['profile', 'get', name])
+async function getProfileVersion (name: string): Promise<number> {
+  const { stdout } = await runCliOrThrow(getLiveAddresses(), ['profile', 'get', name])
   return (JSON.parse(stdout) as { itemVersion: number }).itemVersion
 }
 
@@ -90,8 +90,8 @@
 
 async function findLeader (): Promise<DaemonProcess> {
   let leader: DaemonProcess | undefined
-  await until('somebody leads', async () => {
-    const { stdout } = await runCli(living(), ['status'])
+  await until('a leader is elected', async () => {
+    const { stdout } = await runCli(getLiveAddresses(), ['status'])
     const rows = JSON.parse(stdout) as Array<{ vm: string, log: { role: string } | null }>
     leader = system.daemons.find(daemon => daemon.plan.vm === rows.find(row => row.log?.role === 'leader')?.vm)
     return leader !== undefined
@@ -99,121 +99,121 @@
   return leader as DaemonProcess
 }
 
-function newId (): string {
+function createId (): string {
   return createRequestId(Date.now(), random)
 }
 
-const ready = async (daemon: DaemonProcess): Promise<void> => await until(`${daemon.plan.vm} is ready`, async () => await answers(daemon.plan, '/readyz'))
+const waitUntilReady = async (daemon: DaemonProcess): Promise<void> => await until(`${daemon.plan.vm} is ready`, async () => await checkHealth(daemon.plan, '/readyz'))
 
-test('the leader is killed: what it acknowledged stays, changes and claims go on', async () => {
-  // Guards against this failure: an accepted change is gone.
+test('the leader is killed: acknowledged changes remain, and new changes and claims are accepted', async () => {
+  // Guards against this failure: an accepted change is lost.
   const leader = await findLeader()
-  const before = await versionOf('desk')
+  const before = await getProfileVersion('desk')
   await publish('desk', { queueLimit: 111 }, before)
   await kill(leader.child)
   await findLeader()
-  assert.equal(await versionOf('desk'), before + 1)
+  assert.equal(await getProfileVersion('desk'), before + 1)
   await publish('desk', { queueLimit: 112 }, before + 1)
   const other = system.daemons.find(daemon => daemon !== leader) as DaemonProcess
-  await until('a claim is granted', async () => (await call(other, newId())).outcome === 'done')
+  await until('a claim is granted', async () => (await call(other, createId())).outcome === 'done')
   restartVm(system, leader)
-  await ready(leader)
+  await waitUntilReady(leader)
   assert.equal((await call(leader)).status, 200)
 })
 
-test('the leader is frozen past its lease: when it wakes it decides nothing on what it remembered', async () => {
-  // Guards against this failure: a VM goes by replaced configuration.
+test('the leader is frozen past its lease: when it resumes, it makes no decision by its old configuration', async () => {
+  // Guards against this failure: a VM acts on configuration that has been replaced.
   const leader = await findLeader()
-  const before = await versionOf('desk')
+  const before = await getProfileVersion('desk')
   leader.child.kill('SIGSTOP')
   const others = system.daemons.filter(daemon => daemon !== leader)
-  await until('another leads', async () => {
+  await until('another VM is the leader', async () => {
     const { stdout } = await runCli(others.filter(daemon => daemon.plan.isControl).map(daemon => daemon.plan.rpc), ['status'])
     return (JSON.parse(stdout) as Array<{ log: { role: string } | null }>).some(row => row.log?.role === 'leader')
   })
   const file = join(folder, 'frozen.yaml')
   writeFileSync(file, stringify({ name: 'desk', places: ['kochi', 'chennai'], lookupTtlS: 1 }))
-  await mustCli(others.map(daemon => daemon.plan.rpc), ['profile', 'publish', file, '--expected-version', String(before)])
+  await runCliOrThrow(others.map(daemon => daemon.plan.rpc), ['profile', 'publish', file, '--expected-version', String(before)])
   await sleep(5000)
   leader.child.kill('SIGCONT')
   const seen = await request(`http://${leader.plan.http}/v1/lookup?service=offers`)
   const body = await seen.body.json() as { version?: number }
-  // Either it says that it does not know, or it has learned the change by now.
-  const { stdout } = await mustCli(others.map(daemon => daemon.plan.rpc), ['profile', 'list'])
+  // The VM either refuses because its configuration may be stale, or has already received the change.
+  const { stdout } = await runCliOrThrow(others.map(daemon => daemon.plan.rpc), ['profile', 'list'])
   const changed = (JSON.parse(stdout) as Array<{ name: string, version: number }>).find(row => row.name === 'desk')?.version
   assert.equal(changed, before + 1)
   if (seen.statusCode === 200) assert.ok((body.version ?? 0) > before)
   else assert.equal(seen.statusCode, 503)
-  await ready(leader)
-  assert.equal(await versionOf('desk'), before + 1)
+  await waitUntilReady(leader)
+  assert.equal(await getProfileVersion('desk'), before + 1)
 })
 
-test('a data folder is removed: the VM returns as a new member, and a second loss right after does no harm', async () => {
-  // Guards against this failure: accepted changes are gone.
+test('a data folder is removed: the VM rejoins as a new member, and a second loss immediately afterwards loses no change', async () => {
+  // Guards against this failure: accepted changes are lost.
   const leader = await findLeader()
   const [first, second] = system.daemons.filter(daemon => daemon.plan.isControl && daemon !== leader) as [DaemonProcess, DaemonProcess]
-  const before = await versionOf('desk')
+  const before = await getProfileVersion('desk')
   await publish('desk', { queueLimit: 120 }, before)
   await kill(first.child)
   rmSync(join(folder, first.plan.vm), { recursive: true, force: true })
   restartVm(system, first)
-  await until('the VM votes under a new incarnation', async () => {
+  await until('the VM is a voter under a new incarnation', async () => {
     const { stdout } = await runCli([first.plan.rpc], ['status'])
     const log = (JSON.parse(stdout) as Array<{ log: { id: string, members: Array<{ id: string, voter: boolean }> } | null }>)[0]?.log
     return log?.members.some(member => member.id === log.id && member.voter) ?? false
   })
   await kill(second.child)
   rmSync(join(folder, second.plan.vm), { recursive: true, force: true })
-  assert.equal(await versionOf('desk'), before + 1)
+  assert.equal(await getProfileVersion('desk'), before + 1)
   await publish('desk', { queueLimit: 121 }, before + 1)
   restartVm(system, second)
-  await ready(second)
-  assert.equal(await versionOf('desk'), before + 2)
+  await waitUntilReady(second)
+  assert.equal(await getProfileVersion('desk'), before + 2)
 })
 
-test('operators race with equal versions and resend: one wins, each hears the same answer again', async () => {
-  const version = await versionOf('desk')
+test('operators submit changes concurrently with the same expected version and resend them: one succeeds, and each gets the same answer again', async () => {
+  const version = await getProfileVersion('desk')
   const files = ['a', 'b'].map(name => {
     const file = join(folder, `race-${name}.yaml`)
     writeFileSync(file, stringify({ name: 'desk', places: ['kochi', 'chennai'], lookupTtlS: 1, queueLimit: name === 'a' ? 130 : 140 }))
     return file
   })
-  const race = async (): Promise<Array<{ code: number | null, stderr: string }>> => await Promise.all(files.map(async (file, place) =>
-    await runCli(living(), ['profile', 'publish', file, '--expected-version', String(version), '--change-id', `race-${seed}-${place}`])))
+  const race = async (): Promise<Array<{ code: number | null, stderr: string }>> => await Promise.all(files.map(async (file, index) =>
+    await runCli(getLiveAddresses(), ['profile', 'publish', file, '--expected-version', String(version), '--change-id', `race-${seed}-${index}`])))
   const first = await race()
   assert.deepEqual(first.map(result => result.code).sort(), [0, 3])
   assert.match(first.find(result => result.code === 3)?.stderr ?? '', /by demo, change race-/)
   const again = await race()
   assert.deepEqual(again.map(result => result.code), first.map(result => result.code))
-  assert.equal(await versionOf('desk'), version + 1)
+  assert.equal(await getProfileVersion('desk'), version + 1)
 })
 
-test('the VM that holds a claim is killed while the server works: the id stays spent and runs once', async () => {
-  // Guards against this failure: an offer is lodged twice.
+test('the VM that holds a claim is killed while the server processes the request: the id stays spent and runs once', async () => {
+  // Guards against this failure: an offer is submitted twice.
   const holder = system.daemons.find(daemon => !daemon.plan.isControl) as DaemonProcess
   const other = system.daemons.find(daemon => daemon.plan.isControl) as DaemonProcess
-  const id = newId()
+  const id = createId()
   const lost = call(holder, id, '/slow').then(() => 'answered', () => 'lost')
-  await until('the server works on it', async () => runs.get(id) === 1)
+  await until('the server has started the request', async () => runs.get(id) === 1)
   await kill(holder.child)
   assert.equal(await lost, 'lost')
   for (let tries = 0; tries < 3; tries++) assert.equal((await call(other, id)).outcome, 'unknown')
   assert.equal(runs.get(id), 1)
   restartVm(system, holder)
-  await ready(holder)
+  await waitUntilReady(holder)
   assert.equal((await call(holder, id)).outcome, 'unknown')
   assert.equal(runs.get(id), 1)
 })
 
 test('SIGTERM ends a VM without cutting a request, with exit code 0', async () => {
   const leaver = system.daemons.find(daemon => !daemon.plan.isControl) as DaemonProcess
-  const open = Promise.all(Array.from({ length: 5 }, async () => await call(leaver, newId(), '/slow')))
+  const open = Promise.all(Array.from({ length: 5 }, async () => await call(leaver, createId(), '/slow')))
   await sleep(50)
   leaver.child.kill('SIGTERM')
   for (const reply of await open) assert.equal(reply.outcome, 'done')
   assert.equal(await ended(leaver.child), 0)
   restartVm(system, leaver)
-  await ready(leaver)
+  await waitUntilReady(leaver)
 })
 
 test('bad settings end the daemon with exit code 2 and name the key', async () => {
@@ -227,14 +227,14 @@
 })
 
 test('the command line refuses bad input with exit code 2 and unknown things with 4', async () => {
-  assert.equal((await runCli(living(), ['drain', 'start', 'planet', 'x'])).code, 2)
-  assert.equal((await runCli(living(), ['drain', 'start', 'region', 'delhi'])).code, 2)
-  assert.equal((await runCli(living(), ['profile', 'get', 'none'])).code, 4)
+  assert.equal((await runCli(getLiveAddresses(), ['drain', 'start', 'planet', 'x'])).code, 2)
+  assert.equal((await runCli(getLiveAddresses(), ['drain', 'start', 'region', 'delhi'])).code, 2)
+  assert.equal((await runCli(getLiveAddresses(), ['profile', 'get', 'none'])).code, 4)
   assert.equal((await runCli(['nowhere'], ['status'])).code, 2)
-  assert.equal((await runCli(living(), ['nonsense'])).code, 2)
+  assert.equal((await runCli(getLiveAddresses(), ['nonsense'])).code, 2)
   const bad = join(folder, 'bad-profile.yaml')
   writeFileSync(bad, stringify({ name: 'desk', places: ['kochi'], regionCaps: { kochi: -3 } }))
-  const refused = await runCli(living(), ['profile', 'publish', bad])
+  const refused = await runCli(getLiveAddresses(), ['profile', 'publish', bad])
   assert.equal(refused.code, 2)
   assert.match(refused.stderr, /regionCaps\.kochi/)
 })
--- a/scripts/bench.ts
+++ b/scripts/bench.ts
@@ -1,6 +1,6 @@
 /** `npm run bench -- path | policy [choice|overload|shift|claims] | capacity [--quick] [--page]`. */
 import { parseArgs } from 'node:util'
-import { benchCapacity, remakePage } from './bench/capacity.js'
+import { benchCapacity, regeneratePage } from './bench/capacity.js'
 import { benchPolicy } from './bench/policy.js'
 import { benchPath } from './bench/path.js'
 
@@ -12,7 +12,7 @@
     await benchPath(seconds)
     break
   case 'capacity':
-    if (values.page) remakePage()
+    if (values.page) regeneratePage()
     else await benchCapacity(values.quick)
     break
   case 'policy':
--- a/scripts/bench/bareServers.ts
+++ b/scripts/bench/bareServers.ts
@@ -1,25 +1,25 @@
-/** Bare servers to compare with: one that answers a fixed body, one that passes requests on. */
+/** Bare HTTP servers as a baseline: one answers with a fixed body, one forwards requests. */
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { Pool } from 'undici'
-import { answerOrders } from '../support/childOrders.js'
+import { serveCommands } from '../support/childOrders.js'
 
-/** What to run: `fixed` answers so many bytes, `pass` sends to a target, `target` answers a small body. */
-export interface BareOrder {
+/** Which server to start: `fixed` and `target` answer with a body of `bytes` bytes, `pass` forwards requests to `target`. */
+export interface BareServerCommand {
   readonly kind: 'fixed' | 'pass' | 'target'
   readonly ip: string
   readonly bytes: number
   readonly target: string
 }
 
-function start (order: BareOrder): ReturnType<typeof createServer> {
-  const body = Buffer.alloc(order.bytes, 'x')
-  if (order.kind !== 'pass') {
+function createBareServer (command: BareServerCommand): ReturnType<typeof createServer> {
+  const body = Buffer.alloc(command.bytes, 'x')
+  if (command.kind !== 'pass') {
     return createServer((_, res) => {
       res.writeHead(200, { 'content-type': 'application/json', 'content-length': body.length }).end(body)
     })
   }
-  const pool = new Pool(`http://${order.target}`, { connections: 64 })
+  const pool = new Pool(`http://${command.target}`, { connections: 64 })
   return createServer((req, res) => {
     pool.request({ method: 'GET', path: req.url ?? '/', headers: { 'x-echo': String(req.headers['x-echo']) } })
       .then(async answer => {
@@ -30,9 +30,9 @@
   })
 }
 
-answerOrders<BareOrder>(async order => {
-  const server = start(order)
+serveCommands<BareServerCommand>(async command => {
+  const server = createBareServer(command)
   server.keepAliveTimeout = 60_000
-  await new Promise<void>(resolve => server.listen(0, order.ip, resolve))
-  return { address: `${order.ip}:${(server.address() as AddressInfo).port}` }
+  await new Promise<void>(resolve => server.listen(0, command.ip, resolve))
+  return { address: `${command.ip}:${(server.address() as AddressInfo).port}` }
 })
--- a/scripts/bench/capacity.ts
+++ b/scripts/bench/capacity.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run bench -- capacity`: the slopes that docs/CAPACITY.md is worked out from, measured on one
+ * `npm run bench -- capacity`: measures the slopes from which docs/CAPACITY.md is computed, on one
  * machine with real control daemons and many entry daemons in a few processes.
  */
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs'
@@ -8,22 +8,22 @@
 import { fileURLToPath } from 'node:url'
 import { startSystem, stopSystem } from '../support/system.js'
 import { printTable } from '../support/tables.js'
-import { round } from './measuring.js'
-import { measurePure } from './path.js'
+import { round } from './measure.js'
+import { measureLookups } from './path.js'
 import { writeCapacityPage } from './capacityPage.js'
 import type { CapacityFigures } from './capacityFigures.js'
-import { measureBlocks, measureDirectory, measureMachine } from './capacityModules.js'
+import { measureBlocks, measureDirectory, measureStateMachine } from './capacityModules.js'
 import { measureClaims, measureMembers, measureProcesses } from './capacitySystem.js'
 
 const figuresFile = fileURLToPath(new URL('../../../docs/capacity.json', import.meta.url))
 
-/** Runs the bench, writes the figures, and makes the page from them. */
+/** Runs the benchmark. A full run also writes the figures to docs/capacity.json and generates the page from them. */
 export async function benchCapacity (quick: boolean): Promise<void> {
   const figures: CapacityFigures = { date: new Date().toISOString().slice(0, 10), machine: { cores: cpus().length, node: process.version }, quick, slopes: [], single: {} }
   measureBlocks(figures, quick)
   measureDirectory(figures, quick)
-  measureMachine(figures, quick)
-  Object.assign(figures.single, measurePure())
+  measureStateMachine(figures, quick)
+  Object.assign(figures.single, measureLookups())
   const folder = mkdtempSync(join(tmpdir(), 'lynxcourse-capacity-'))
   const system = await startSystem(3, folder, { log: { level: 'error' } }, true)
   try {
@@ -41,7 +41,7 @@
   writeCapacityPage(figures)
 }
 
-/** Makes the page anew from the figures of the last full run. */
-export function remakePage (): void {
+/** Generates the page again from the figures of the last full run. */
+export function regeneratePage (): void {
   writeCapacityPage(JSON.parse(readFileSync(figuresFile, 'utf8')) as CapacityFigures)
 }
--- a/scripts/bench/capacityFigures.ts
+++ b/scripts/bench/capacityFigures.ts
@@ -1,8 +1,8 @@
-/** The figures of a run. */
-import { fitLine, round } from './measuring.js'
-import type { Line } from './measuring.js'
+/** The figures of one run of the capacity benchmark. */
+import { fitLine, round } from './measure.js'
+import type { Line } from './measure.js'
 
-/** One slope with its points. */
+/** A measured slope: the points and the line fitted to them. */
 export interface Slope {
   readonly name: string
   readonly unit: string
@@ -11,7 +11,7 @@
   readonly line: Line
 }
 
-/** All figures of one run; the page is made from these alone. */
+/** All figures of one run; the page is generated from these alone. */
 export interface CapacityFigures {
   readonly date: string
   readonly machine: { readonly cores: number, readonly node: string }
@@ -20,6 +20,7 @@
   readonly single: Record<string, number>
 }
 
-export function slope (figures: CapacityFigures, name: string, unit: string, per: string, points: ReadonlyArray<readonly [number, number]>): void {
+/** Fits a line to the points and adds it to the figures. */
+export function recordSlope (figures: CapacityFigures, name: string, unit: string, per: string, points: ReadonlyArray<readonly [number, number]>): void {
   figures.slopes.push({ name, unit, per, points: points.map(([x, y]) => [x, round(y, 4)] as const), line: fitLine(points) })
 }
--- a/scripts/bench/capacityPage.ts
+++ b/scripts/bench/capacityPage.ts
@@ -1,13 +1,13 @@
-/** Makes docs/CAPACITY.md and its plots from the figures of a run, so that the page can't drift from it. */
+/** Generates docs/CAPACITY.md and its plots from the figures of a run, so that the page always matches the run. */
 import { writeFileSync } from 'node:fs'
 import { fileURLToPath } from 'node:url'
 import type { CapacityFigures, Slope } from './capacityFigures.js'
-import { round } from './measuring.js'
+import { round } from './measure.js'
 import { plotSvg } from './plot.js'
 
 const docs = fileURLToPath(new URL('../../../docs/', import.meta.url))
 
-/** Sizes that the page speaks of. */
+/** A system size for which the page computes its tables. */
 interface Size {
   readonly name: string
   readonly nodes: number
@@ -26,7 +26,7 @@
   { name: 'target', nodes: 2800, regions: 41, domains: 117, sites: 2600, blocks: 860_000, lookups: 4_700_000, changesPerDay: 9800, control: 42 }
 ]
 
-/** Assumed, since the target does not say. */
+/** Assumptions, since the target doesn't specify these values. */
 const serversPerSite = 20
 const claimsPerNode = 2
 const itemBytes = 500
@@ -37,84 +37,84 @@
 interface Limits { readonly cpu: number, readonly mb: number, readonly bytes: number }
 const limits: Limits = { cpu: 2, mb: 64, bytes: 24_000 }
 
-type SlopeOf = (name: string) => number
+type GetSlope = (name: string) => number
 
-function find (figures: CapacityFigures, name: string): Slope {
+function findSlope (figures: CapacityFigures, name: string): Slope {
   const found = figures.slopes.find(slope => slope.name === name)
   if (found === undefined) throw new Error(`no slope '${name}'`)
   return found
 }
 
-function fmt (value: number): string {
+function formatNumber (value: number): string {
   if (!Number.isFinite(value)) return '-'
   if (Math.abs(value) >= 10_000) return Math.round(value).toLocaleString('en-US')
   return String(round(value))
 }
 
-function row (...cells: Array<string | number>): string {
-  return `| ${cells.map(cell => typeof cell === 'number' ? fmt(cell) : cell).join(' | ')} |`
+function formatRow (...cells: Array<string | number>): string {
+  return `| ${cells.map(cell => typeof cell === 'number' ? formatNumber(cell) : cell).join(' | ')} |`
 }
 
-function table (head: readonly string[], rows: readonly string[]): string[] {
-  return [row(...head), `|${head.map(() => '---').join('|')}|`, ...rows]
+function formatTable (head: readonly string[], rows: readonly string[]): string[] {
+  return [formatRow(...head), `|${head.map(() => '---').join('|')}|`, ...rows]
 }
 
-function against (value: number, limit: number): string {
-  return `${fmt(value)}${value > limit ? ' **over**' : ''}`
+function formatWithLimit (value: number, limit: number): string {
+  return `${formatNumber(value)}${value > limit ? ' **over**' : ''}`
 }
 
-/** Records that each node holds with today's code: all VMs and all servers. */
-function recordsAt (size: Size): number {
+/** Returns the number of records that each node stores: one for each VM and each server. */
+function countRecords (size: Size): number {
   return size.nodes + (size.name === 'today' ? 74 : size.sites * serversPerSite)
 }
 
-function entryRows (slopeOf: SlopeOf, figures: CapacityFigures): string[] {
-  const perMember = slopeOf('control traffic at all control VMs')
+function formatEntryRows (getSlope: GetSlope, figures: CapacityFigures): string[] {
+  const perMember = getSlope('control traffic at all control VMs')
   return sizes.map(size => {
-    const records = recordsAt(size)
-    const refreshed = records / size.nodes * slopeOf('bytes to pass all records on once') / refreshSeconds
+    const records = countRecords(size)
+    const refreshed = records / size.nodes * getSlope('bytes to pass all records on once') / refreshSeconds
     const traffic = perMember + refreshed + size.changesPerDay / secondsPerDay * itemBytes
-    const stateMb = records * slopeOf('directory memory') / 1e6 + size.blocks * slopeOf('look-up table memory') / 1e6
-    const controlMb = slopeOf('memory of members in shared processes') + stateMb
-    return row(size.name, records, against(slopeOf('processor share of members'), limits.cpu), against(controlMb, limits.mb), (figures.single['entryProcessMb'] ?? NaN) + stateMb,
-      against(traffic, limits.bytes), records * slopeOf('bytes to pass all records on once') / 1e6, size.lookups / size.nodes, 1)
+    const stateMb = records * getSlope('directory memory') / 1e6 + size.blocks * getSlope('look-up table memory') / 1e6
+    const controlMb = getSlope('memory of members in shared processes') + stateMb
+    return formatRow(size.name, records, formatWithLimit(getSlope('processor share of members'), limits.cpu), formatWithLimit(controlMb, limits.mb), (figures.single['entryProcessMb'] ?? NaN) + stateMb,
+      formatWithLimit(traffic, limits.bytes), records * getSlope('bytes to pass all records on once') / 1e6, size.lookups / size.nodes, 1)
   })
 }
 
-function relayRows (slopeOf: SlopeOf): string[] {
+function formatRelayRows (getSlope: GetSlope): string[] {
   return sizes.map(size => {
     const children = size.nodes / Math.max(1, size.control - (size.control > 3 ? 1 : 0))
-    const cpu = children * slopeOf('leader processor share')
-    const up = recordsAt(size) / size.control * slopeOf('bytes to pass all records on once') / refreshSeconds
-    return row(size.name, children, cpu, children * slopeOf('control traffic at all control VMs') / 2 + up, children)
+    const cpu = children * getSlope('leader processor share')
+    const up = countRecords(size) / size.control * getSlope('bytes to pass all records on once') / refreshSeconds
+    return formatRow(size.name, children, cpu, children * getSlope('control traffic at all control VMs') / 2 + up, children)
   })
 }
 
-function leaderRows (slopeOf: SlopeOf, idle: number): string[] {
+function formatLeaderRows (getSlope: GetSlope, idle: number): string[] {
   return sizes.map(size => {
-    const reports = idle + size.nodes * slopeOf('leader processor share')
-    const refresh = recordsAt(size) / refreshSeconds * slopeOf('processor time of one refresh, both ends') / 1e6 * 100
+    const reports = idle + size.nodes * getSlope('leader processor share')
+    const refresh = countRecords(size) / refreshSeconds * getSlope('processor time of one refresh, both ends') / 1e6 * 100
     const syncs = size.changesPerDay / secondsPerDay
-    return row(size.name, against(reports, 100), against(refresh, 100), syncs, recordsAt(size) * slopeOf('directory memory') / 1e6, size.nodes + size.control)
+    return formatRow(size.name, formatWithLimit(reports, 100), formatWithLimit(refresh, 100), syncs, countRecords(size) * getSlope('directory memory') / 1e6, size.nodes + size.control)
   })
 }
 
-function claimRows (slopeOf: SlopeOf, figures: CapacityFigures): string[] {
+function formatClaimRows (getSlope: GetSlope, figures: CapacityFigures): string[] {
   return sizes.map(size => {
     const rate = size.nodes * claimsPerNode
-    const cpu = rate * slopeOf('leader processor share by claims')
+    const cpu = rate * getSlope('leader processor share by claims')
     const kept = rate * 600
-    return row(size.name, rate, against(cpu, 100), rate * slopeOf('bytes into control VMs by claims'), kept > 200_000 ? `${fmt(kept)} **over** 200,000` : kept,
-      kept * slopeOf('register memory') / 1e6, kept * slopeOf('snapshot size') / 1e6, Math.min(rate, figures.single['diskSyncsPerSecondAt2000'] ?? NaN))
+    return formatRow(size.name, rate, formatWithLimit(cpu, 100), rate * getSlope('bytes into control VMs by claims'), kept > 200_000 ? `${formatNumber(kept)} **over** 200,000` : kept,
+      kept * getSlope('register memory') / 1e6, kept * getSlope('snapshot size') / 1e6, Math.min(rate, figures.single['diskSyncsPerSecondAt2000'] ?? NaN))
   })
 }
 
-function slopeRows (figures: CapacityFigures): string[] {
+function formatSlopeRows (figures: CapacityFigures): string[] {
   return figures.slopes.map(({ name, unit, per, line, points }) =>
-    row(name, `${fmt(line.slope)} ${unit} per ${per}`, fmt(line.intercept), line.r2 < 0.9 ? `${fmt(line.r2)} **no line**` : fmt(line.r2), points.map(([x, y]) => `${fmt(x)}: ${fmt(y)}`).join('; ')))
+    formatRow(name, `${formatNumber(line.slope)} ${unit} per ${per}`, formatNumber(line.intercept), line.r2 < 0.9 ? `${formatNumber(line.r2)} **no line**` : formatNumber(line.r2), points.map(([x, y]) => `${formatNumber(x)}: ${formatNumber(y)}`).join('; ')))
 }
 
-const misses: ReadonlyArray<readonly string[]> = [
+const limitations: ReadonlyArray<readonly string[]> = [
   ['every node holds every record', 'directory memory and the first sync grow with all VMs and servers', 'scope records to the regions that a node\'s profiles name, and to a subset of their servers'],
   ['reports go to the leader', 'its processor share grows with all nodes', 'relays add reports up, and grants are shared twice: leader to region, region to VM'],
   ['refreshes reach the root', 'each record is repeated to the leader every 5 s', 'a relay refreshes its region as one (count and hash), and records only when they change'],
@@ -123,34 +123,34 @@
   ['any VM may use any server of its places', 'a server sees slots × VMs connections', 'the `slots` policy: a server sees its slots and no more; or subsets']
 ]
 
-function connectionLine (size: Size): string {
+function formatConnectionRow (size: Size): string {
   const perRegion = Math.ceil(size.nodes / size.regions)
-  return row(size.name, perRegion, perRegion * 3, size.nodes * 3, 3)
+  return formatRow(size.name, perRegion, perRegion * 3, size.nodes * 3, 3)
 }
 
-function answersSection (figures: CapacityFigures, slopeOf: SlopeOf): string[] {
+function formatQuestions (figures: CapacityFigures, getSlope: GetSlope): string[] {
   const target = sizes[2] as Size
   const changeBytes = target.changesPerDay / secondsPerDay * itemBytes
-  const fullMb = recordsAt(target) * slopeOf('bytes to pass all records on once') / 1e6
+  const fullMb = countRecords(target) * getSlope('bytes to pass all records on once') / 1e6
   const nodesPerDomain = target.nodes / target.domains
   const serversPerDomain = target.sites / target.domains * serversPerSite
-  const lossBytes = (nodesPerDomain + serversPerDomain) * slopeOf('bytes to pass all records on once')
+  const lossBytes = (nodesPerDomain + serversPerDomain) * getSlope('bytes to pass all records on once')
   return [
     '## Questions', '',
-    `**Who spreads ${target.changesPerDay.toLocaleString('en-US')} changes a day to ${target.nodes.toLocaleString('en-US')} nodes?** The tree: the leader to the other control VMs, each of those to the nodes of its region; a node asks one parent twice a second and gets what changed. With ${itemBytes} bytes a change (assumed) that is ${fmt(changeBytes)} bytes/s on a node's only link and ${fmt(changeBytes * target.nodes / target.regions)} bytes/s on a relay. Measured: ${fmt(figures.single['spreadP50Ms'] ?? NaN)} ms at the median and ${fmt(figures.single['spreadMaxMs'] ?? NaN)} ms at most from submission until the last of 300 nodes had a change (${figures.single['spreadChanges']} changes).`, '',
-    `**What does a restart of ${restartsPerDay} nodes a day cost?** Each gets all records once: ${fmt(fullMb)} MB with today's code at the target, ${fmt(fullMb * 1e6 / limits.bytes)} s at 24 KB/s: **over**. Scoped to one region of 41 it is ${fmt(fullMb / target.regions * 1000)} KB. A control VM that was away for ${figures.single['restartChanges']} changes was ready ${fmt(figures.single['restartAfterChangesMs'] ?? NaN)} ms after its start; one with an emptied disk was a voter again after ${fmt(figures.single['emptyDiskToVoterMs'] ?? NaN)} ms (measured).`, '',
-    `**What does a lost failure domain make everyone else do at once?** About ${fmt(nodesPerDomain)} nodes and ${fmt(serversPerDomain)} servers (assumed ${serversPerSite} a site) go. Each remaining node gets their ends once, ${fmt(lossBytes / 1000)} KB, spread over the time in which they are missed (2 to 5 s for VMs, 6 s for servers): ${fmt(lossBytes / 5)} bytes/s${lossBytes / 5 > limits.bytes ? ' **over**' : ''}. Callers go to the next VM of their own list, which differs by block, so the load of one lost VM spreads over all VMs of the region. Server policies by rendezvous hashing move only what the lost VMs held. Claims of the lost VMs stay spent; their callers hear \`unknown\`. Shares of caps of the lost VMs are free again after the grant's life and the longest deadline.`, '',
+    `**Who spreads ${target.changesPerDay.toLocaleString('en-US')} changes a day to ${target.nodes.toLocaleString('en-US')} nodes?** The tree: the leader to the other control VMs, each of those to the nodes of its region; a node asks one parent twice a second and gets what changed. With ${itemBytes} bytes a change (assumed) that is ${formatNumber(changeBytes)} bytes/s on a node's only link and ${formatNumber(changeBytes * target.nodes / target.regions)} bytes/s on a relay. Measured: ${formatNumber(figures.single['spreadP50Ms'] ?? NaN)} ms at the median and ${formatNumber(figures.single['spreadMaxMs'] ?? NaN)} ms at most from submission until the last of 300 nodes had a change (${figures.single['spreadChanges']} changes).`, '',
+    `**What does a restart of ${restartsPerDay} nodes a day cost?** Each gets all records once: ${formatNumber(fullMb)} MB with today's code at the target, ${formatNumber(fullMb * 1e6 / limits.bytes)} s at 24 KB/s: **over**. Scoped to one region of 41 it is ${formatNumber(fullMb / target.regions * 1000)} KB. A control VM that was away for ${figures.single['restartChanges']} changes was ready ${formatNumber(figures.single['restartAfterChangesMs'] ?? NaN)} ms after its start; one with an emptied disk was a voter again after ${formatNumber(figures.single['emptyDiskToVoterMs'] ?? NaN)} ms (measured).`, '',
+    `**What does a lost failure domain make everyone else do at once?** About ${formatNumber(nodesPerDomain)} nodes and ${formatNumber(serversPerDomain)} servers (assumed ${serversPerSite} a site) go. Each remaining node gets their ends once, ${formatNumber(lossBytes / 1000)} KB, spread over the time in which they are missed (2 to 5 s for VMs, 6 s for servers): ${formatNumber(lossBytes / 5)} bytes/s${lossBytes / 5 > limits.bytes ? ' **over**' : ''}. Callers go to the next VM of their own list, which differs by block, so the load of one lost VM spreads over all VMs of the region. Server policies by rendezvous hashing move only what the lost VMs held. Claims of the lost VMs stay spent; their callers hear \`unknown\`. Shares of caps of the lost VMs are free again after the grant's life and the longest deadline.`, '',
     '**What stays within a region when regions lose each other?** A region without the leader\'s quorum loses its leases after 4 s: by profile its VMs refuse, or serve reads from their own region\'s servers where no cap applies. Changes and claims wait for the side with the quorum. That side goes on; it waits until leases and grants of the other have run out before it relies on their end.', '',
     '**How many connections does a server with 330 see?**', '',
-    ...table(['size', 'VMs in its region', 'policy alone, region only', 'policy alone, all regions', 'policy slots'], sizes.map(connectionLine)), ''
+    ...formatTable(['size', 'VMs in its region', 'policy alone, region only', 'policy alone, all regions', 'policy slots'], sizes.map(formatConnectionRow)), ''
   ]
 }
 
 /** Writes the page and the plots. */
 export function writeCapacityPage (figures: CapacityFigures): void {
-  const slopeOf: SlopeOf = name => find(figures, name).line.slope
+  const getSlope: GetSlope = name => findSlope(figures, name).line.slope
   const plots = ['leader processor share', 'control traffic at all control VMs', 'leader processor share by claims']
-  for (const name of plots) writeFileSync(`${docs}capacity-${name.replaceAll(' ', '-')}.svg`, plotSvg(find(figures, name)))
+  for (const name of plots) writeFileSync(`${docs}capacity-${name.replaceAll(' ', '-')}.svg`, plotSvg(findSlope(figures, name)))
   const lines = [
     '# Capacity', '',
     `Made by \`npm run bench -- capacity\` from the run of ${figures.date} (docs/capacity.json: ${figures.machine.cores} cores, Node ${figures.machine.node}); do not edit. **over** marks what misses a limit of the target with today's code.`, '',
@@ -158,29 +158,29 @@
     `${serversPerSite} servers a site, ${claimsPerNode} claims a second and node, ${itemBytes} bytes a change. Not measured: anything over 300 nodes, networks with real delays or losses, disks other than this machine's.`, '',
     'Limits of the target: 2 % of a core, 64 MB and 24 KB/s a node for control; 8 s for a change; 42 control VMs.', '',
     '## Entry VM', '',
-    'Mechanism: asks one parent twice a second (`membership/core/tree.ts`), reports to the leader twice a second, holds the directory and the look-up table. Control memory is the slope of nodes that share a process plus the state; the whole process is beside it, since Node and the libraries alone take ' + `${fmt(figures.single['bareProcessMb'] ?? NaN)} MB.`, '',
-    ...table(['size', 'records', 'processor, %', 'control memory, MB', 'whole process, MB', 'bytes/s', 'first sync, MB', 'look-ups/s', 'control connections'], entryRows(slopeOf, figures)), '',
+    'Mechanism: asks one parent twice a second (`membership/core/tree.ts`), reports to the leader twice a second, holds the directory and the look-up table. Control memory is the slope of nodes that share a process plus the state; the whole process is beside it, since Node and the libraries alone take ' + `${formatNumber(figures.single['bareProcessMb'] ?? NaN)} MB.`, '',
+    ...formatTable(['size', 'records', 'processor, %', 'control memory, MB', 'whole process, MB', 'bytes/s', 'first sync, MB', 'look-ups/s', 'control connections'], formatEntryRows(getSlope, figures)), '',
     '## Relay (a control VM that does not lead)', '',
     'Mechanism: answers the nodes of its region, passes their records up and changes down. One core is set aside.', '',
-    ...table(['size', 'nodes below', 'processor, %', 'bytes/s', 'connections'], relayRows(slopeOf)), '',
+    ...formatTable(['size', 'nodes below', 'processor, %', 'bytes/s', 'connections'], formatRelayRows(getSlope)), '',
     '## Leader', '',
     'Mechanism: the replicated log (`agreement`), reports and shares of caps (`limits`), plans of drains and shifts (`steering`).', '',
-    ...table(['size', 'idle and reports: processor, %', 'refreshes: processor, %', 'files synced a second (changes)', 'directory, MB', 'connections'], leaderRows(slopeOf, find(figures, 'leader processor share').line.intercept)), '',
+    ...formatTable(['size', 'idle and reports: processor, %', 'refreshes: processor, %', 'files synced a second (changes)', 'directory, MB', 'connections'], formatLeaderRows(getSlope, findSlope(figures, 'leader processor share').line.intercept)), '',
     '## Keepers of claims (the same control VMs)', '',
     'Mechanism: claims and their ends are entries of the log, batched into one sync; kept for 600 s (`state/core/claims.ts`). Between 250 and 2,000 claims a second the processor share hardly grows (its points are no line): each batch costs, and batches grow. The column is that weak slope, so read it as a lower bound; the floor is the first point of the slope\'s row below.', '',
-    ...table(['size', 'claims/s', 'leader processor, %', 'bytes/s', 'records kept', 'memory, MB', 'snapshot, MB', 'files synced a second'], claimRows(slopeOf, figures)), '',
+    ...formatTable(['size', 'claims/s', 'leader processor, %', 'bytes/s', 'records kept', 'memory, MB', 'snapshot, MB', 'files synced a second'], formatClaimRows(getSlope, figures)), '',
     '## Command line', '',
-    'One process for each command; it holds no state and asks one VM: a change is one message and `--wait` asks five times a second. 9,800 changes a day are 0.11 a second, against ' + `${fmt(figures.single['changesPerSecondOneByOne'] ?? NaN)} a second measured one after the other.`, '',
+    'One process for each command; it holds no state and asks one VM: a change is one message and `--wait` asks five times a second. 9,800 changes a day are 0.11 a second, against ' + `${formatNumber(figures.single['changesPerSecondOneByOne'] ?? NaN)} a second measured one after the other.`, '',
     '## Where today\'s code misses the target', '',
-    ...table(['what', 'why', 'what would mend it'], misses.map(miss => row(...miss))), '',
-    ...answersSection(figures, slopeOf),
+    ...formatTable(['what', 'why', 'what would mend it'], limitations.map(miss => formatRow(...miss))), '',
+    ...formatQuestions(figures, getSlope),
     '## Look-up table', '',
-    `Measured with ${fmt(figures.single['blocks'] ?? NaN)} blocks: ${figures.single['tableMB']} MB, built in ${fmt(figures.single['buildMs'] ?? NaN)} ms, ${fmt(figures.single['blockToRegionPerSecond'] ?? NaN)} blocks found a second on one core, ${fmt(figures.single['wholeLookupPerSecond'] ?? NaN)} whole look-up decisions a second. A node's share at the target is ${fmt(4_700_000 / 2800)} look-ups a second.`, '',
+    `Measured with ${formatNumber(figures.single['blocks'] ?? NaN)} blocks: ${figures.single['tableMB']} MB, built in ${formatNumber(figures.single['buildMs'] ?? NaN)} ms, ${formatNumber(figures.single['blockToRegionPerSecond'] ?? NaN)} blocks found a second on one core, ${formatNumber(figures.single['wholeLookupPerSecond'] ?? NaN)} whole look-up decisions a second. A node's share at the target is ${formatNumber(4_700_000 / 2800)} look-ups a second.`, '',
     '## Slopes', '',
     ...plots.map(name => `![${name}](capacity-${name.replaceAll(' ', '-')}.svg)`), '',
-    ...table(['what', 'slope', 'at zero', 'r²', 'points'], slopeRows(figures)), '',
+    ...formatTable(['what', 'slope', 'at zero', 'r²', 'points'], formatSlopeRows(figures)), '',
     '## Single figures', '',
-    ...table(['figure', 'value'], Object.entries(figures.single).map(([name, value]) => row(name, value))), ''
+    ...formatTable(['figure', 'value'], Object.entries(figures.single).map(([name, value]) => formatRow(name, value))), ''
   ]
   writeFileSync(`${docs}CAPACITY.md`, lines.join('\n'))
 }
--- a/scripts/bench/loadClient.ts
+++ b/scripts/bench/loadClient.ts
@@ -1,9 +1,9 @@
-/** A load client in a process of its own: some connections, each with one request under way at a time. */
+/** A load client in a separate process: several connections, each with one request in flight at a time. */
 import { Client } from 'undici'
-import { answerOrders } from '../support/childOrders.js'
+import { serveCommands } from '../support/childOrders.js'
 
-/** What to load. */
-export interface LoadOrder {
+/** The target of the load, the number of connections and the duration. */
+export interface LoadCommand {
   readonly origin: string
   readonly path: string
   readonly headers: Readonly<Record<string, string>>
@@ -12,7 +12,7 @@
   readonly localAddress: string
 }
 
-/** What came of it. */
+/** Counts and latencies of one load run. Answers and latencies exclude the warm-up, errors include it. */
 export interface LoadResult {
   readonly answers: number
   readonly errors: number
@@ -24,11 +24,11 @@
 
 const warmUpMs = 500
 
-async function loop (client: Client, order: LoadOrder, state: { stop: boolean, counting: boolean, errors: number, times: number[] }): Promise<void> {
+async function sendRequests (client: Client, command: LoadCommand, state: { stop: boolean, counting: boolean, errors: number, times: number[] }): Promise<void> {
   while (!state.stop) {
     const startedAt = performance.now()
     try {
-      const res = await client.request({ method: 'GET', path: order.path, headers: { ...order.headers } })
+      const res = await client.request({ method: 'GET', path: command.path, headers: { ...command.headers } })
       await res.body.dump()
       if (res.statusCode !== 200) state.errors += 1
       else if (state.counting) state.times.push(performance.now() - startedAt)
@@ -38,14 +38,14 @@
   }
 }
 
-async function load (order: LoadOrder): Promise<LoadResult> {
-  const clients = Array.from({ length: order.connections }, () => new Client(order.origin, { localAddress: order.localAddress, pipelining: 1 }))
+async function runLoadCommand (command: LoadCommand): Promise<LoadResult> {
+  const clients = Array.from({ length: command.connections }, () => new Client(command.origin, { localAddress: command.localAddress, pipelining: 1 }))
   const state = { stop: false, counting: false, errors: 0, times: [] as number[] }
-  const loops = clients.map(async client => await loop(client, order, state))
+  const loops = clients.map(async client => await sendRequests(client, command, state))
   await new Promise(resolve => setTimeout(resolve, warmUpMs))
   state.counting = true
   const startedAt = performance.now()
-  await new Promise(resolve => setTimeout(resolve, order.seconds * 1000))
+  await new Promise(resolve => setTimeout(resolve, command.seconds * 1000))
   const seconds = (performance.now() - startedAt) / 1000
   state.stop = true
   const answers = state.times.length
@@ -55,4 +55,4 @@
   return { answers, errors: state.errors, seconds, p50: sorted[Math.floor(answers / 2)] ?? NaN, p99: sorted[Math.floor(answers * 0.99)] ?? NaN }
 }
 
-answerOrders<LoadOrder>(load)
+serveCommands<LoadCommand>(runLoadCommand)
--- a/scripts/bench/measuring.ts
+++ b/scripts/bench/measure.ts
@@ -1,28 +1,28 @@
-/** Helpers that benches share: child processes, processor time and memory, straight lines. */
+/** Helpers that the benchmarks share: child processes, processor time, memory, metrics and line fits. */
 import type { ChildProcess } from 'node:child_process'
 import { readFileSync } from 'node:fs'
 import { request } from 'undici'
 import { forkScript } from '../support/processes.js'
 import type { VmPlan } from '../support/topology.js'
-import type { LoadOrder, LoadResult } from './loadClient.js'
+import type { LoadCommand, LoadResult } from './loadClient.js'
 
-/** Clock ticks a second in /proc; fixed on Linux. */
+/** Clock ticks per second in `/proc/PID/stat`; constant on Linux. */
 const ticksPerSecond = 100
 
-/** Sends an order to a child and waits for its answer. */
-export async function askChild<Answer> (child: ChildProcess, order: object): Promise<Answer> {
-  const answer = new Promise<Answer>((resolve, reject) => {
-    child.once('message', (message: Answer & { error?: string }) => message.error === undefined ? resolve(message) : reject(new Error(message.error)))
+/** Sends a command to a child process and waits for its reply. */
+export async function sendCommand<Reply> (child: ChildProcess, command: object): Promise<Reply> {
+  const reply = new Promise<Reply>((resolve, reject) => {
+    child.once('message', (message: Reply & { error?: string }) => message.error === undefined ? resolve(message) : reject(new Error(message.error)))
   })
-  child.send(order)
-  return await answer
+  child.send(command)
+  return await reply
 }
 
-/** Runs load clients, each a process, and adds up what they got. */
-export async function runLoad (order: LoadOrder, processes: number): Promise<LoadResult> {
+/** Runs load clients in separate processes and combines their results: the mean of the medians, the maximum of the p99. */
+export async function runLoad (command: LoadCommand, processes: number): Promise<LoadResult> {
   const children = Array.from({ length: processes }, () => forkScript('../bench/loadClient.js', []))
-  const share = { ...order, connections: Math.max(1, Math.floor(order.connections / processes)) }
-  const results = await Promise.all(children.map(async child => await askChild<LoadResult>(child, share)))
+  const commandPerProcess = { ...command, connections: Math.max(1, Math.floor(command.connections / processes)) }
+  const results = await Promise.all(children.map(async child => await sendCommand<LoadResult>(child, commandPerProcess)))
   for (const child of children) child.kill()
   const sum = (pick: (result: LoadResult) => number): number => results.reduce((total, result) => total + pick(result), 0)
   return {
@@ -34,27 +34,27 @@
   }
 }
 
-/** Processor time that a process has used, in seconds. */
-export function cpuSeconds (pid: number): number {
+/** Returns the processor time that a process has used, in seconds. */
+export function getCpuSeconds (pid: number): number {
   const text = readFileSync(`/proc/${pid}/stat`, 'utf8')
   const fields = text.slice(text.lastIndexOf(')') + 2).split(' ')
   return (Number(fields[11]) + Number(fields[12])) / ticksPerSecond
 }
 
-/** Resident memory of a process in MB. */
-export function residentMb (pid: number): number {
+/** Returns the resident memory of a process in MB. */
+export function getResidentMb (pid: number): number {
   const line = readFileSync(`/proc/${pid}/status`, 'utf8').split('\n').find(text => text.startsWith('VmRSS'))
   return Number(/(\d+)/.exec(line ?? '')?.[1] ?? NaN) / 1024
 }
 
-/** A metric of a daemon, summed over labels that match. */
-export async function metric (plan: Pick<VmPlan, 'metrics'>, name: string, label = ''): Promise<number> {
+/** Reads a metric of a daemon, summed over all series whose line contains `label`. */
+export async function readMetric (plan: Pick<VmPlan, 'metrics'>, name: string, label = ''): Promise<number> {
   const res = await request(`http://${plan.metrics}/metrics`)
   const lines = (await res.body.text()).split('\n').filter(line => line.startsWith(name) && line.includes(label) && !line.startsWith('#'))
   return lines.reduce((sum, line) => sum + Number(line.slice(line.lastIndexOf(' ') + 1)), 0)
 }
 
-/** A straight line through points by least squares. */
+/** A straight line fitted to points by least squares. */
 export interface Line {
   readonly slope: number
   readonly intercept: number
@@ -74,7 +74,7 @@
   return { slope, intercept: meanY - slope * meanX, r2 }
 }
 
-/** Rounds to so many significant digits. */
+/** Rounds a value to `digits` significant digits. */
 export function round (value: number, digits = 3): number {
   return Number(value.toPrecision(digits))
 }
--- a/scripts/bench/memberHost.ts
+++ b/scripts/bench/memberHost.ts
@@ -1,20 +1,20 @@
-/** Many entry daemons in one process, for measuring what each costs and how fast changes reach them. */
+/** Runs many entry daemons in one process, to measure their cost and how fast changes reach them. */
 import { settingsSchema, silentLogs, startDaemon } from '@lynxcourse/daemon'
 import type { Daemon } from '@lynxcourse/daemon'
-import { answerOrders } from '../support/childOrders.js'
-import { settingsOf, tidewiseRegions } from '../support/topology.js'
+import { serveCommands } from '../support/childOrders.js'
+import { buildSettings, tidewiseRegions } from '../support/topology.js'
 import type { VmPlan } from '../support/topology.js'
 
-/** What the parent asks. */
-export type MemberOrder =
+/** A command from the parent process. */
+export type MemberCommand =
   | { readonly type: 'start', readonly count: number, readonly first: number, readonly control: readonly VmPlan[] }
   | { readonly type: 'stop', readonly count: number }
   | { readonly type: 'versions' }
   | { readonly type: 'cost' }
 
-/** When each version was first in force at each node. */
+/** How many nodes each configuration version has reached, and when. */
 export interface MemberVersions {
-  /** By version: number of nodes that have it, and the time at which the last of them got it. */
+  /** For each version: the version, the number of nodes that it has reached, and the time when it reached the last of them. */
   readonly versions: ReadonlyArray<readonly [number, number, number]>
   readonly nodes: number
   readonly current: number
@@ -27,39 +27,39 @@
 }
 
 const daemons: Daemon[] = []
-const reached = new Map<number, { count: number, last: number }>()
+const reachedVersions = new Map<number, { count: number, last: number }>()
 
-async function startOne (number: number, control: readonly VmPlan[]): Promise<void> {
+async function startMember (number: number, control: readonly VmPlan[]): Promise<void> {
   const region = tidewiseRegions[number % tidewiseRegions.length] ?? tidewiseRegions[0]
   const ip = `127.60.${Math.floor(number / 200)}.${number % 200 + 1}`
   const plan: VmPlan = {
     vm: `member-${number}`, region: region?.region ?? '', failureDomain: region?.domains[0] ?? '', isControl: false, ip, http: `${ip}:0`, rpc: `${ip}:0`, metrics: `${ip}:0`
   }
-  const cfg = settingsSchema.parse(settingsOf(plan, [...control, plan], ''))
+  const cfg = settingsSchema.parse(buildSettings(plan, [...control, plan], ''))
   const daemon = await startDaemon(cfg, cfg.callerBlocks, { logs: silentLogs(), seed: number })
   let version = 0
   daemon.node.onChange.push(() => {
-    const now = daemon.node.config.version
-    if (now === version) return
-    for (let passed = version + 1; passed <= now; passed++) {
-      const held = reached.get(passed) ?? { count: 0, last: 0 }
-      reached.set(passed, { count: held.count + 1, last: Date.now() })
+    const currentVersion = daemon.node.config.version
+    if (currentVersion === version) return
+    for (let reachedVersion = version + 1; reachedVersion <= currentVersion; reachedVersion++) {
+      const entry = reachedVersions.get(reachedVersion) ?? { count: 0, last: 0 }
+      reachedVersions.set(reachedVersion, { count: entry.count + 1, last: Date.now() })
     }
-    version = now
+    version = currentVersion
   })
   daemons.push(daemon)
 }
 
-async function obey (order: MemberOrder): Promise<object> {
-  switch (order.type) {
+async function executeCommand (command: MemberCommand): Promise<object> {
+  switch (command.type) {
     case 'start':
-      for (let number = 0; number < order.count; number++) await startOne(order.first + number, order.control)
+      for (let number = 0; number < command.count; number++) await startMember(command.first + number, command.control)
       return {}
     case 'stop':
-      await Promise.all(daemons.splice(0, order.count).map(async daemon => await daemon[Symbol.asyncDispose]()))
+      await Promise.all(daemons.splice(0, command.count).map(async daemon => await daemon[Symbol.asyncDispose]()))
       return {}
     case 'versions': {
-      const versions = [...reached].map(([version, { count, last }]) => [version, count, last] as const)
+      const versions = [...reachedVersions].map(([version, { count, last }]) => [version, count, last] as const)
       const current = daemons.filter(daemon => Number.isFinite(daemon.node.currency.confirmedAt)).length
       return { versions, nodes: daemons.length, current } satisfies MemberVersions
     }
@@ -72,4 +72,4 @@
   }
 }
 
-answerOrders<MemberOrder>(obey)
+serveCommands<MemberCommand>(executeCommand)
--- a/scripts/bench/path.ts
+++ b/scripts/bench/path.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- path`: look-ups and forwarding against bare servers, side by side in one run. */
+/** `npm run bench -- path`: compares look-ups and forwarding with bare servers in one run. */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -7,43 +7,43 @@
 import { buildBlockTable, buildLookupIndex, hashBlock, selectEntryVms, orderRegions, findRegionIndex, findRegion, getTableBytes } from '@lynxcourse/routing'
 import type { BlockTable, CallerBlock } from '@lynxcourse/routing'
 import { Client } from 'undici'
-import { kill, mustCli, sleep } from '../support/processes.js'
+import { kill, runCliOrThrow, sleep } from '../support/processes.js'
 import { publishProfile, startSystem, stopSystem } from '../support/system.js'
 import { printTable } from '../support/tables.js'
 import { forkScript } from '../support/processes.js'
-import type { BareOrder } from './bareServers.js'
-import { askChild, cpuSeconds, round, runLoad } from './measuring.js'
-import type { LoadOrder, LoadResult } from './loadClient.js'
+import type { BareServerCommand } from './bareServers.js'
+import { sendCommand, getCpuSeconds, round, runLoad } from './measure.js'
+import type { LoadCommand, LoadResult } from './loadClient.js'
 
 const connections = 32
 const loadProcesses = 2
 const callerIp = '127.101.1.1'
 const targetIp = '127.0.90.2'
 
-interface Measured { readonly perSecond: number, readonly cpuMicros: number, readonly p50: number, readonly p99: number, readonly errors: number }
+interface Measurement { readonly perSecond: number, readonly cpuMicros: number, readonly p50: number, readonly p99: number, readonly errors: number }
 
-async function measure (pid: number, order: Omit<LoadOrder, 'connections' | 'localAddress'>, count = connections, processes = loadProcesses): Promise<Measured> {
-  const before = cpuSeconds(pid)
-  const result: LoadResult = await runLoad({ ...order, connections: count, localAddress: callerIp }, processes)
-  const spent = cpuSeconds(pid) - before
-  const all = result.answers * (1 + 0.5 / order.seconds)
-  return { perSecond: result.answers / result.seconds, cpuMicros: spent / all * 1e6, p50: result.p50, p99: result.p99, errors: result.errors }
+async function measure (pid: number, command: Omit<LoadCommand, 'connections' | 'localAddress'>, count = connections, processes = loadProcesses): Promise<Measurement> {
+  const before = getCpuSeconds(pid)
+  const result: LoadResult = await runLoad({ ...command, connections: count, localAddress: callerIp }, processes)
+  const cpuSpent = getCpuSeconds(pid) - before
+  const answersWithWarmUp = result.answers * (1 + 0.5 / command.seconds)
+  return { perSecond: result.answers / result.seconds, cpuMicros: cpuSpent / answersWithWarmUp * 1e6, p50: result.p50, p99: result.p99, errors: result.errors }
 }
 
-/** 860,000 blocks of mixed sizes over 41 regions, as at the target. */
-export function targetBlocks (count: number): CallerBlock[] {
+/** Generates `count` /24 blocks, each in a random one of 41 regions, as many regions as in the target. */
+export function generateBlocks (count: number): CallerBlock[] {
   const random = createRandom(1)
   const blocks: CallerBlock[] = []
-  for (let place = 0; place < count; place++) {
-    const network = Math.floor(place * (2 ** 24 / count))
+  for (let index = 0; index < count; index++) {
+    const network = Math.floor(index * (2 ** 24 / count))
     const text = [network >>> 16, (network >>> 8) & 255, network & 255].join('.')
     blocks.push({ cidr: `${text}.0/24`, region: brandId<RegionId>(`region-${Math.floor(random() * 41)}`) })
   }
   return blocks
 }
 
-/** Look-ups a second of a function on one core. */
-function ratePure (work: (address: number) => unknown): number {
+/** Measures how often per second one core can call a look-up function. */
+function measureRate (work: (address: number) => unknown): number {
   const random = createRandom(2)
   const addresses = Uint32Array.from({ length: 1 << 16 }, () => Math.floor(random() * 2 ** 32))
   let sink = 0
@@ -57,8 +57,8 @@
   return addresses.length * rounds / seconds
 }
 
-/** The whole decision of a look-up: block, region, order of places, order of VMs. */
-function wholeLookup (table: BlockTable): (address: number) => unknown {
+/** Creates a function that makes the whole decision of a look-up: block, caller region, order of regions, order of VMs. */
+function createWholeLookup (table: BlockTable): (address: number) => unknown {
   const places = Array.from({ length: 41 }, (_, n) => brandId<RegionId>(`region-${n}`))
   const index = buildLookupIndex(places.flatMap(region => [1, 2, 3].map(n => ({ vm: brandId<never>(`${region}-${n}`), region, failureDomain: brandId<never>('d'), http: '127.0.0.1:1', suspected: false }))))
   const cache = new Map<number, unknown>()
@@ -68,15 +68,15 @@
     const known = cache.get(key)
     if (known !== undefined) return known
     const input = { service: brandId<never>('s'), places: places.slice(0, 6), callerRegion: findRegion(table, address), drained: new Set<RegionId>(), shifts: [], callerHash: bucket, latencies: new Map<string, number>() }
-    const made = selectEntryVms(index, orderRegions(input), bucket)
-    cache.set(key, made)
-    return made
+    const vms = selectEntryVms(index, orderRegions(input), bucket)
+    cache.set(key, vms)
+    return vms
   }
 }
 
-/** Measures the table at the target size. */
-export function measurePure (): object {
-  const blocks = targetBlocks(860_000)
+/** Measures the look-up table and the look-up decision at the target size of 860,000 blocks. */
+export function measureLookups (): object {
+  const blocks = generateBlocks(860_000)
   const startedAt = performance.now()
   const table = buildBlockTable(blocks)
   const buildMs = performance.now() - startedAt
@@ -84,30 +84,30 @@
     blocks: blocks.length,
     tableMB: round(getTableBytes(table) / 1e6),
     buildMs: Math.round(buildMs),
-    blockToRegionPerSecond: Math.round(ratePure(address => findRegionIndex(table, address))),
-    wholeLookupPerSecond: Math.round(ratePure(wholeLookup(table)))
+    blockToRegionPerSecond: Math.round(measureRate(address => findRegionIndex(table, address))),
+    wholeLookupPerSecond: Math.round(measureRate(createWholeLookup(table)))
   }
 }
 
-async function startBare (order: BareOrder): Promise<{ pid: number, address: string, stop: () => Promise<void> }> {
+async function startBareServer (command: BareServerCommand): Promise<{ pid: number, address: string, stop: () => Promise<void> }> {
   const child = forkScript('../bench/bareServers.js', [])
-  const { address } = await askChild<{ address: string }>(child, order)
+  const { address } = await sendCommand<{ address: string }>(child, command)
   return { pid: child.pid ?? 0, address, stop: async () => await kill(child) }
 }
 
-/** Runs the bench. */
+/** Runs the benchmark. */
 export async function benchPath (seconds: number): Promise<void> {
-  printTable('Look-up in the pure function, 860,000 blocks', [measurePure()])
+  printTable('Look-up in the pure function, 860,000 blocks', [measureLookups()])
   const folder = mkdtempSync(join(tmpdir(), 'lynxcourse-bench-'))
   const system = await startSystem(3, folder, { log: { level: 'info', format: 'text' } })
   try {
     await publishProfile(system, { name: 'desk', places: ['kochi', 'chennai'], queueLimit: 1000 })
-    await mustCli(system.rpc, ['service', 'pick', 'offers', 'desk', '--wait'])
-    const target = await startBare({ kind: 'target', ip: targetIp, bytes: 60, target: '' })
+    await runCliOrThrow(system.rpc, ['service', 'pick', 'offers', 'desk', '--wait'])
+    const target = await startBareServer({ kind: 'target', ip: targetIp, bytes: 60, target: '' })
     const stopAnnouncing = announceTarget(system.http[0] ?? '', target.address)
     await sleep(6000)
     const daemon = system.daemons.find(one => one.plan.vm === 'kochi-a-1')
-    if (daemon === undefined) throw new Error('no daemon')
+    if (daemon === undefined) throw new Error('VM kochi-a-1 has no daemon')
     const origin = `http://${daemon.plan.http}`
     const pid = daemon.child.pid ?? 0
     await benchLookups(origin, pid, seconds)
@@ -121,13 +121,13 @@
 }
 
 async function benchLookups (origin: string, pid: number, seconds: number): Promise<void> {
-  const bare = await startBare({ kind: 'fixed', ip: '127.0.90.1', bytes: 260, target: '' })
+  const bare = await startBareServer({ kind: 'fixed', ip: '127.0.90.1', bytes: 260, target: '' })
   const bareResult = await measure(bare.pid, { origin: `http://${bare.address}`, path: '/', headers: {}, seconds })
   await bare.stop()
   const result = await measure(pid, { origin, path: '/v1/lookup?service=offers', headers: {}, seconds })
   printTable('Look-ups over HTTP (32 connections, 2 load processes)', [
-    { server: 'bare http', ...rounded(bareResult), ratio: 1 },
-    { server: 'lynxcoursed', ...rounded(result), ratio: round(result.perSecond / bareResult.perSecond) }
+    { server: 'bare http', ...formatMeasurement(bareResult), ratio: 1 },
+    { server: 'lynxcoursed', ...formatMeasurement(result), ratio: round(result.perSecond / bareResult.perSecond) }
   ])
 }
 
@@ -148,19 +148,19 @@
 }
 
 async function benchForwarding (origin: string, pid: number, target: string, seconds: number): Promise<void> {
-  const pass = await startBare({ kind: 'pass', ip: '127.0.90.3', bytes: 0, target })
+  const pass = await startBareServer({ kind: 'pass', ip: '127.0.90.3', bytes: 0, target })
   const bareOne = await measure(pass.pid, { origin: `http://${pass.address}`, path: '/x', headers: { 'x-echo': 'e' }, seconds: seconds / 2 }, 1, 1)
   const bareResult = await measure(pass.pid, { origin: `http://${pass.address}`, path: '/x', headers: { 'x-echo': 'e' }, seconds })
   await pass.stop()
   const direct = await measure(pid, { origin, path: '/s/offers/x', headers: { 'x-echo': 'e' }, seconds: seconds / 2 }, 1, 1)
   const result = await measure(pid, { origin, path: '/s/offers/x', headers: { 'x-echo': 'e' }, seconds })
   printTable('Forwarding (32 connections; then one connection)', [
-    { server: 'bare http + undici', ...rounded(bareResult), ratio: 1, p50AtOneConnection: round(bareOne.p50) },
-    { server: 'lynxcoursed', ...rounded(result), ratio: round(result.perSecond / bareResult.perSecond), p50AtOneConnection: round(direct.p50) }
+    { server: 'bare http + undici', ...formatMeasurement(bareResult), ratio: 1, p50AtOneConnection: round(bareOne.p50) },
+    { server: 'lynxcoursed', ...formatMeasurement(result), ratio: round(result.perSecond / bareResult.perSecond), p50AtOneConnection: round(direct.p50) }
   ])
 }
 
-function rounded (measured: Measured): object {
-  const { perSecond, cpuMicros, p50, p99, errors } = measured
+function formatMeasurement (measurement: Measurement): object {
+  const { perSecond, cpuMicros, p50, p99, errors } = measurement
   return { perSecond: Math.round(perSecond), cpuMicros: round(cpuMicros), p50ms: round(p50), p99ms: round(p99), errors }
 }
--- a/scripts/bench/policy.ts
+++ b/scripts/bench/policy.ts
@@ -1,22 +1,22 @@
-/** `npm run bench -- policy`: the ways weighed for each policy, in one run, with real daemons. */
+/** `npm run bench -- policy`: compares the alternatives for each policy in one run, with real daemons. */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { policyNames } from '@lynxcourse/routing'
 import type { PolicyName } from '@lynxcourse/routing'
 import type { SettingsInput } from '@lynxcourse/daemon'
-import { planServers, reportFleet, startFleet } from '../support/fakeFleet.js'
+import { planServers, fetchFleetReport, startFleet } from '../support/fakeFleet.js'
 import type { FakeFleet, FakeServiceSize } from '../support/fakeFleet.js'
 import type { CallResult } from '../support/callers.js'
-import { mustCli, sleep } from '../support/processes.js'
+import { runCliOrThrow, sleep } from '../support/processes.js'
 import { publishProfile, startSystem, stopSystem } from '../support/system.js'
 import type { SmallSystem } from '../support/system.js'
 import { percentile, printTable } from '../support/tables.js'
 import { startTraffic } from '../support/traffic.js'
-import { benchClaimPlaces } from './claimPlaces.js'
-import { cpuSeconds, metric, round } from './measuring.js'
+import { benchClaimPlacement } from './claimPlacement.js'
+import { getCpuSeconds, readMetric, round } from './measure.js'
 
-/** A user's service, sized so that one machine carries it: slots as in the brief, slower servers. */
+/** A user's service with its real slots and slower servers, so that one machine can carry the load. */
 interface UserSize extends FakeServiceSize { readonly user: string }
 
 const users: readonly UserSize[] = [
@@ -27,16 +27,16 @@
 const vmCount = 8
 const loads = [0.5, 0.8, 0.95, 1.2]
 const deadlineMs = 2000
-const quietMs = 1500
+const warmUpMs = 1500
 
-/** Runs work on a system with its fleet and a profile. */
+/** Starts a system with fake servers and a profile, runs `work` on it and stops it. */
 async function withSystem (size: FakeServiceSize, extra: Partial<SettingsInput>, profile: object, work: (system: SmallSystem, fleet: FakeFleet) => Promise<void>): Promise<void> {
   const folder = mkdtempSync(join(tmpdir(), 'lynxcourse-policy-'))
   const system = await startSystem(vmCount, folder, { log: { level: 'warn' }, ...extra })
   try {
     await using fleet = await startFleet(planServers([size]), system.http)
     await publishProfile(system, { name: 'p', places: ['kochi', 'chennai', 'mumbai'], lookupTtlS: 2, ...profile })
-    await mustCli(system.rpc, ['service', 'pick', size.service, 'p', '--wait'])
+    await runCliOrThrow(system.rpc, ['service', 'pick', size.service, 'p', '--wait'])
     await sleep(2000)
     await work(system, fleet)
   } finally {
@@ -47,30 +47,30 @@
 
 interface Totals { readonly cpu: number, readonly messages: number, readonly shed: number, readonly served: number }
 
-async function totals (system: SmallSystem, fleet: FakeFleet): Promise<Totals> {
-  const cpu = system.daemons.reduce((sum, daemon) => sum + cpuSeconds(daemon.child.pid ?? 0), 0)
+async function readTotals (system: SmallSystem, fleet: FakeFleet): Promise<Totals> {
+  const cpu = system.daemons.reduce((sum, daemon) => sum + getCpuSeconds(daemon.child.pid ?? 0), 0)
   let messages = 0
-  for (const plan of system.plans) messages += await metric(plan, 'lynxcourse_rpc_total', 'side="in"')
-  const { servers } = await reportFleet(fleet)
+  for (const plan of system.plans) messages += await readMetric(plan, 'lynxcourse_rpc_total', 'side="in"')
+  const { servers } = await fetchFleetReport(fleet)
   return { cpu, messages, shed: servers.reduce((sum, server) => sum + server.shed, 0), served: servers.reduce((sum, server) => sum + server.served, 0) }
 }
 
-interface Loaded { readonly results: CallResult[], readonly before: Totals, readonly after: Totals, readonly seconds: number }
+interface LoadWindow { readonly results: CallResult[], readonly before: Totals, readonly after: Totals, readonly seconds: number }
 
-async function runLoad (system: SmallSystem, fleet: FakeFleet, service: string, perSecond: number, seconds: number): Promise<Loaded> {
+async function runLoad (system: SmallSystem, fleet: FakeFleet, service: string, perSecond: number, seconds: number): Promise<LoadWindow> {
   const traffic = startTraffic(system.http, { readsPerSecond: perSecond, oncePerSecond: 0, services: [service], deadlineMs })
-  await sleep(quietMs)
-  const before = await totals(system, fleet)
+  await sleep(warmUpMs)
+  const before = await readTotals(system, fleet)
   const from = Date.now()
   await sleep(seconds * 1000)
-  const after = await totals(system, fleet)
+  const after = await readTotals(system, fleet)
   const to = Date.now()
   await traffic.stop()
   const results = traffic.results.filter(result => result.at >= from && result.at < to)
   return { results, before, after, seconds: (to - from) / 1000 }
 }
 
-/** Choice of server by each policy at each load, for both users' sizes. */
+/** Compares the server policies at several loads, for the services of both users. */
 async function benchChoice (seconds: number): Promise<void> {
   for (const size of users) {
     const slots = size.count * size.slots
@@ -79,7 +79,7 @@
     for (const policy of policyNames) {
       await withSystem(size, { serverPolicy: policy as PolicyName, times: { slowStartMs: 1 } }, { queueLimit: 200 }, async (system, fleet) => {
         for (const load of loads) {
-          const { results, before, after, seconds: lasted } = await runLoad(system, fleet, size.service, capacity * load, seconds)
+          const { results, before, after, seconds: elapsedSeconds } = await runLoad(system, fleet, size.service, capacity * load, seconds)
           const done = results.filter(result => result.outcome === 'done')
           const times = done.map(result => result.tookMs)
           rows.push({
@@ -89,8 +89,8 @@
             p50ms: round(percentile(times, 0.5)),
             p99ms: round(percentile(times, 0.99)),
             shedPer1000: round(1000 * (after.shed - before.shed) / results.length),
-            slotsIdle: `${Math.max(0, round(100 * (1 - (after.served - before.served) * size.serviceMs / 1000 / lasted / slots)))}%`,
-            rpcPerSecond: Math.round((after.messages - before.messages) / lasted),
+            slotsIdle: `${Math.max(0, round(100 * (1 - (after.served - before.served) * size.serviceMs / 1000 / elapsedSeconds / slots)))}%`,
+            rpcPerSecond: Math.round((after.messages - before.messages) / elapsedSeconds),
             cpuMicrosPerRequest: Math.round((after.cpu - before.cpu) / results.length * 1e6)
           })
         }
@@ -100,14 +100,14 @@
   }
 }
 
-/** Twice the capacity: goodput, how fast the rest hear their answer, fairness between regions' callers. */
+/** Measures goodput, the latency of refusals and the fairness between VMs, at full and at twice the capacity. */
 async function benchOverload (seconds: number): Promise<void> {
   const rows: object[] = []
   for (const size of users) {
     const capacity = size.count * size.slots / size.serviceMs * 1000
     await withSystem(size, { times: { slowStartMs: 1 } }, { queueLimit: 200 }, async (system, fleet) => {
       for (const factor of [1, 2]) {
-        const { results, seconds: lasted } = await runLoad(system, fleet, size.service, capacity * factor, seconds)
+        const { results, seconds: elapsedSeconds } = await runLoad(system, fleet, size.service, capacity * factor, seconds)
         const done = results.filter(result => result.outcome === 'done')
         const refused = results.filter(result => result.outcome !== 'done')
         const shares = system.plans.map(plan => {
@@ -117,7 +117,7 @@
         rows.push({
           user: size.user,
           load: `${factor}x`,
-          goodput: `${round(100 * done.length / lasted / capacity)}% of capacity`,
+          goodput: `${round(100 * done.length / elapsedSeconds / capacity)}% of capacity`,
           refused: refused.length,
           refusedWithin50ms: refused.length === 0 ? '-' : `${round(100 * refused.filter(result => result.tookMs <= 50).length / refused.length)}%`,
           refusedP99ms: round(percentile(refused.map(result => result.tookMs), 0.99)),
@@ -133,7 +133,7 @@
 
 interface ShiftRow { readonly state: string, readonly percent: number, readonly destinationBusy: number, readonly destinationSlots: number }
 
-/** A shift of half of Kochi's callers by each step rule, at a load that leaves the destination little room. */
+/** Shifts half of Kochi's callers under each step rule, at a load that leaves the destination little spare capacity. */
 async function benchShift (load: number, limitSeconds: number): Promise<void> {
   const [size] = users
   if (size === undefined) return
@@ -144,12 +144,12 @@
       const traffic = startTraffic(system.http, { readsPerSecond: capacity * load, oncePerSecond: 0, services: [size.service], deadlineMs })
       await sleep(3000)
       const startedAt = Date.now()
-      await mustCli(system.rpc, ['shift', 'start', size.service, 'kochi', 'chennai', '--percent', '50', '--step', '15', '--cap', '40', '--id', 'm'])
+      await runCliOrThrow(system.rpc, ['shift', 'start', size.service, 'kochi', 'chennai', '--percent', '50', '--step', '15', '--cap', '40', '--id', 'm'])
       const loads: number[] = []
       let last: ShiftRow | undefined
       while (Date.now() - startedAt < limitSeconds * 1000 && last?.state !== 'complete') {
         await sleep(250)
-        last = (JSON.parse((await mustCli(system.rpc, ['shift', 'list'])).stdout) as Array<ShiftRow & { busy: number, slots: number }>).map(row => ({ ...row, destinationBusy: row.busy, destinationSlots: row.slots }))[0]
+        last = (JSON.parse((await runCliOrThrow(system.rpc, ['shift', 'list'])).stdout) as Array<ShiftRow & { busy: number, slots: number }>).map(row => ({ ...row, destinationBusy: row.busy, destinationSlots: row.slots }))[0]
         loads.push((last?.destinationBusy ?? 0) / Math.max(1, last?.destinationSlots ?? 1))
       }
       const tookMs = Date.now() - startedAt
@@ -164,17 +164,17 @@
         highestReading: `${round(100 * Math.max(...loads))}%`,
         answered: `${round(100 * after.filter(result => result.outcome === 'done').length / after.length)}%`,
         p99ms: round(percentile(after.filter(result => result.outcome === 'done').map(result => result.tookMs), 0.99)),
-        peakAtOneServer: Math.max(...(await reportFleet(fleet)).servers.map(server => server.peak))
+        peakAtOneServer: Math.max(...(await fetchFleetReport(fleet)).servers.map(server => server.peak))
       })
     })
   }
   printTable(`Shift of 50 % of Kochi's callers to Chennai, steps of 15 % at most, load ${load * 100} %`, rows)
 }
 
-/** Runs all policy benches, or one by name. */
+/** Runs all policy benchmarks, or the one named by `only`. */
 export async function benchPolicy (only: string | undefined, quick: boolean): Promise<void> {
   const seconds = quick ? 3 : 6
-  if (only === undefined || only === 'claims') await benchClaimPlaces(quick)
+  if (only === undefined || only === 'claims') await benchClaimPlacement(quick)
   if (only === undefined || only === 'overload') await benchOverload(seconds)
   if (only === undefined || only === 'shift') for (const load of [0.4, 0.65]) await benchShift(load, quick ? 20 : 30)
   if (only === undefined || only === 'choice') await benchChoice(seconds)
--- a/scripts/faults.ts
+++ b/scripts/faults.ts
@@ -18,25 +18,25 @@
   readonly note: string
 }
 
-function verdictOf (results: readonly CellResult[]): Row {
+function classifyResults (results: readonly CellResult[]): Row {
   const [first] = results
-  if (first === undefined) throw new Error('no seeds')
+  if (first === undefined) throw new Error('the cell has no results')
   const failed = results.find(result => result.violations.length > 0)
   if (failed !== undefined) return { cell: first.cell, verdict: 'FAILED', note: `seed ${failed.seed}: ${failed.violations[0]}` }
   if (results.some(result => !result.struck)) return { cell: first.cell, verdict: 'did not strike', note: '' }
-  const stands = results.some(result => result.standsStill)
-  return { cell: first.cell, verdict: stands ? 'stands still' : 'proved', note: `${results.reduce((sum, result) => sum + result.requests, 0)} requests` }
+  const isBlocked = results.some(result => result.standsStill)
+  return { cell: first.cell, verdict: isBlocked ? 'stands still' : 'proved', note: `${results.reduce((sum, result) => sum + result.requests, 0)} requests` }
 }
 
 function runAll (cells: readonly Cell[], seeds: number): Row[] {
   return cells.map(cell => {
-    const row = verdictOf(Array.from({ length: seeds }, (_, place) => runCell(cell, place + 1)))
+    const row = classifyResults(Array.from({ length: seeds }, (_, index) => runCell(cell, index + 1)))
     process.stdout.write(`${row.verdict.padEnd(14)} ${cell.step.padEnd(10)} ${cell.faults.join(' + ')}  ${row.note}\n`)
     return row
   })
 }
 
-function table (rows: readonly Row[]): string[] {
+function formatTable (rows: readonly Row[]): string[] {
   const verdictAt = (fault: string, step: string): string => rows.find(row => row.cell.step === step && row.cell.faults[0] === fault)?.verdict ?? 'not run'
   return [
     `| fault | ${steps.join(' | ')} |`,
@@ -45,12 +45,12 @@
   ]
 }
 
-function countOf (rows: readonly Row[], verdict: Verdict): number {
+function countVerdicts (rows: readonly Row[], verdict: Verdict): number {
   return rows.filter(row => row.verdict === verdict).length
 }
 
-function summary (title: string, rows: readonly Row[]): string {
-  return `${title}: ${rows.length} cells, ${countOf(rows, 'proved')} proved, ${countOf(rows, 'stands still')} stand still, ${countOf(rows, 'did not strike')} did not strike, ${countOf(rows, 'FAILED')} failed.`
+function formatSummary (title: string, rows: readonly Row[]): string {
+  return `${title}: ${rows.length} cells, ${countVerdicts(rows, 'proved')} proved, ${countVerdicts(rows, 'stands still')} stand still, ${countVerdicts(rows, 'did not strike')} did not strike, ${countVerdicts(rows, 'FAILED')} failed.`
 }
 
 const notProved = [
@@ -76,10 +76,10 @@
     '',
     '`stands still`: a majority of control disks was lost at once, so no quorum can form; every promise of safety held.',
     '',
-    summary('Single faults', singles),
-    pairs.length === 0 ? 'Pairs of faults: not run this time (`npm run faults -- --pairs`).' : summary('Pairs of faults', pairs),
+    formatSummary('Single faults', singles),
+    pairs.length === 0 ? 'Pairs of faults: not run this time (`npm run faults -- --pairs`).' : formatSummary('Pairs of faults', pairs),
     '',
-    ...table(singles),
+    ...formatTable(singles),
     '',
     ...(failed.length === 0 ? [] : ['## Failed', '', ...failed.map(row => `- ${row.cell.step}, ${row.cell.faults.join(' + ')}: ${row.note}`), '']),
     '## Not proved, and why',
@@ -93,11 +93,11 @@
 const { values } = parseArgs({ options: { seeds: { type: 'string', default: '1' }, pairs: { type: 'boolean', default: false } } })
 const seeds = Number(values.seeds)
 if (!Number.isInteger(seeds) || seeds < 1) {
-  process.stderr.write(`faults: --seeds: '${values.seeds}' is no whole number above 0\n`)
+  process.stderr.write(`faults: --seeds: '${values.seeds}' is not a positive integer\n`)
   process.exit(2)
 }
 const singles = runAll(singleCells(), seeds)
 const pairs = values.pairs ? runAll(pairCells(), seeds) : []
 writePage(singles, pairs, seeds)
-process.stdout.write(`\n${summary('Single faults', singles)}\n${pairs.length === 0 ? '' : summary('Pairs of faults', pairs)}\n`)
+process.stdout.write(`\n${formatSummary('Single faults', singles)}\n${pairs.length === 0 ? '' : formatSummary('Pairs of faults', pairs)}\n`)
 process.exitCode = [...singles, ...pairs].some(row => row.verdict === 'FAILED') ? 1 : 0
--- a/scripts/knownRedReporter.ts
+++ b/scripts/knownRedReporter.ts
@@ -1,32 +1,35 @@
-/** Reporter of `npm test`: has the run pass over the tests in `KNOWN-RED.txt`, and prints them. */
+/** Test reporter of `npm test`: tolerates failures of the tests listed in `KNOWN-RED.txt`, and prints their results. */
 import { existsSync, readFileSync } from 'node:fs'
 import type { TestEvent } from 'node:test/reporters'
-import { judgeRun, readKnownRed } from './support/knownRed.js'
-import type { TestEnd } from './support/knownRed.js'
+import { checkRun, parseKnownFailures } from './support/knownRed.js'
+import type { TestResult } from './support/knownRed.js'
 
 const listFile = 'KNOWN-RED.txt'
 
-type Ended = Extract<TestEvent, { type: 'test:pass' | 'test:fail' }>
+type TestEndEvent = Extract<TestEvent, { type: 'test:pass' | 'test:fail' }>
 
-/** A test fails with its subtests, which are judged themselves; one that is to be done does not fail the run. */
-function isJudged ({ type, data }: Ended): boolean {
+/**
+ * Returns whether a result counts. A test that fails only because of its subtests doesn't, as each subtest has
+ * its own result; skipped tests and failures of tests marked `todo` don't count either.
+ */
+function isCounted ({ type, data }: TestEndEvent): boolean {
   if (type === 'test:pass') return data.skip === undefined
   const { error } = data.details
   const isBySubtests = (error as { failureType?: string }).failureType === 'subtestsFailed'
   return !isBySubtests && (data.todo === undefined || data.todo === false)
 }
 
-function endOf ({ type, data }: Ended): TestEnd {
+function toTestResult ({ type, data }: TestEndEvent): TestResult {
   return { file: data.file ?? '', name: data.name, isPassed: type === 'test:pass' }
 }
 
 export default async function * knownRedReporter (events: AsyncIterable<TestEvent>): AsyncGenerator<string> {
-  const known = readKnownRed(existsSync(listFile) ? readFileSync(listFile, 'utf8') : '')
-  const ends: TestEnd[] = []
+  const knownFailures = parseKnownFailures(existsSync(listFile) ? readFileSync(listFile, 'utf8') : '')
+  const results: TestResult[] = []
   for await (const event of events) {
-    if ((event.type === 'test:pass' || event.type === 'test:fail') && isJudged(event)) ends.push(endOf(event))
+    if ((event.type === 'test:pass' || event.type === 'test:fail') && isCounted(event)) results.push(toTestResult(event))
   }
-  const { isGreen, lines } = judgeRun(process.cwd(), known, ends)
+  const { isPassed, lines } = checkRun(process.cwd(), knownFailures, results)
   for (const line of lines) yield `${line}\n`
-  process.exitCode = isGreen ? 0 : 1
+  process.exitCode = isPassed ? 0 : 1
 }
--- a/scripts/replay/spread.ts
+++ b/scripts/replay/spread.ts
@@ -1,11 +1,11 @@
-/** Mean and spread of figures over the seeds of a replay. */
+/** Computes the mean, minimum and maximum of each figure over the seeds of a replay. */
 import type { Figures } from '@lynxcourse/replay'
 
-type NumberName = { [Name in keyof Figures]: Figures[Name] extends number ? Name : never }[keyof Figures]
+type NumericFigure = { [Name in keyof Figures]: Figures[Name] extends number ? Name : never }[keyof Figures]
 
-const numberNames: readonly NumberName[] = ['benefit', 'worstTwoSeconds', 'inTime', 'late', 'refused', 'failed', 'p50Ms', 'p99Ms', 'coldPart', 'farPart', 'openedPart', 'shedPart']
+const numericFigures: readonly NumericFigure[] = ['benefit', 'worstTwoSeconds', 'inTime', 'late', 'refused', 'failed', 'p50Ms', 'p99Ms', 'coldPart', 'farPart', 'openedPart', 'shedPart']
 
-/** One figure over all seeds. */
+/** Mean, minimum and maximum of one figure over all seeds. */
 interface Spread {
   readonly figure: string
   readonly mean: string
@@ -13,22 +13,22 @@
   readonly most: string
 }
 
-/** A row for each figure, those by route, region and cause of cold work after the others. */
-export function spreadRows (runs: readonly Figures[]): Spread[] {
-  const rows = numberNames.map(name => spreadOf(name, runs.map(run => run[name])))
+/** Builds a row for each figure. The figures by route, by region and by cause of cold work come last. */
+export function buildSpreadRows (runs: readonly Figures[]): Spread[] {
+  const rows = numericFigures.map(name => computeSpread(name, runs.map(run => run[name])))
   for (const group of ['byRoute', 'byRegion', 'cold'] as const) {
     const names = new Set(runs.flatMap(run => Object.keys(run[group])))
-    for (const name of names) rows.push(spreadOf(`${group} ${name}`, runs.map(run => run[group][name] ?? 0)))
+    for (const name of names) rows.push(computeSpread(`${group} ${name}`, runs.map(run => run[group][name] ?? 0)))
   }
   return rows
 }
 
-/** The mean of each single figure. */
-export function meanOf (runs: readonly Figures[]): Record<NumberName, number> {
-  return Object.fromEntries(numberNames.map(name => [name, mean(runs.map(run => run[name]))])) as Record<NumberName, number>
+/** Computes the mean of each figure that is a single number. */
+export function computeMeans (runs: readonly Figures[]): Record<NumericFigure, number> {
+  return Object.fromEntries(numericFigures.map(name => [name, mean(runs.map(run => run[name]))])) as Record<NumericFigure, number>
 }
 
-function spreadOf (figure: string, values: readonly number[]): Spread {
+function computeSpread (figure: string, values: readonly number[]): Spread {
   const [average, least, most] = [mean(values), Math.min(...values), Math.max(...values)].map(value => value.toFixed(3)) as [string, string, string]
   return { figure, mean: average, least, most }
 }
--- a/scripts/support/childOrders.ts
+++ b/scripts/support/childOrders.ts
@@ -1,9 +1,9 @@
-/** Orders that a program of the scripts gets from its parent, one answer to each. */
+/** Commands that a child process receives from its parent, with one reply to each. */
 
-/** Answers the parent's orders until it is gone. */
-export function answerOrders<Order> (obey: (order: Order) => Promise<object>): void {
-  process.on('message', (order: Order) => {
-    obey(order).then(answer => process.send?.(answer), (err: unknown) => process.send?.({ error: String(err) }))
+/** Executes the parent's commands and sends one reply to each; exits when the parent disconnects. */
+export function serveCommands<Command> (execute: (command: Command) => Promise<object>): void {
+  process.on('message', (command: Command) => {
+    execute(command).then(reply => process.send?.(reply), (err: unknown) => process.send?.({ error: String(err) }))
   })
   process.on('disconnect', () => process.exit(0))
 }
--- a/scripts/support/fakeFleet.ts
+++ b/scripts/support/fakeFleet.ts
@@ -1,22 +1,22 @@
-/** The parent's side of the stand-in servers' process. */
+/** Starts and controls the child process that runs the fake backend servers. */
 import type { ChildProcess } from 'node:child_process'
-import type { FakeOrder, FakePlan, FakeReport } from './fakeServers.js'
+import type { FakeServerCommand, FakeServerPlan, FakeServerReport } from './fakeServers.js'
 import { forkScript, kill } from './processes.js'
 import { tidewiseRegions } from './topology.js'
 
 export interface FakeFleet extends AsyncDisposable {
   readonly child: ChildProcess
-  readonly plans: readonly FakePlan[]
+  readonly plans: readonly FakeServerPlan[]
 }
 
-/** Sends an order and waits for its answer; one at a time. */
-async function order (child: ChildProcess, message: FakeOrder): Promise<unknown> {
-  const answer = new Promise<unknown>(resolve => child.once('message', resolve))
+/** Sends a command and waits for its reply. Only one command may be in progress at a time. */
+async function sendCommand (child: ChildProcess, message: FakeServerCommand): Promise<unknown> {
+  const reply = new Promise<unknown>(resolve => child.once('message', resolve))
   child.send(message)
-  return await answer
+  return await reply
 }
 
-/** Size of one service of stand-ins. */
+/** Number and capacity of the fake servers of one service. */
 export interface FakeServiceSize {
   readonly service: string
   readonly count: number
@@ -37,16 +37,16 @@
   { service: 'tempering', count: 12, slots: 3, connections: 400, serviceMs: 20 }
 ]
 
-/** Spreads servers over the failure domains. */
-export function planServers (sizes: readonly FakeServiceSize[]): FakePlan[] {
+/** Plans the fake servers and spreads those of each service evenly over the failure domains. */
+export function planServers (sizes: readonly FakeServiceSize[]): FakeServerPlan[] {
   const domains = tidewiseRegions.flatMap(region => region.domains)
-  return sizes.flatMap((size, group) => Array.from({ length: size.count }, (_, number) => {
-    const place = number % domains.length
+  return sizes.flatMap((size, serviceIndex) => Array.from({ length: size.count }, (_, index) => {
+    const domainIndex = index % domains.length
     return {
-      server: `${size.service}-${number + 1}`,
+      server: `${size.service}-${index + 1}`,
       service: size.service,
-      ip: `127.${20 + group}.${place + 1}.${Math.floor(number / domains.length) + 1}`,
-      failureDomain: domains[place] ?? '',
+      ip: `127.${20 + serviceIndex}.${domainIndex + 1}.${Math.floor(index / domains.length) + 1}`,
+      failureDomain: domains[domainIndex] ?? '',
       slots: size.slots,
       connections: size.connections,
       serviceMs: size.serviceMs
@@ -54,17 +54,17 @@
   }))
 }
 
-/** Starts the stand-ins. */
-export async function startFleet (plans: readonly FakePlan[], announceTo: readonly string[]): Promise<FakeFleet> {
+/** Starts the fake servers in one child process; they announce themselves to the VMs at `announceTo`. */
+export async function startFleet (plans: readonly FakeServerPlan[], announceTo: readonly string[]): Promise<FakeFleet> {
   const child = forkScript('fakeServers.js', [])
-  await order(child, { type: 'start', plans, announceTo })
+  await sendCommand(child, { type: 'start', plans, announceTo })
   return { child, plans, [Symbol.asyncDispose]: async () => await kill(child) }
 }
 
 export async function leaveServer (fleet: FakeFleet, server: string): Promise<void> {
-  await order(fleet.child, { type: 'leave', server })
+  await sendCommand(fleet.child, { type: 'leave', server })
 }
 
-export async function reportFleet (fleet: FakeFleet): Promise<FakeReport> {
-  return await order(fleet.child, { type: 'report' }) as FakeReport
+export async function fetchFleetReport (fleet: FakeFleet): Promise<FakeServerReport> {
+  return await sendCommand(fleet.child, { type: 'report' }) as FakeServerReport
 }
--- a/scripts/support/fakeServers.ts
+++ b/scripts/support/fakeServers.ts
@@ -1,39 +1,39 @@
 /**
- * Small stand-in backend servers, many in one process. Each has a few slots, sheds what it can't start,
- * announces itself, and counts how often each request id ran.
+ * Fake backend servers, many in one process. Each has a few slots, sheds the requests that exceed them and
+ * announces itself. The process counts how often each request id ran.
  */
 import { createServer } from 'node:http'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { Client } from 'undici'
-import { answerOrders } from './childOrders.js'
+import { serveCommands } from './childOrders.js'
 
-/** A server to stand in for. */
-export interface FakePlan {
+/** Identity and capacity of one fake server. */
+export interface FakeServerPlan {
   readonly server: string
   readonly service: string
   readonly ip: string
   readonly failureDomain: string
   readonly slots: number
   readonly connections: number
-  /** Mean service time; drawn between half of it and one and a half. */
+  /** Mean service time; each request takes a random time between 50 % and 150 % of it. */
   readonly serviceMs: number
 }
 
-/** What the parent asks. */
-export type FakeOrder =
-  | { readonly type: 'start', readonly plans: readonly FakePlan[], readonly announceTo: readonly string[] }
+/** A command from the parent process. */
+export type FakeServerCommand =
+  | { readonly type: 'start', readonly plans: readonly FakeServerPlan[], readonly announceTo: readonly string[] }
   | { readonly type: 'leave', readonly server: string }
   | { readonly type: 'report' }
 
-/** What the parent gets. */
-export interface FakeReport {
+/** Counters of all servers, sent to the parent process. */
+export interface FakeServerReport {
   readonly runsById: ReadonlyArray<readonly [string, number]>
   readonly servers: ReadonlyArray<{ readonly server: string, readonly served: number, readonly shed: number, readonly lastStartAt: number, readonly peak: number }>
 }
 
 interface FakeServer {
-  readonly plan: FakePlan
+  readonly plan: FakeServerPlan
   address: string
   busy: number
   peak: number
@@ -44,21 +44,21 @@
   state: 'starting' | 'serving' | 'leaving'
 }
 
-const announceEveryMs = 1500
+const announceIntervalMs = 1500
 const servers = new Map<string, FakeServer>()
 const runs = new Map<string, number>()
 let announceTo: readonly string[] = []
 
-async function startServer (plan: FakePlan): Promise<void> {
+async function startServer (plan: FakeServerPlan): Promise<void> {
   const fake: FakeServer = { plan, address: '', busy: 0, peak: 0, served: 0, shed: 0, lastStartAt: 0, seq: 0, state: 'serving' }
-  const server = createServer((req, res) => serve(fake, req, res))
+  const server = createServer((req, res) => handleRequest(fake, req, res))
   server.keepAliveTimeout = 60_000
   await new Promise<void>(resolve => server.listen(0, plan.ip, resolve))
   fake.address = `${plan.ip}:${(server.address() as AddressInfo).port}`
   servers.set(plan.server, fake)
-  const phase = Math.floor(Math.random() * announceEveryMs)
+  const initialDelayMs = Math.floor(Math.random() * announceIntervalMs)
   await announce(fake)
-  setTimeout(() => { setInterval(() => { announce(fake).catch(() => undefined) }, announceEveryMs) }, phase)
+  setTimeout(() => { setInterval(() => { announce(fake).catch(() => undefined) }, announceIntervalMs) }, initialDelayMs)
 }
 
 async function announce (fake: FakeServer): Promise<void> {
@@ -76,8 +76,8 @@
     incarnation: startedAt,
     seq: fake.seq
   })
-  for (let tries = 0; tries < 3; tries++) {
-    const vm = announceTo[(hash(plan.server) + tries) % announceTo.length]
+  for (let attempt = 0; attempt < 3; attempt++) {
+    const vm = announceTo[(hash(plan.server) + attempt) % announceTo.length]
     const client = new Client(`http://${vm}`, { localAddress: plan.ip, connect: { timeout: 500 } })
     try {
       const res = await client.request({ method: 'POST', path: '/v1/announce', body, headersTimeout: 1000 })
@@ -92,12 +92,12 @@
 }
 
 function hash (text: string): number {
-  return [...text].reduce((sum, letter) => (sum * 31 + letter.charCodeAt(0)) >>> 0, 7)
+  return [...text].reduce((sum, char) => (sum * 31 + char.charCodeAt(0)) >>> 0, 7)
 }
 
 const startedAt = Date.now()
 
-function serve (fake: FakeServer, req: IncomingMessage, res: ServerResponse): void {
+function handleRequest (fake: FakeServer, req: IncomingMessage, res: ServerResponse): void {
   if (req.url === '/load') {
     res.end(JSON.stringify({ inFlight: fake.busy }))
     return
@@ -109,10 +109,10 @@
     res.writeHead(503, { 'lynx-not-started': 'true', 'retry-after': '0' }).end()
     return
   }
-  start(fake, req, res)
+  startRequest(fake, req, res)
 }
 
-function start (fake: FakeServer, req: IncomingMessage, res: ServerResponse): void {
+function startRequest (fake: FakeServer, req: IncomingMessage, res: ServerResponse): void {
   fake.busy += 1
   fake.peak = Math.max(fake.peak, fake.busy)
   fake.lastStartAt = Date.now()
@@ -127,27 +127,27 @@
   }, serviceMs * (0.5 + Math.random()))
 }
 
-function report (): FakeReport {
-  const list = [...servers.values()].map(({ plan, served, shed, lastStartAt, peak }) => ({ server: plan.server, served, shed, lastStartAt, peak }))
-  return { runsById: [...runs], servers: list }
+function buildReport (): FakeServerReport {
+  const serverReports = [...servers.values()].map(({ plan, served, shed, lastStartAt, peak }) => ({ server: plan.server, served, shed, lastStartAt, peak }))
+  return { runsById: [...runs], servers: serverReports }
 }
 
-async function obey (order: FakeOrder): Promise<object> {
-  switch (order.type) {
+async function executeCommand (command: FakeServerCommand): Promise<object> {
+  switch (command.type) {
     case 'start':
-      announceTo = order.announceTo
-      await Promise.all(order.plans.map(startServer))
+      announceTo = command.announceTo
+      await Promise.all(command.plans.map(startServer))
       return {}
     case 'leave': {
-      const fake = servers.get(order.server)
+      const fake = servers.get(command.server)
       if (fake !== undefined) {
         fake.state = 'leaving'
         await announce(fake)
       }
       return {}
     }
-    case 'report': return report()
+    case 'report': return buildReport()
   }
 }
 
-answerOrders<FakeOrder>(obey)
+serveCommands<FakeServerCommand>(executeCommand)
--- a/scripts/support/processes.ts
+++ b/scripts/support/processes.ts
@@ -1,4 +1,4 @@
-/** Starts and ends daemons and other programs of this project as processes of their own. */
+/** Starts and stops daemons and other programs of this project, each as a separate process. */
 import { fork, spawn } from 'node:child_process'
 import type { ChildProcess } from 'node:child_process'
 import { openSync, writeFileSync } from 'node:fs'
@@ -12,18 +12,18 @@
 const daemonProgram = fileURLToPath(import.meta.resolve('@lynxcourse/daemon').replace('daemon.js', 'main.js'))
 const cliProgram = fileURLToPath(import.meta.resolve('@lynxcourse/cli').replace('cli.js', 'main.js'))
 
-/** A daemon in a process of its own. */
+/** A daemon that runs as a separate process. */
 export interface DaemonProcess {
   readonly plan: VmPlan
   child: ChildProcess
 }
 
-/** Waits. */
+/** Resolves after the given time. */
 export async function sleep (ms: number): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, ms))
 }
 
-/** Starts a daemon; its log goes to a file in the folder. */
+/** Starts a daemon process; its settings file and log file are in the folder. */
 export function startDaemonProcess (plan: VmPlan, settings: SettingsInput, folder: string): DaemonProcess {
   const file = join(folder, `${plan.vm}.yaml`)
   writeFileSync(file, stringify(settings))
@@ -32,36 +32,36 @@
   return { plan, child }
 }
 
-/** Resolves when a process has ended, with its exit code. */
+/** Resolves with the exit code of a process when it has exited; with null if a signal ended it. */
 export async function ended (child: ChildProcess): Promise<number | null> {
   if (child.exitCode !== null || child.signalCode !== null) return child.exitCode
   return await new Promise(resolve => child.once('exit', code => resolve(code)))
 }
 
-/** Ends a process at once. */
+/** Kills a process with SIGKILL and waits until it has exited. */
 export async function kill (child: ChildProcess): Promise<void> {
   child.kill('SIGKILL')
   await ended(child)
 }
 
-/** Waits until something holds. */
-export async function until (what: string, test: () => Promise<boolean>, withinMs = 20_000): Promise<void> {
-  const end = Date.now() + withinMs
-  while (Date.now() < end) {
-    if (await test().catch(() => false)) return
+/** Polls a condition until it is true, and throws an error after the timeout. An error of the condition counts as false. */
+export async function until (description: string, condition: () => Promise<boolean>, timeoutMs = 20_000): Promise<void> {
+  const deadline = Date.now() + timeoutMs
+  while (Date.now() < deadline) {
+    if (await condition().catch(() => false)) return
     await sleep(50)
   }
-  throw new Error(`not within ${withinMs} ms: ${what}`)
+  throw new Error(`timed out after ${timeoutMs} ms waiting until ${description}`)
 }
 
-/** Whether a daemon's `/readyz` or `/healthz` says yes. */
-export async function answers (plan: VmPlan, path: '/readyz' | '/healthz'): Promise<boolean> {
+/** Returns whether a daemon's `/readyz` or `/healthz` answers with status 200. */
+export async function checkHealth (plan: VmPlan, path: '/readyz' | '/healthz'): Promise<boolean> {
   const res = await request(`http://${plan.metrics}${path}`)
   await res.body.dump()
   return res.statusCode === 200
 }
 
-/** Result of one run of the command line. */
+/** Exit code and output of one run of the command line. */
 export interface CliResult {
   readonly code: number | null
   readonly stdout: string
@@ -79,14 +79,17 @@
   return { code, stdout, stderr }
 }
 
-/** How long nobody may lead before a command counts as failed; elections take a second, beside busy processes some. */
-const unledMs = 20_000
+/** How long a command is retried without a leader: an election takes one second, and several on a busy machine. */
+const leaderWaitMs = 20_000
 
-/** Runs the command line and throws if it fails; while nobody leads it gives the change again, as the command line says. */
-export async function mustCli (addresses: readonly string[], args: readonly string[]): Promise<CliResult> {
-  const end = Date.now() + unledMs
+/**
+ * Runs the command line and throws an error if it fails. While no leader is known, repeats the command under
+ * the change id that the command line printed.
+ */
+export async function runCliOrThrow (addresses: readonly string[], args: readonly string[]): Promise<CliResult> {
+  const deadline = Date.now() + leaderWaitMs
   let result = await runCli(addresses, args)
-  while (result.code === 1 && result.stderr.includes('no leader is known') && Date.now() < end) {
+  while (result.code === 1 && result.stderr.includes('no leader is known') && Date.now() < deadline) {
     await sleep(200)
     const id = /change id (\S+) \(give it again/.exec(result.stderr)?.[1]
     result = await runCli(addresses, id === undefined || args.includes('--change-id') ? args : [...args, '--change-id', id])
@@ -95,7 +98,7 @@
   return result
 }
 
-/** Starts a script of this folder with a message channel. */
+/** Forks a script, given by its path relative to this folder, with a message channel to this process. */
 export function forkScript (file: string, args: readonly string[]): ChildProcess {
   return fork(fileURLToPath(new URL(file, import.meta.url)), [...args], { stdio: ['ignore', 'inherit', 'inherit', 'ipc'] })
 }
--- a/scripts/support/tables.ts
+++ b/scripts/support/tables.ts
@@ -1,12 +1,12 @@
-/** Tables of results for the terminal. */
+/** Formats results as tables for the terminal. */
 import { formatTable } from '@lynxcourse/cli'
 import type { Row } from '@lynxcourse/cli'
 import type { CallResult } from './callers.js'
 
-/** The value below which a share of the values lies; NaN without values. */
-export function percentile (values: readonly number[], share: number): number {
+/** Returns the value below which the given fraction (0 to 1) of the values lies; NaN without values. */
+export function percentile (values: readonly number[], fraction: number): number {
   const sorted = [...values].sort((a, b) => a - b)
-  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? NaN
+  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? NaN
 }
 
 /** Prints a table under a title. */
@@ -17,7 +17,7 @@
   else process.stdout.write(`${formatTable(rows as readonly Row[], Object.keys(first))}\n`)
 }
 
-/** Calls by kind and outcome. */
+/** Counts calls by kind, outcome and status. */
 export function countOutcomes (results: readonly CallResult[]): object[] {
   const counts = new Map<string, number>()
   for (const { kind, outcome, status } of results) {
--- a/scripts/support/topology.ts
+++ b/scripts/support/topology.ts
@@ -1,9 +1,9 @@
-/** Settings of a small Tidewise system on loopback: six failure domains, 8 VMs, 3 of them control. */
+/** Topology and settings of a small Tidewise system on loopback: three regions with two failure domains each. */
 import { createServer } from 'node:net'
 import type { AddressInfo } from 'node:net'
 import type { SettingsInput } from '@lynxcourse/daemon'
 
-/** A VM of the small system. */
+/** Location, addresses and role of one VM. */
 export interface VmPlan {
   readonly vm: string
   readonly region: string
@@ -15,12 +15,12 @@
   readonly metrics: string
 }
 
-/** A region with its failure domains and its callers' block. */
+/** A region, its failure domains and the address block of its callers. */
 export interface RegionPlan {
   readonly region: string
   readonly domains: readonly string[]
   readonly callerBlock: string
-  /** First two octets of the block. */
+  /** First two octets of the addresses in `callerBlock`. */
   readonly callerNet: string
 }
 
@@ -30,8 +30,8 @@
   { region: 'mumbai', domains: ['mumbai-a', 'mumbai-b'], callerBlock: '127.103.0.0/16', callerNet: '127.103' }
 ]
 
-/** A TCP port that is free on an address now. */
-export async function freePort (ip: string): Promise<number> {
+/** Finds a TCP port that is currently free on an address. */
+export async function findFreePort (ip: string): Promise<number> {
   const server = createServer()
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
@@ -42,32 +42,35 @@
   return port
 }
 
-/** Plans the VMs: one in each failure domain and then round again; the first of each region is control. */
+/**
+ * Plans VMs and assigns them to the failure domains in turn. The first VM of each region is a control VM.
+ * With `onePerRegion` only the first failure domain of each region is used.
+ */
 export async function planVms (count: number, onePerRegion = false): Promise<VmPlan[]> {
-  const domains = tidewiseRegions.flatMap((region, place) => region.domains.slice(0, onePerRegion ? 1 : undefined).map((domain, inner) => ({ region: region.region, domain, id: place * 10 + inner + 1 })))
+  const domains = tidewiseRegions.flatMap((region, regionIndex) => region.domains.slice(0, onePerRegion ? 1 : undefined).map((domain, domainIndex) => ({ region: region.region, domain, id: regionIndex * 10 + domainIndex + 1 })))
   const plans: VmPlan[] = []
-  for (let number = 0; number < count; number++) {
-    const home = domains[number % domains.length]
-    if (home === undefined) break
-    const round = Math.floor(number / domains.length) + 1
-    const ip = `127.0.${home.id}.${round}`
-    const isControl = round === 1 && home.domain.endsWith('-a')
+  for (let index = 0; index < count; index++) {
+    const location = domains[index % domains.length]
+    if (location === undefined) break
+    const round = Math.floor(index / domains.length) + 1
+    const ip = `127.0.${location.id}.${round}`
+    const isControl = round === 1 && location.domain.endsWith('-a')
     plans.push({
-      vm: `${home.domain}-${round}`,
-      region: home.region,
-      failureDomain: home.domain,
+      vm: `${location.domain}-${round}`,
+      region: location.region,
+      failureDomain: location.domain,
       isControl,
       ip,
-      http: `${ip}:${await freePort(ip)}`,
-      rpc: `${ip}:${await freePort(ip)}`,
-      metrics: `${ip}:${await freePort(ip)}`
+      http: `${ip}:${await findFreePort(ip)}`,
+      rpc: `${ip}:${await findFreePort(ip)}`,
+      metrics: `${ip}:${await findFreePort(ip)}`
     })
   }
   return plans
 }
 
-/** The settings of one VM. */
-export function settingsOf (plan: VmPlan, all: readonly VmPlan[], dataFolder: string, extra: Partial<SettingsInput> = {}): SettingsInput {
+/** Builds the settings of one VM. */
+export function buildSettings (plan: VmPlan, all: readonly VmPlan[], dataFolder: string, overrides: Partial<SettingsInput> = {}): SettingsInput {
   const seeds = all.filter(other => other.isControl).map(({ vm, region, rpc }) => ({ vm, region, rpc }))
   const regions = Object.fromEntries(tidewiseRegions.map(region => [region.region, region.domains]))
   return {
@@ -80,6 +83,6 @@
     seeds,
     topology: { regions, latenciesMs: { 'kochi>chennai': 35, 'kochi>mumbai': 35, 'chennai>mumbai': 35 } },
     callerBlocks: tidewiseRegions.map(({ callerBlock, region }) => ({ cidr: callerBlock, region })),
-    ...extra
+    ...overrides
   } as SettingsInput
 }
--- a/scripts/support/traffic.ts
+++ b/scripts/support/traffic.ts
@@ -1,4 +1,4 @@
-/** A steady load of reads and once-only requests from the callers of all regions. */
+/** Sends reads and once-only requests at a steady rate from the callers of all regions. */
 import { callService, createCallers } from './callers.js'
 import type { CallResult } from './callers.js'
 import { sleep } from './processes.js'
@@ -13,50 +13,50 @@
 
 export interface Traffic {
   readonly results: CallResult[]
-  /** Stops new calls and waits for those under way. */
+  /** Stops new calls and waits for those in flight. */
   stop: () => Promise<void>
 }
 
-const turnMs = 10
+const tickMs = 10
 
-/** So many blocks that each VM of a region has some. */
+/** Enough blocks that each VM of a region receives calls from some of them. */
 const blocksPerRegion = 16
 
-/** Starts the load: calls begin at their times whatever becomes of earlier ones. */
+/** Starts an open-loop load: each call starts at its scheduled time, also if earlier calls have not finished. */
 export function startTraffic (vms: readonly string[], rate: TrafficRate): Traffic {
-  const groups = Array.from({ length: blocksPerRegion }, (_, block) => tidewiseRegions.map((region, place) => {
-    const first = (place + block) % vms.length
-    return createCallers(region, block, [...vms.slice(first), ...vms.slice(0, first)])
+  const groups = Array.from({ length: blocksPerRegion }, (_, block) => tidewiseRegions.map((region, regionIndex) => {
+    const offset = (regionIndex + block) % vms.length
+    return createCallers(region, block, [...vms.slice(offset), ...vms.slice(0, offset)])
   })).flat()
   const services = rate.services ?? ['offers', 'ledger']
   const results: CallResult[] = []
-  const open = new Set<Promise<void>>()
-  let calls = 0
-  let owedReads = 0
-  let owedOnce = 0
-  let last = performance.now()
+  const inFlight = new Set<Promise<void>>()
+  let callCount = 0
+  let dueReads = 0
+  let dueOnce = 0
+  let lastTickAt = performance.now()
   const start = (kind: 'read' | 'once'): void => {
-    const number = calls++
-    const group = groups[number % groups.length]
-    const service = services[Math.floor(number / groups.length) % services.length]
+    const index = callCount++
+    const group = groups[index % groups.length]
+    const service = services[Math.floor(index / groups.length) % services.length]
     if (group === undefined || service === undefined) return
     const call = callService(group, service, kind, rate.deadlineMs).then(result => { results.push(result) })
-    open.add(call)
-    call.finally(() => open.delete(call)).catch(() => undefined)
+    inFlight.add(call)
+    call.finally(() => inFlight.delete(call)).catch(() => undefined)
   }
   const timer = setInterval(() => {
     const now = performance.now()
-    owedReads += (now - last) / 1000 * rate.readsPerSecond
-    owedOnce += (now - last) / 1000 * rate.oncePerSecond
-    last = now
-    for (; owedReads >= 1; owedReads--) start('read')
-    for (; owedOnce >= 1; owedOnce--) start('once')
-  }, turnMs)
+    dueReads += (now - lastTickAt) / 1000 * rate.readsPerSecond
+    dueOnce += (now - lastTickAt) / 1000 * rate.oncePerSecond
+    lastTickAt = now
+    for (; dueReads >= 1; dueReads--) start('read')
+    for (; dueOnce >= 1; dueOnce--) start('once')
+  }, tickMs)
   return {
     results,
     stop: async () => {
       clearInterval(timer)
-      while (open.size > 0) await Promise.race([...open, sleep(50)])
+      while (inFlight.size > 0) await Promise.race([...inFlight, sleep(50)])
       for (const group of groups) await group.agent.destroy()
     }
   }
