--- a/packages/daemon/src/core/fleet/presenceExchange.ts
+++ b/packages/daemon/src/core/fleet/presenceExchange.ts
@@ -3,9 +3,9 @@
 import type { Millis } from '@lynxcourse/base'
 import { listPresentBackends } from '@lynxcourse/state'
 import { readPlacement, writePlacement } from '../../plugins/placementFile.js'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
-import { leads } from '../control/hostState.js'
+import { isLeading } from '../control/hostState.js'
 import { delay } from '../node/timers.js'
 import { callPeer } from '../rpc/rpcClient.js'
 import { getLeaderAddress, submitRouteCommand } from './fleetControl.js'
@@ -39,7 +39,7 @@
     await restorePlacement(control)
     while (!state.stopped) {
       await exchange(control).catch((err: unknown) => log(control.node.logs, 'member', 'debug', 'Presence exchange failed.', { error: getErrorMessage(err) }))
-      savePlacement(control, presentTime())
+      savePlacement(control, getCurrentTime())
       await pause()
     }
   }
@@ -79,10 +79,10 @@
 
 async function exchange (control: FleetControl): Promise<void> {
   const { node, host, presence, loadAggregate, board } = control
-  const now = presentTime()
+  const now = getCurrentTime()
   prunePresence(presence, now)
   const report: PresenceReport = { from: { rpc: node.cfg.rpc, region: node.cfg.region }, entries: listUnreportedEntries(presence, now), heard: [...presence.heard], load: flushDigest(loadAggregate, now), weights: board.news.weights?.version ?? 0 }
-  if (leads(host)) {
+  if (isLeading(host)) {
     presence.heard.clear()
     presence.unreported.clear()
     presence.lastExchangeAt = now
@@ -97,7 +97,7 @@
   const reply = await callPeer<PresenceReply>(node.client, leader, 'fleet.presence', report)
   for (const id of report.heard) presence.heard.delete(id)
   recordReported(presence, report.entries)
-  presence.lastExchangeAt = presentTime()
+  presence.lastExchangeAt = getCurrentTime()
   applyReply(control, reply)
   storeLoadUpdate(control.board, reply.news)
 }
@@ -117,7 +117,7 @@
 
 function applyReply (control: FleetControl, reply: PresenceSummary): void {
   const { node, presence } = control
-  const now = presentTime()
+  const now = getCurrentTime()
   for (const { presence: entry, ageMs } of reply.entries) recordEntry(presence, entry, now - ageMs)
   node.controls = reply.controls
 }
--- a/packages/daemon/src/core/fleet/stateWatch.ts
+++ b/packages/daemon/src/core/fleet/stateWatch.ts
@@ -4,7 +4,7 @@
 import { applyDelta } from '@lynxcourse/state'
 import { flushLoadReport } from '@lynxcourse/placement'
 import type { EntryPresence } from '@lynxcourse/placement'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
 import { delay } from '../node/timers.js'
 import { callPeer } from '../rpc/rpcClient.js'
@@ -51,7 +51,7 @@
 async function runWatch (watch: StateWatch): Promise<void> {
   const { node } = watch
   while (!watch.stopped) {
-    const control = chooseControl(watch, presentTime())
+    const control = chooseControl(watch, getCurrentTime())
     if (control === undefined) {
       watch.avoidedUntil.clear()
       await delay(retryDelayMs)
@@ -62,10 +62,10 @@
       const reply = await watchOnce(watch, control, getWatchTimeout(watch, isFirst))
       if (isFirst) log(node.logs, 'sync', 'info', 'Watch at a control VM started.', { peer: control, ageMs: reply.ageMs === null ? undefined : Math.round(reply.ageMs), version: node.config.version })
       watch.currentControl = control
-      applyWatchReply(watch, control, reply, presentTime())
+      applyWatchReply(watch, control, reply, getCurrentTime())
     } catch (err) {
       log(node.logs, 'sync', 'warn', 'Watch at a control VM failed.', { peer: control, error: getErrorMessage(err) })
-      avoidControl(watch, control, presentTime())
+      avoidControl(watch, control, getCurrentTime())
       await delay(retryDelayMs)
     }
   }
@@ -82,14 +82,14 @@
 
 /** Sends a change of this VM's presence to one control VM immediately. */
 export async function publishPresence (watch: StateWatch): Promise<void> {
-  const control = chooseControl(watch, presentTime())
+  const control = chooseControl(watch, getCurrentTime())
   if (control === undefined) return
   await watchOnce(watch, control, 0).catch((err: unknown) => log(watch.node.logs, 'sync', 'warn', 'Presence could not be published.', { peer: control, error: getErrorMessage(err) }))
 }
 
 async function watchOnce (watch: StateWatch, control: string, waitMs: Millis): Promise<WatchReply> {
   const { node } = watch
-  const load = flushLoadReport(node.load, presentTime())
+  const load = flushLoadReport(node.load, getCurrentTime())
   const request: WatchRequest = { version: node.config.version, waitMs, self: watch.self(), weights: node.loadUpdate.weights?.version ?? 0, ...(load === undefined ? {} : { load }) }
   return await callPeer<WatchReply>(node.client, control, 'fleet.watch', request, waitMs + node.cfg.times.rpcTimeoutMs)
 }
--- a/packages/daemon/src/core/gateway/call.ts
+++ b/packages/daemon/src/core/gateway/call.ts
@@ -3,7 +3,7 @@
 import type { CallerLiveness } from '@lynxcourse/placement'
 import type { Route } from '@lynxcourse/state'
 import type { HeaderMap } from '../../types/answers.js'
-import type { Cancel } from '../../utils/cancel.js'
+import type { CancelSignal } from '../../utils/cancelSignal.js'
 import type { CallFacts } from './dialects.js'
 
 export interface Call {
@@ -22,7 +22,7 @@
   /** By the caller's own time limit or the route's, whichever ends first. */
   readonly deadline: Millis
   /** Aborted when the caller has closed its connection. */
-  readonly gone: Cancel
+  readonly gone: CancelSignal
   /** Until when a close of its connection would have been seen. */
   readonly caller: CallerLiveness
   /** For how long that close can have lain unread; undefined before it is read. */
--- a/packages/daemon/src/core/gateway/callBody.ts
+++ b/packages/daemon/src/core/gateway/callBody.ts
@@ -6,7 +6,7 @@
  */
 import type { IncomingMessage } from 'node:http'
 import type { Millis } from '@lynxcourse/base'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import type { Gateway } from './gateway.js'
 
 /** Bodies held at once; beyond it requests with a body are turned away, since memory over the VM's limit ends the process. */
@@ -50,7 +50,7 @@
 async function readToEnd (reading: Reading): Promise<BodyEnd> {
   const { req } = reading
   const { 'content-length': length, 'transfer-encoding': encoding } = req.headers
-  if (length === undefined && encoding === undefined) return { type: 'whole', body: Buffer.alloc(0), at: presentTime() }
+  if (length === undefined && encoding === undefined) return { type: 'whole', body: Buffer.alloc(0), at: getCurrentTime() }
   try {
     const end = await readChunks(reading)
     // What is not held is dropped: left unread, it would stop the reading as well.
@@ -73,7 +73,7 @@
     hold(reading, chunk)
     chunks.push(chunk)
   }
-  return { type: 'whole', body: Buffer.concat(chunks), at: presentTime() }
+  return { type: 'whole', body: Buffer.concat(chunks), at: getCurrentTime() }
 }
 
 function isTooLarge ({ gateway, heldBytes }: Reading, chunk: Buffer): boolean {
--- a/packages/daemon/src/core/gateway/callerFront.ts
+++ b/packages/daemon/src/core/gateway/callerServer.ts
@@ -8,12 +8,12 @@
 import type { RoutedService, IterationTime } from '@lynxcourse/placement'
 import { matchRoute, selectService } from '@lynxcourse/routing'
 import type { HeaderMap } from '../../types/answers.js'
-import type { Cancel } from '../../utils/cancel.js'
-import { presentTime } from '../../utils/clock.js'
+import type { CancelSignal } from '../../utils/cancelSignal.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { isHopByHop } from '../../utils/headers.js'
 import { log } from '../../utils/logging.js'
-import { arrivalTime, noteAccepted, watchClose } from '../../utils/loopWatch.js'
-import { nextLook } from '../../utils/socketLooks.js'
+import { recordRequestRead, recordAcceptedConnection, recordCloseRead } from '../../utils/loopMonitor.js'
+import { waitForPoll } from '../../utils/pollPhase.js'
 import type { Call, CallAnswer } from './call.js'
 import { startBody } from './callBody.js'
 import type { BodyEnd, CallBody } from './callBody.js'
@@ -23,7 +23,7 @@
 import { logRefusal, timeFields } from './requestLog.js'
 import type { RefusedCall } from './requestLog.js'
 import { serveCall } from './serving.js'
-import { knowsRoutes, waitForRoutes } from './stateWait.js'
+import { knowsRoutes, waitForRoutes } from './routeWait.js'
 
 /** Largest head that the parser takes; the routes' own limit may be lower. */
 const maxHeaderBytes = 65_536
@@ -35,7 +35,7 @@
 const notReadyRetryMs: Millis = 500
 
 /** Makes the server; it does not listen yet. */
-export function createCallerFront (gateway: Gateway): Server {
+export function createCallerServer (gateway: Gateway): Server {
   const server = createServer({ maxHeaderSize: maxHeaderBytes, requestTimeout: 0 }, (req, res) => {
     answerCall(gateway, req, res).catch((err: unknown) => {
       log(gateway.node.logs, 'route', 'error', 'Request not served.', { error: getErrorMessage(err) })
@@ -43,8 +43,8 @@
     })
   })
   server.on('connection', (socket: Socket) => {
-    noteAccepted(gateway.loop, socket, presentTime())
-    watchClose(gateway.loop, socket, unreadMs => {
+    recordAcceptedConnection(gateway.loop, socket, getCurrentTime())
+    recordCloseRead(gateway.loop, socket, unreadMs => {
       const isWaiting = (gateway.pipelines.get(socket)?.requests.length ?? 0) > 0
       if (isWaiting) gateway.node.metrics.closeUnreadSeconds.observe(unreadMs / 1000)
     })
@@ -53,13 +53,13 @@
 }
 
 /** Takes changed limits over. */
-export function applyLimits (gateway: Gateway, server: Server): void {
+export function applyCallerLimits (gateway: Gateway, server: Server): void {
   server.keepAliveTimeout = gateway.limits.idleTimeoutMs + idleSlackMs
   server.headersTimeout = gateway.limits.headerTimeoutMs + idleSlackMs
 }
 
 async function answerCall (gateway: Gateway, req: IncomingMessage, res: ServerResponse): Promise<void> {
-  const read = arrivalOf(gateway, req, presentTime())
+  const read = arrivalOf(gateway, req, getCurrentTime())
   const { arrivedAt } = read
   const { metrics } = gateway.node
   metrics.unreadSeconds.observe((read.readAt - arrivedAt) / 1000)
@@ -71,7 +71,7 @@
   try {
     const { service, answer } = await takeUp(gateway, { req, body, gone, arrival: read })
     metrics.requests.inc({ service, outcome: answer === undefined ? 'gone' : String(answer.status) })
-    metrics.requestSeconds.observe({ service }, (presentTime() - arrivedAt) / 1000)
+    metrics.requestSeconds.observe({ service }, (getCurrentTime() - arrivedAt) / 1000)
     if (answer !== undefined && await waitForTurn(place, answer.body.length)) writeAnswer(gateway, res, answer, place)
   } finally {
     body.release()
@@ -87,7 +87,7 @@
 interface Taken {
   readonly req: IncomingMessage
   readonly body: CallBody
-  readonly gone: Cancel
+  readonly gone: CancelSignal
   readonly arrival: Arrival
 }
 
@@ -103,7 +103,7 @@
   const arrival = await lookBehind(gateway, read.arrival)
   if (!knowsRoutes(gateway)) {
     await waitForRoutes(gateway, gone)
-    arrival.workFrom = presentTime()
+    arrival.workFrom = getCurrentTime()
   }
   body.judge()
   if (gone.aborted) {
@@ -129,8 +129,8 @@
 }
 
 function arrivalOf ({ loop }: Gateway, req: IncomingMessage, now: Millis): Arrival {
-  const arrivedAt = arrivalTime(loop, req.socket, now)
-  const turn = getIterationTime(loop.turns, now)
+  const arrivedAt = recordRequestRead(loop, req.socket, now)
+  const turn = getIterationTime(loop.iterations, now)
   return { arrivedAt, readAt: now, caller: createCallerLiveness(), readTurn: turn, workFrom: now }
 }
 
@@ -142,20 +142,20 @@
     recordPoll(caller, readAt)
     return arrival
   }
-  const look = await nextLook(loop.looks)
+  const look = await waitForPoll(loop.polls)
   recordPoll(caller, look.beganAt)
   return { ...arrival, workFrom: look.endedAt }
 }
 
 /** The route of a request, and the service that its split gives it; undefined without a route. */
 function targetOf (gateway: Gateway, req: IncomingMessage): RoutedService | undefined {
-  const route = matchRoute(gateway.table, req.headers.host ?? '', req.url ?? '/')
+  const route = matchRoute(gateway.routeTable, req.headers.host ?? '', req.url ?? '/')
   return route === undefined ? undefined : { route, service: selectService(gateway.splits, route) }
 }
 
 async function serveRequest (gateway: Gateway, { req, body: coming, gone, arrival }: Taken, { route, service }: RoutedService): Promise<CallAnswer | undefined> {
   const { arrivedAt, readAt, caller, readTurn, workFrom } = arrival
-  const facts = gateway.callers.readCall(req.headers)
+  const facts = gateway.callers.parseCallFacts(req.headers)
   const deadline = arrivedAt + Math.min(facts.remainingMs ?? Infinity, route.timeoutMs)
   const refused: RefusedCall = { facts, route, service, arrivedAt, readAt, deadline }
   if (!fitsIterationBudget(readTurn, route.rank)) return refuseOverloaded(gateway, req, refused)
@@ -163,7 +163,7 @@
   if (end.type !== 'whole') return noBody(gateway, end)
   if (end.at > caller.polledAt) invalidateLiveness(caller)
   // Asked right before the work, which counts for those that are asked after this one.
-  const spentMs = presentTime() - Math.max(workFrom, end.at)
+  const spentMs = getCurrentTime() - Math.max(workFrom, end.at)
   if (!fitsIterationBudget({ ...readTurn, elapsedMs: spentMs }, route.rank)) return refuseOverloaded(gateway, req, refused)
   const { body } = end
   const call: Call = {
@@ -179,7 +179,7 @@
     deadline,
     gone,
     caller,
-    closeUnreadMs: () => gateway.loop.closesUnread.get(req.socket)
+    closeUnreadMs: () => gateway.loop.closeReadDelays.get(req.socket)
   }
   try {
     return await serveCall(gateway, call)
@@ -209,7 +209,7 @@
 }
 
 function refusal (gateway: Gateway, detail: string, retryAfterMs: Millis): CallAnswer {
-  return { status: 503, headers: gateway.callers.refusalHeaders(retryAfterMs), body: Buffer.from(`not run: ${detail}\n`) }
+  return { status: 503, headers: gateway.callers.buildRefusalHeaders(retryAfterMs), body: Buffer.from(`not run: ${detail}\n`) }
 }
 
 function ownAnswer (status: number, detail: string): CallAnswer {
@@ -230,7 +230,7 @@
   const listed = new Set(String(req.headers.connection ?? '').toLowerCase().split(',').map(name => name.trim()))
   const headers: HeaderMap = {}
   for (const [name, value] of Object.entries(req.headers)) {
-    if (value !== undefined && !isHopByHop(name) && !listed.has(name) && !gateway.callers.ownHeaders.has(name)) headers[name] = value
+    if (value !== undefined && !isHopByHop(name) && !listed.has(name) && !gateway.callers.reservedHeaders.has(name)) headers[name] = value
   }
   return headers
 }
--- a/packages/daemon/src/core/gateway/dialects.ts
+++ b/packages/daemon/src/core/gateway/dialects.ts
@@ -19,13 +19,13 @@
 
 /** What callers and this system say to each other. */
 export abstract class CallerDialect {
-  abstract readCall (headers: IncomingHttpHeaders): CallFacts
+  abstract parseCallFacts (headers: IncomingHttpHeaders): CallFacts
 
   /** Names of headers that this system sets itself: those that callers send are not passed on. */
-  abstract readonly ownHeaders: ReadonlySet<string>
+  abstract readonly reservedHeaders: ReadonlySet<string>
 
   /** Headers of a refusal that tells when to come back. */
-  refusalHeaders (retryAfterMs: Millis): HeaderMap {
+  buildRefusalHeaders (retryAfterMs: Millis): HeaderMap {
     return { 'retry-after': (retryAfterMs / 1000).toFixed(3) }
   }
 }
@@ -36,22 +36,22 @@
 /** What this system and backend servers say to each other. */
 export abstract class ServerDialect {
   /** Headers added for a server. */
-  abstract requestHeaders (call: CallFacts, server: ServerId, leftMs: Millis): HeaderMap
+  abstract buildRequestHeaders (call: CallFacts, server: ServerId, leftMs: Millis): HeaderMap
 
   /** Requests running and waiting at the server; undefined if it did not say. */
-  abstract readAhead (headers: HeaderMap): number | undefined
+  abstract parseQueueDepth (headers: HeaderMap): number | undefined
 
   /** Whether an answer's head belongs to the request, and whether the request ran. */
-  abstract judge (call: CallFacts, status: number, headers: HeaderMap): AnswerKind
+  abstract classifyAnswer (call: CallFacts, status: number, headers: HeaderMap): AnswerKind
 }
 
 const statusMisdirected = 421
 
 /** The product's own caller side. */
-export class OwnCallerDialect extends CallerDialect {
-  override readonly ownHeaders = new Set([deadlineHeader, 'lynx-expect-server'])
+export class DefaultCallerDialect extends CallerDialect {
+  override readonly reservedHeaders = new Set([deadlineHeader, 'lynx-expect-server'])
 
-  override readCall (headers: IncomingHttpHeaders): CallFacts {
+  override parseCallFacts (headers: IncomingHttpHeaders): CallFacts {
     const remaining = Number(headers[deadlineHeader])
     return {
       id: String(headers[requestIdHeader] ?? ''),
@@ -62,17 +62,17 @@
 }
 
 /** The product's own server side. */
-export class OwnServerDialect extends ServerDialect {
-  override requestHeaders (_call: CallFacts, server: ServerId, leftMs: Millis): HeaderMap {
+export class DefaultServerDialect extends ServerDialect {
+  override buildRequestHeaders (_call: CallFacts, server: ServerId, leftMs: Millis): HeaderMap {
     return { [deadlineHeader]: String(leftMs), 'lynx-expect-server': server }
   }
 
-  override readAhead (headers: HeaderMap): number | undefined {
+  override parseQueueDepth (headers: HeaderMap): number | undefined {
     const load = Number(headers[loadHeader])
     return headers[loadHeader] !== undefined && Number.isFinite(load) && load >= 0 ? load : undefined
   }
 
-  override judge (call: CallFacts, status: number, headers: HeaderMap): AnswerKind {
+  override classifyAnswer (call: CallFacts, status: number, headers: HeaderMap): AnswerKind {
     const echoed = headers[requestIdHeader]
     // A server may send an answer twice or late, so that it stands where the next request's answer is due.
     if (echoed !== undefined && echoed !== call.id) return 'spoiled'
--- a/packages/daemon/src/core/gateway/exchange.ts
+++ b/packages/daemon/src/core/gateway/exchange.ts
@@ -6,7 +6,7 @@
 import { LynxError } from '@lynxcourse/base'
 import type { Millis } from '@lynxcourse/base'
 import type { HeaderMap } from '../../types/answers.js'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 
 /** Largest answer that is held in memory; whole answers are checked before a caller gets any of them. */
 const maxAnswerBytes = 16_777_216
@@ -46,7 +46,7 @@
     client.dispatch(options, {
       onRequestStart: started => {
         controller = started
-        const now = presentTime()
+        const now = getCurrentTime()
         if (isAborted || now > writeBy) started.abort(cancelled())
         else exchange.startedAt = now
       },
--- a/packages/daemon/src/core/gateway/gateway.ts
+++ b/packages/daemon/src/core/gateway/gateway.ts
@@ -6,9 +6,9 @@
 import type { RouteTable, SplitStates } from '@lynxcourse/routing'
 import { defaultCallerLimits } from '@lynxcourse/state'
 import type { CallerLimits } from '@lynxcourse/state'
-import type { LoopWatch } from '../../utils/loopWatch.js'
+import type { LoopMonitor } from '../../utils/loopMonitor.js'
 import type { FleetNode } from '../fleet/fleetNode.js'
-import { createPool } from '../entry/connectionPool.js'
+import { createConnectionPool } from '../entry/connectionPool.js'
 import type { ConnectionPool } from '../entry/connectionPool.js'
 import type { CallerDialect, ServerDialect } from './dialects.js'
 import type { Pipelines } from './pipeline.js'
@@ -20,15 +20,15 @@
   readonly pool: ConnectionPool
   readonly splits: SplitStates
   /** For the bound on how long requests lay unread. */
-  readonly loop: LoopWatch
-  table: RouteTable
+  readonly loop: LoopMonitor
+  routeTable: RouteTable
   limits: CallerLimits
   /** Requests in this VM. */
   open: number
   /** Requests that are not answered yet, by the callers' connections. */
   readonly pipelines: Pipelines
   /** Requests that wait for the first state. */
-  waiting: number
+  waitingForRoutes: number
   /** Bytes of request bodies held. */
   heldBytes: number
 }
@@ -41,18 +41,18 @@
     node,
     callers,
     servers,
-    pool: createPool({ staleMs: staleConnectionMs, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.looks),
+    pool: createConnectionPool({ staleMs: staleConnectionMs, silentMs: Infinity }, loadChart('connection'), connectTimeoutMs, loop.polls),
     fleet: createFleet(setup, node.entryNames),
     load: node.load,
     splits: new Map(),
     retries: new Map(),
     loop,
-    table: buildRouteTable([]),
+    routeTable: buildRouteTable([]),
     limits: defaultCallerLimits,
     pipelines: new WeakMap(),
     open: 0,
     waitingForCapacity: new Map(),
-    waiting: 0,
+    waitingForRoutes: 0,
     heldBytes: 0
   }
 }
--- a/packages/daemon/src/core/gateway/fleetView.ts
+++ b/packages/daemon/src/core/gateway/gatewayRefresh.ts
@@ -15,7 +15,7 @@
 export function refreshGateway (gateway: Gateway, now: Millis): void {
   const { node, fleet } = gateway
   const set = findRouteSet(node.config)
-  gateway.table = buildRouteTable(set?.routes ?? [])
+  gateway.routeTable = buildRouteTable(set?.routes ?? [])
   if (set !== undefined) {
     gateway.limits = set.limits
     for (const upstream of set.upstreams) fleet.coldRequestRates.set(upstream.name, upstream.warmupPerSecond)
@@ -36,7 +36,7 @@
   for (const id of fleet.byId.keys()) {
     if (present.has(id)) continue
     fleet.byId.delete(id)
-    forgetServer(fleet.warmth, id)
+    forgetServer(fleet.warmObjects, id)
   }
   groupServersByService(fleet)
   applyWeights(fleet, node.loadUpdate.weights)
@@ -46,7 +46,7 @@
 const travelCreep = 1.01
 
 /** Learns the way to a region from how long a connection to one of its servers took to open. */
-export function noteConnected (gateway: Gateway, address: string, tookMs: Millis): void {
+export function recordConnectTime (gateway: Gateway, address: string, tookMs: Millis): void {
   const { fleet } = gateway
   const region = [...fleet.byId.values()].find(server => server.facts.address === address)?.facts.region
   if (region === undefined) return
@@ -74,7 +74,7 @@
   const known = fleet.byId.get(key)
   // A server that started again under its id holds nothing of before: what was learned of its former start is wrong.
   const isNextStart = known !== undefined && known.facts.bornAt !== facts.bornAt
-  if (isNextStart) forgetServer(fleet.warmth, key)
+  if (isNextStart) forgetServer(fleet.warmObjects, key)
   const held = isNextStart ? undefined : known
   if (held === undefined) {
     // A server tells how long it stays cold; one that says nothing is warm. A VM that started anew and took all
@@ -91,5 +91,5 @@
 function makeCold (fleet: Fleet, server: FleetServer, until: Millis): void {
   server.coldUntil = until
   server.consecutiveFailures = 0
-  forgetServer(fleet.warmth, server.facts.id)
+  forgetServer(fleet.warmObjects, server.facts.id)
 }
--- a/packages/daemon/src/core/gateway/pipeline.ts
+++ b/packages/daemon/src/core/gateway/pipeline.ts
@@ -8,7 +8,7 @@
  * at servers that nobody waits for, and as a VM that ends for lack of memory.
  */
 import type { Socket } from 'node:net'
-import { Cancel } from '../../utils/cancel.js'
+import { CancelSignal } from '../../utils/cancelSignal.js'
 
 /** Requests of one connection that are worked on at once; the next ones wait, so that at most so many answers are held for their turn. */
 const mostAtOnce = 8
@@ -19,7 +19,7 @@
 export interface PipelinedRequest {
   readonly pipeline: Pipeline
   /** Aborted when the caller closed the connection, or an answer before this one closes it. */
-  readonly gone: Cancel
+  readonly gone: CancelSignal
   /** Bytes of its answer while that waits for its turn. */
   heldBytes: number
   /** Called when what it waits for may be there. */
@@ -51,7 +51,7 @@
 /** Takes a request's place, and waits until it may be worked on or is cancelled. */
 export async function joinPipeline (pipelines: Pipelines, socket: Socket): Promise<PipelinedRequest> {
   const pipeline = pipelineOf(pipelines, socket)
-  const request: PipelinedRequest = { pipeline, gone: new Cancel(), heldBytes: 0, wake: () => undefined }
+  const request: PipelinedRequest = { pipeline, gone: new CancelSignal(), heldBytes: 0, wake: () => undefined }
   pipeline.requests.push(request)
   if (socket.destroyed || pipeline.isClosing) cancel(request)
   await waitUntil(request, mayBegin)
--- a/packages/daemon/src/core/gateway/requestLog.ts
+++ b/packages/daemon/src/core/gateway/requestLog.ts
@@ -2,7 +2,7 @@
 import type { Millis, ServiceId } from '@lynxcourse/base'
 import { estimateQueueDepth, getConcurrency, isServerError } from '@lynxcourse/placement'
 import type { Placement, Refusal } from '@lynxcourse/placement'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
 import type { LogFields } from '../../utils/logging.js'
 import type { Call } from './call.js'
@@ -68,12 +68,12 @@
 /** Version of the state that decided, and how long ago it was known to be the present one. */
 function stateFields (gateway: Gateway): LogFields {
   const { node } = gateway
-  return { stateVersion: node.config.version, stateAgeMs: Math.round(presentTime() - node.upToDateAt) }
+  return { stateVersion: node.config.version, stateAgeMs: Math.round(getCurrentTime() - node.upToDateAt) }
 }
 
 /** For how long a request can have lain unread, and since when it is in this VM. */
 export function timeFields ({ readAt, arrivedAt }: Pick<Call, 'readAt' | 'arrivedAt'>): LogFields {
-  return { unreadMs: Math.round(readAt - arrivedAt), inVmMs: Math.round(presentTime() - readAt) }
+  return { unreadMs: Math.round(readAt - arrivedAt), inVmMs: Math.round(getCurrentTime() - readAt) }
 }
 
 /** Writes the line for a request that is refused. */
@@ -88,7 +88,7 @@
     retryAfterMs: Math.round(refused.retryAfterMs),
     ...loadFields(gateway, call.service),
     sends,
-    leftMs: Math.round(call.deadline - presentTime()),
+    leftMs: Math.round(call.deadline - getCurrentTime()),
     ...timeFields(call),
     ...stateFields(gateway)
   })
--- a/packages/daemon/src/core/gateway/stateWait.ts
+++ b/packages/daemon/src/core/gateway/routeWait.ts
@@ -6,8 +6,8 @@
  * twice, and as the largest loss of the seconds after such a start. Held for that long, they are served.
  */
 import type { Millis } from '@lynxcourse/base'
-import type { Cancel } from '../../utils/cancel.js'
-import { afterLook } from '../../utils/socketLooks.js'
+import type { CancelSignal } from '../../utils/cancelSignal.js'
+import { afterPoll } from '../../utils/pollPhase.js'
 import type { Gateway } from './gateway.js'
 
 /** A caller that has waited longer is told to come back. */
@@ -17,14 +17,14 @@
 
 /** Whether requests can be judged here: the present state was read, and it has routes. */
 export function knowsRoutes (gateway: Gateway): boolean {
-  return gateway.node.upToDateAt > -Infinity && gateway.table.size > 0
+  return gateway.node.upToDateAt > -Infinity && gateway.routeTable.size > 0
 }
 
 /** Holds a request until the routes are known, its caller is gone, or the time is over. */
-export async function waitForRoutes (gateway: Gateway, gone: Cancel): Promise<void> {
-  if (knowsRoutes(gateway) || gateway.waiting >= mostWaiting) return
+export async function waitForRoutes (gateway: Gateway, gone: CancelSignal): Promise<void> {
+  if (knowsRoutes(gateway) || gateway.waitingForRoutes >= mostWaiting) return
   const { onChange } = gateway.node
-  gateway.waiting += 1
+  gateway.waitingForRoutes += 1
   await new Promise<void>(resolve => {
     const finish = (): void => {
       clearTimeout(timer)
@@ -35,9 +35,9 @@
     }
     // The change is still being taken over when listeners hear of it, so the request goes on after it.
     const check = (): void => queueMicrotask(() => { if (knowsRoutes(gateway)) finish() })
-    const timer = setTimeout(afterLook(gateway.loop.looks, finish), longestWaitMs)
+    const timer = setTimeout(afterPoll(gateway.loop.polls, finish), longestWaitMs)
     gone.on('abort', finish)
     onChange.push(check)
   })
-  gateway.waiting -= 1
+  gateway.waitingForRoutes -= 1
 }
--- a/packages/daemon/src/core/gateway/sending.ts
+++ b/packages/daemon/src/core/gateway/sending.ts
@@ -5,11 +5,11 @@
 import { recordReply, estimateRoundTrip } from '@lynxcourse/placement'
 import type { LostReason, Placement, SendOutcome } from '@lynxcourse/placement'
 import type { HeaderMap } from '../../types/answers.js'
-import { presentTime } from '../../utils/clock.js'
-import { passedHeaders } from '../../utils/headers.js'
-import { noteTurn } from '../../utils/loopWatch.js'
-import { afterLook } from '../../utils/socketLooks.js'
-import { dropConnection, dropSilent, noteUnanswered, progressConnection, releaseConnection, takeConnection } from '../entry/connectionPool.js'
+import { getCurrentTime } from '../../utils/clock.js'
+import { removeHopByHopHeaders } from '../../utils/headers.js'
+import { recordIteration } from '../../utils/loopMonitor.js'
+import { afterPoll } from '../../utils/pollPhase.js'
+import { closeConnection, closeSilentConnection, recordUnansweredReset, recordConnectionProgress, releaseConnection, acquireConnection } from '../entry/connectionPool.js'
 import type { Connection } from '../entry/connectionPool.js'
 import type { Call } from './call.js'
 import { startExchange } from './exchange.js'
@@ -57,16 +57,16 @@
  * @param patience when to stop waiting although the caller still waits
  */
 export async function sendOnce (gateway: Gateway, call: Call, placed: Placement, patience: Patience): Promise<SendReport> {
-  const now = presentTime()
+  const now = getCurrentTime()
   const { facts } = placed.server
-  const connection = takeConnection(gateway.pool, facts.address, !call.route.isIdempotent, now)
-  const restedMs = connection.reused ? connection.restedMs : undefined
+  const connection = acquireConnection(gateway.pool, facts.address, !call.route.isIdempotent, now)
+  const restedMs = connection.isReused ? connection.restedMs : undefined
   const leftMs = Math.max(1, Math.floor(call.deadline - now))
-  const headers = { ...call.headers, ...gateway.servers.requestHeaders(call.facts, facts.id, leftMs) }
+  const headers = { ...call.headers, ...gateway.servers.buildRequestHeaders(call.facts, facts.id, leftMs) }
   const options: Dispatcher.DispatchOptions = { method: call.method as Dispatcher.HttpMethod, path: call.path, headers, body: call.body }
   const exchange = startExchange(connection.client, options, now + gateway.pool.connectTimeoutMs + openSlackMs, () => {
-    noteTurn(gateway.loop)
-    progressConnection(gateway.pool, connection, presentTime())
+    recordIteration(gateway.loop)
+    recordConnectionProgress(gateway.pool, connection, getCurrentTime())
   })
   const result = await endOf(gateway, call, placed, { connection, exchange, startedAt: now, patience })
   return { result, writtenAt: exchange.startedAt, restedMs }
@@ -87,12 +87,12 @@
     const received = await exchange.answer
     return takeAnswer(gateway, call, placed, connection, received, (exchange.startedAt ?? startedAt) - startedAt)
   } catch (err) {
-    const now = presentTime()
-    const wentSilent = connection.reused && silentEnds.has(stop.reason())
-    if (wentSilent) dropSilent(gateway.pool, connection, startedAt, now)
-    else dropConnection(gateway.pool, connection, 'close')
+    const now = getCurrentTime()
+    const wentSilent = connection.isReused && silentEnds.has(stop.reason())
+    if (wentSilent) closeSilentConnection(gateway.pool, connection, startedAt, now)
+    else closeConnection(gateway.pool, connection, 'close')
     const isSoon = now - startedAt < soonMs + estimateRoundTrip(gateway.fleet, facts.region)
-    if (stop.reason() === 'failed' && isSoon) noteUnanswered(gateway.pool, connection, now)
+    if (stop.reason() === 'failed' && isSoon) recordUnansweredReset(gateway.pool, connection, now)
     if (stop.reason() === 'gone') return { type: 'lost', reason: 'gone', detail: getErrorMessage(err) }
     // What was never begun to be written can't have run.
     if (exchange.startedAt === undefined) return { type: 'notRun', reason: 'unreached', status: undefined }
@@ -104,19 +104,19 @@
 
 function takeAnswer (gateway: Gateway, call: Call, placed: Placement, connection: Connection, received: Received, openMs: Millis): SendResult {
   const { status, headers: raw, body } = received
-  const kind = gateway.servers.judge(call.facts, status, raw)
+  const kind = gateway.servers.classifyAnswer(call.facts, status, raw)
   const isCut = connection.wasReset && !isFramed(raw)
   if (body === undefined || isCut || kind === 'spoiled') {
     // An answer to another request, or one that is not the server's own: what follows on this connection can't be trusted either.
-    dropConnection(gateway.pool, connection, 'close')
+    closeConnection(gateway.pool, connection, 'close')
     return { type: 'lost', reason: 'spoiled', detail: body === undefined ? 'answer is too large' : isCut ? 'connection was reset in the body' : 'answer does not belong to the request' }
   }
-  releaseConnection(gateway.pool, connection, presentTime())
+  releaseConnection(gateway.pool, connection, getCurrentTime())
   // It comes from another server and is no sign of life of the one that was asked.
   if (kind === 'elsewhere') return { type: 'notRun', reason: 'elsewhere', status }
-  recordReply(gateway, placed.server, gateway.servers.readAhead(raw), presentTime())
+  recordReply(gateway, placed.server, gateway.servers.parseQueueDepth(raw), getCurrentTime())
   if (kind === 'notRun') return { type: 'notRun', reason: 'full', status }
-  return { type: 'answered', status, headers: passedHeaders(raw), body, connectMs: openMs }
+  return { type: 'answered', status, headers: removeHopByHopHeaders(raw), body, connectMs: openMs }
 }
 
 /** Whether the head tells where the body ends. */
@@ -136,7 +136,7 @@
  * Ends sending at the deadline, when the caller goes, or when it is time to try elsewhere. Timers run before sockets are read, so
  * what a timer decides waits for a look: the answer may lie unread.
  */
-function watchSend ({ loop: { looks } }: Gateway, call: Call, patience: Patience, now: Millis, abort: () => void): SendWatch {
+function watchSend ({ loop: { polls: looks } }: Gateway, call: Call, patience: Patience, now: Millis, abort: () => void): SendWatch {
   let reason: LostReason = 'failed'
   let isOver = false
   const stop = (why: typeof reason): void => {
@@ -147,10 +147,10 @@
   const onGone = (): void => stop('gone')
   call.gone.on('abort', onGone)
   if (call.gone.aborted) onGone()
-  const deadlineTimer = setTimeout(afterLook(looks, () => stop('deadline')), Math.max(1, call.deadline - now))
-  const leave = afterLook(looks, () => { if (!isOver && patience.mayLeave()) stop('slow') })
+  const deadlineTimer = setTimeout(afterPoll(looks, () => stop('deadline')), Math.max(1, call.deadline - now))
+  const leave = afterPoll(looks, () => { if (!isOver && patience.mayLeave()) stop('slow') })
   const patienceTimer = patience.leaveAt === undefined ? undefined : setTimeout(leave, Math.max(1, patience.leaveAt - now))
-  const lookAgain = afterLook(looks, () => {
+  const lookAgain = afterPoll(looks, () => {
     if (isOver) return
     if (patience.isStranded()) stop('stranded')
     else strandedTimer = setTimeout(lookAgain, strandedCheckMs)
--- a/packages/daemon/src/core/gateway/serving.ts
+++ b/packages/daemon/src/core/gateway/serving.ts
@@ -2,9 +2,9 @@
 import type { Millis } from '@lynxcourse/base'
 import { beginSend, endSend, isServerUnresponsive, mayFailOver, decideNextStep, recordPoll, updateWaitingCount, startRequest } from '@lynxcourse/placement'
 import type { DecisionConditions, Placement, PlacementRequest, Refusal, RequestState, RequestStep } from '@lynxcourse/placement'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
-import { nextLook } from '../../utils/socketLooks.js'
+import { waitForPoll } from '../../utils/pollPhase.js'
 import { delay } from '../node/timers.js'
 import { objectOf } from './call.js'
 import type { Call, CallAnswer } from './call.js'
@@ -26,17 +26,17 @@
 
 /** Serves a request to its final answer; undefined when the caller is gone. */
 export async function serveCall (gateway: Gateway, call: Call): Promise<CallAnswer | undefined> {
-  const run = startRequest(gateway, requestOf(call), call.caller, termsOf(gateway), presentTime())
+  const run = startRequest(gateway, requestOf(call), call.caller, termsOf(gateway), getCurrentTime())
   let last: SendResult | undefined
   for (;;) {
     if (call.gone.aborted) return undefined
-    const step = decideNextStep(gateway, run, termsOf(gateway), presentTime())
+    const step = decideNextStep(gateway, run, termsOf(gateway), getCurrentTime())
     switch (step.type) {
       case 'send':
         last = await sendPlaced(gateway, call, run, step.placement)
         break
       case 'look':
-        recordPoll(call.caller, (await nextLook(gateway.loop.looks)).beganAt)
+        recordPoll(call.caller, (await waitForPoll(gateway.loop.polls)).beganAt)
         break
       case 'wait':
         await waitForRoom(gateway, run, step.pauseMs)
@@ -65,17 +65,17 @@
 }
 
 async function sendPlaced (gateway: Gateway, call: Call, run: RequestState, placed: Placement): Promise<SendResult> {
-  const sending = beginSend(gateway, run, placed, presentTime())
+  const sending = beginSend(gateway, run, placed, getCurrentTime())
   const { startedAt, failoverAt: leaveAt, overdueAt } = sending
   const patience: Patience = {
     leaveAt,
-    mayLeave: () => mayFailOver(gateway, run, termsOf(gateway), presentTime()),
+    mayLeave: () => mayFailOver(gateway, run, termsOf(gateway), getCurrentTime()),
     overdueAt,
-    isStranded: () => isServerUnresponsive(gateway, sending, termsOf(gateway), presentTime())
+    isStranded: () => isServerUnresponsive(gateway, sending, termsOf(gateway), getCurrentTime())
   }
   const report = await sendOnce(gateway, call, placed, patience)
   const { result } = report
-  const now = presentTime()
+  const now = getCurrentTime()
   endSend(gateway, run, sending, result, now)
   logSend(gateway, call, run.sends, placed, report, startedAt, now)
   return result
@@ -87,7 +87,7 @@
 
 function refuse (gateway: Gateway, call: Call, run: RequestState, refused: Refusal): CallAnswer {
   logRefusal(gateway, call, run.sends, refused)
-  return { status: statusUnavailable, headers: gateway.callers.refusalHeaders(refused.retryAfterMs), body: Buffer.from(`not run: ${refused.reason}\n`) }
+  return { status: statusUnavailable, headers: gateway.callers.buildRefusalHeaders(refused.retryAfterMs), body: Buffer.from(`not run: ${refused.reason}\n`) }
 }
 
 function fail (gateway: Gateway, call: Call, run: RequestState, reason: Failure): CallAnswer {
--- a/packages/daemon/src/core/node/changes.ts
+++ b/packages/daemon/src/core/node/changes.ts
@@ -4,14 +4,14 @@
 import { changeSchema, findItem } from '@lynxcourse/state'
 import type { Change, ChangeAnswer } from '@lynxcourse/state'
 import { findServer } from '@lynxcourse/membership'
-import { submitHere } from '../control/proposing.js'
-import { leads } from '../control/hostState.js'
+import { proposeCommand } from '../control/proposals.js'
+import { isLeading } from '../control/hostState.js'
 import type { ControlHost } from '../control/hostState.js'
 import { log } from '../../utils/logging.js'
 import { callPeer } from '../rpc/rpcClient.js'
 import { addMethod } from '../rpc/rpcServer.js'
 import type { RpcServer } from '../rpc/rpcServer.js'
-import { leaderAddress } from './node.js'
+import { getLeaderAddress } from './node.js'
 import type { Node } from './node.js'
 import * as z from 'zod'
 
@@ -28,16 +28,16 @@
     const operator = caller.role === 'operator' ? caller.name : params.change.operator
     const change: Change = { ...params.change, operator }
     checkAgainstTopology(node, change)
-    if (control !== undefined && leads(control)) return await submitChange(node, control, change)
-    if (params.relayed || leaderAddress(node) === '' || node.leader === node.cfg.vm) {
+    if (control !== undefined && isLeading(control)) return await submitChange(node, control, change)
+    if (params.relayed || getLeaderAddress(node) === '' || node.leader === node.cfg.vm) {
       throw new LynxError('notLeader', 'no leader is known', { step: 'change' })
     }
-    return await callPeer<ChangeAnswer>(node.client, leaderAddress(node), 'change.submit', { change, relayed: true }, node.cfg.times.rpcTimeoutMs * 2)
+    return await callPeer<ChangeAnswer>(node.client, getLeaderAddress(node), 'change.submit', { change, relayed: true }, node.cfg.times.rpcTimeoutMs * 2)
   })
 }
 
 async function submitChange (node: Node, control: ControlHost, change: Change): Promise<ChangeAnswer> {
-  const answer = await submitHere(control, change)
+  const answer = await proposeCommand(control, change)
   if (answer.type !== 'change') throw new LynxError('badRpc', 'no answer to a change', { step: 'change' })
   const outcome = answer.change.ok ? `version ${answer.change.version}` : answer.change.detail
   log(node.logs, 'agree', 'info', 'Change applied.', { type: change.type, change: change.changeId, operator: change.operator, ok: answer.change.ok, outcome })
--- a/packages/daemon/src/core/node/claimService.ts
+++ b/packages/daemon/src/core/node/claimService.ts
@@ -3,7 +3,7 @@
 import type { HolderId, RequestId } from '@lynxcourse/base'
 import type { ClaimAnswer, ClaimCommand, SettleAnswer, SettleCommand } from '@lynxcourse/state'
 import * as z from 'zod'
-import { submitHere } from '../control/proposing.js'
+import { proposeCommand } from '../control/proposals.js'
 import type { ControlHost } from '../control/hostState.js'
 import { addMethod } from '../rpc/rpcServer.js'
 import type { RpcServer } from '../rpc/rpcServer.js'
@@ -43,7 +43,7 @@
 }
 
 async function submitClaim (control: ControlHost, command: ClaimCommand | SettleCommand): Promise<ClaimReply> {
-  const answer = await submitHere(control, command)
+  const answer = await proposeCommand(control, command)
   if (answer.type === 'claim') return answer.claim
   if (answer.type === 'settle') return answer.settle
   throw new LynxError('badRpc', 'no answer to a claim', { step: 'claim' })
--- a/packages/daemon/src/core/node/node.ts
+++ b/packages/daemon/src/core/node/node.ts
@@ -30,7 +30,7 @@
   readonly client: RpcClient
   readonly directory: Directory
   readonly uplink: Uplink
-  readonly currency: ConfigLease
+  readonly configLease: ConfigLease
   readonly limits: HolderLimits
   /** The configuration in force at this VM. */
   readonly config: Config
@@ -39,7 +39,7 @@
   /** The VM that leads, as far as this one knows. */
   leader: VmId | undefined
   /** Called when the directory or the configuration changed. */
-  readonly onChange: Array<() => void>
+  readonly changeListeners: Array<() => void>
 }
 
 /** What a node needs besides its settings; tests give their own. */
@@ -66,7 +66,7 @@
     client: createRpcClient({ timeoutMs: cfg.times.rpcTimeoutMs, localAddress, tls: () => deps.tls?.current, metrics }),
     directory: createDirectory(cfg.vm, `${cfg.vm}/${life}`, membershipTimes(cfg), loadChart('vm')),
     uplink: createUplink(),
-    currency: createConfigLease(cfg.times.leaseMs),
+    configLease: createConfigLease(cfg.times.leaseMs),
     limits: createHolderLimits(),
     config: createConfig(),
     self: {
@@ -83,7 +83,7 @@
       life
     },
     leader: undefined,
-    onChange: []
+    changeListeners: []
   }
 }
 
@@ -94,7 +94,7 @@
 
 /** Tells all parts that what they derive from directory and configuration is outdated. */
 export function notifyChange (node: Node): void {
-  for (const listener of node.onChange) listener()
+  for (const listener of node.changeListeners) listener()
 }
 
 /** RPC address of a control VM by its id. */
@@ -114,13 +114,13 @@
     random,
     client,
     firstIncarnation: undefined,
-    addressOf: vm => seedAddress(node, vm),
-    peers: () => cfg.seeds.filter(seed => seed.vm !== cfg.vm).map(seed => seed.rpc)
+    getAddress: vm => seedAddress(node, vm),
+    listPeerAddresses: () => cfg.seeds.filter(seed => seed.vm !== cfg.vm).map(seed => seed.rpc)
   }
 }
 
 /** Where the leader takes RPC; empty if unknown. */
-export function leaderAddress (node: Node): string {
+export function getLeaderAddress (node: Node): string {
   return node.leader === undefined ? '' : seedAddress(node, node.leader) ?? ''
 }
 
--- a/packages/daemon/src/core/node/queries.ts
+++ b/packages/daemon/src/core/node/queries.ts
@@ -5,22 +5,22 @@
 import { refreshBackend, routeRequest } from '@lynxcourse/routing'
 import { listItems, findServiceProfile } from '@lynxcourse/state'
 import * as z from 'zod'
-import { confirmRead } from '../control/proposing.js'
-import { leads } from '../control/hostState.js'
+import { confirmRead } from '../control/proposals.js'
+import { isLeading } from '../control/hostState.js'
 import type { ControlHost } from '../control/hostState.js'
-import { judgeItem } from '../control/drainDuty.js'
+import { judgeItem } from '../control/drainTask.js'
 import type { LeaderDuties } from '../control/leaderState.js'
-import { measureShift } from '../control/shiftDuty.js'
+import { measureShift } from '../control/shiftTask.js'
 import { judgeInForce } from '../control/versionsInForce.js'
-import { callerInfo, placesFor } from '../entry/callerPlaces.js'
-import { refreshView } from '../entry/entry.js'
-import type { Entry } from '../entry/entry.js'
-import { limitGate } from '../entry/slots.js'
-import { presentTime } from '../../utils/clock.js'
+import { getCallerInfo, getCandidateRegions } from '../entry/callerRegions.js'
+import { refreshRoutingState } from '../entry/entry.js'
+import type { EntryState } from '../entry/entry.js'
+import { createLimitGate } from '../entry/slots.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { callPeer } from '../rpc/rpcClient.js'
 import { addMethod } from '../rpc/rpcServer.js'
 import type { RpcServer } from '../rpc/rpcServer.js'
-import { leaderAddress } from './node.js'
+import { getLeaderAddress } from './node.js'
 import type { Node } from './node.js'
 
 /** Parts that questions are answered from. */
@@ -28,7 +28,7 @@
   readonly node: Node
   readonly control: ControlHost | undefined
   readonly duties: LeaderDuties | undefined
-  readonly entry: Entry | undefined
+  readonly entry: EntryState | undefined
 }
 
 const relayed = { relayed: z.boolean().default(false) }
@@ -40,7 +40,7 @@
   addLeaderQuery(rpc, parts, 'query.services', {}, (_, duties) => listItems(duties.host.machine.config, 'service'))
   addLeaderQuery(rpc, parts, 'query.drains', {}, (_, duties) => drainList(duties))
   addLeaderQuery(rpc, parts, 'query.shifts', {}, (_, duties) => shiftList(duties))
-  addLeaderQuery(rpc, parts, 'query.inForce', { version: z.number().int().min(0) }, (params, duties) => judgeInForce(duties, Number(params['version']), presentTime()))
+  addLeaderQuery(rpc, parts, 'query.inForce', { version: z.number().int().min(0) }, (params, duties) => judgeInForce(duties, Number(params['version']), getCurrentTime()))
   addLeaderQuery(rpc, parts, 'query.limits', {}, (_, duties) => limitList(duties))
   addLocalQueries(rpc, parts)
 }
@@ -51,19 +51,19 @@
 function addLeaderQuery (rpc: RpcServer, parts: QueryParts, method: string, shape: z.ZodRawShape, answer: LeaderAnswer): void {
   addMethod(rpc, method, ['operator', 'vm'], z.strictObject({ ...shape, ...relayed }), async params => {
     const { node, control, duties } = parts
-    if (control !== undefined && duties !== undefined && leads(control)) {
+    if (control !== undefined && duties !== undefined && isLeading(control)) {
       await confirmRead(control)
       return answer(params, duties)
     }
-    if (params['relayed'] === true || leaderAddress(node) === '' || node.leader === node.cfg.vm) {
+    if (params['relayed'] === true || getLeaderAddress(node) === '' || node.leader === node.cfg.vm) {
       throw new LynxError('notLeader', 'no leader is known', { step: method })
     }
-    return await callPeer(node.client, leaderAddress(node), method, { ...params, relayed: true })
+    return await callPeer(node.client, getLeaderAddress(node), method, { ...params, relayed: true })
   })
 }
 
 function drainList (duties: LeaderDuties): unknown[] {
-  const now = presentTime()
+  const now = getCurrentTime()
   return listItems(duties.host.machine.config, 'drain').map(drain => {
     const { remaining, waitingFor } = judgeItem(duties, drain, now)
     return { ...drain, remaining, waitingFor, elapsedMs: Math.round(now - (duties.drainsSeen.get(drain.key) ?? now)) }
@@ -71,7 +71,7 @@
 }
 
 function shiftList (duties: LeaderDuties): unknown[] {
-  const now = presentTime()
+  const now = getCurrentTime()
   return listItems(duties.host.machine.config, 'shift').map(shift => {
     const { busy, slots, originBusy } = measureShift(duties, shift.service, shift.from, shift.to, now)
     return { ...shift, destinationBusy: busy, destinationSlots: slots, originBusy }
@@ -97,7 +97,7 @@
   })
 }
 
-function serverList (node: Node, entry: Entry | undefined): unknown[] {
+function serverList (node: Node, entry: EntryState | undefined): unknown[] {
   return listServers(node.directory).map(server => {
     const observed = entry?.router.backends.byId.get(server.key)
     return { ...server, seenAs: observed?.state, inFlight: observed?.inFlight, latencyMs: observed === undefined ? undefined : Math.round(observed.latencyMs * 10) / 10 }
@@ -107,14 +107,14 @@
 /** What a VM says of itself. */
 function statusOf (parts: QueryParts): object {
   const { node, control } = parts
-  const now = presentTime()
+  const now = getCurrentTime()
   return {
     vm: node.cfg.vm,
     region: node.cfg.region,
     failureDomain: node.cfg.failureDomain,
     roles: node.cfg.roles,
-    current: isLeaseValid(node.currency, now),
-    confirmedAgeMs: Number.isFinite(node.currency.confirmedAt) ? Math.round(now - node.currency.confirmedAt) : null,
+    current: isLeaseValid(node.configLease, now),
+    confirmedAgeMs: Number.isFinite(node.configLease.confirmedAt) ? Math.round(now - node.configLease.confirmedAt) : null,
     version: node.config.version,
     leader: node.leader,
     open: parts.entry?.open ?? 0,
@@ -137,14 +137,14 @@
 }
 
 /** Shows how a request of a client would be routed now, and why. */
-function explainRoute (entry: Entry, service: ServiceId, client: string): object {
-  const now = presentTime()
-  refreshView(entry, now)
+function explainRoute (entry: EntryState, service: ServiceId, client: string): object {
+  const now = getCurrentTime()
+  refreshRoutingState(entry, now)
   const profile = findServiceProfile(entry.node.config, service)
   if (profile === undefined) throw new LynxError('unknownService', `'${service}'`, { step: 'explain', field: 'service' })
-  const caller = callerInfo(entry, client)
-  const places = placesFor(entry, service, profile, caller)
-  const decision = routeRequest(entry.router, { service, places, triedServers: new Set() }, limitGate(entry, service, profile, presentTime), now)
+  const caller = getCallerInfo(entry, client)
+  const places = getCandidateRegions(entry, service, profile, caller)
+  const decision = routeRequest(entry.router, { service, places, triedServers: new Set() }, createLimitGate(entry, service, profile, getCurrentTime), now)
   const servers = (entry.router.backends.byService.get(service) ?? []).map(observed => {
     refreshBackend(entry.router.backends, observed, now)
     const { backend, state, inFlight, latencyMs } = observed
@@ -155,7 +155,7 @@
     profile: profile.name,
     client,
     clientRegion: caller.region ?? null,
-    current: isLeaseValid(entry.node.currency, now),
+    current: isLeaseValid(entry.node.configLease, now),
     places,
     decision: decision.type === 'send' ? { server: decision.observed.backend.id, region: decision.place.region } : 'wait',
     passedOver: decision.passedOver,
--- a/packages/daemon/src/core/node/reporting.ts
+++ b/packages/daemon/src/core/node/reporting.ts
@@ -4,10 +4,10 @@
 import { collectUsages, applyGrants } from '@lynxcourse/limits'
 import type { Grant, Usage } from '@lynxcourse/limits'
 import { listCaps } from '@lynxcourse/state'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
 import { callPeer } from '../rpc/rpcClient.js'
-import { leaderAddress } from './node.js'
+import { getLeaderAddress } from './node.js'
 import type { Node } from './node.js'
 import { repeat } from './timers.js'
 
@@ -55,9 +55,9 @@
 }
 
 async function reportOnce (node: Node, source: ReportSource): Promise<void> {
-  const leader = leaderAddress(node)
+  const leader = getLeaderAddress(node)
   if (leader === '') return
-  const askedAt = presentTime()
+  const askedAt = getCurrentTime()
   const report: VmReport = {
     holder: node.holder,
     serial: node.limits.serial,
--- a/packages/daemon/src/core/node/syncing.ts
+++ b/packages/daemon/src/core/node/syncing.ts
@@ -9,9 +9,9 @@
 import { getDeltaSince, applyDelta } from '@lynxcourse/state'
 import type { ConfigDelta } from '@lynxcourse/state'
 import * as z from 'zod'
-import { leads } from '../control/hostState.js'
+import { isLeading } from '../control/hostState.js'
 import type { ControlHost } from '../control/hostState.js'
-import { presentTime } from '../../utils/clock.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { log } from '../../utils/logging.js'
 import { callPeer } from '../rpc/rpcClient.js'
 import { addMethod } from '../rpc/rpcServer.js'
@@ -38,7 +38,7 @@
   readonly node: Node
   readonly control: ControlHost | undefined
   /** Asks the parent soon, since there is something to pass on. */
-  urge: () => void
+  syncSoon: () => void
 }
 
 const name = z.string().min(1).max(64)
@@ -90,12 +90,12 @@
 function answerSync (syncing: Syncing, request: SyncRequest): SyncReply {
   const { node } = syncing
   refreshLead(syncing)
-  const now = presentTime()
+  const now = getCurrentTime()
   const before = node.directory.seq
-  const answer = answerSyncRequest(node.directory, request, getConfirmationAge(node.currency, now), node.leader ?? '', now)
+  const answer = answerSyncRequest(node.directory, request, getConfirmationAge(node.configLease, now), node.leader ?? '', now)
   if (node.directory.seq !== before) {
     notifyChange(node)
-    syncing.urge()
+    syncing.syncSoon()
   }
   const delta = request.configVersion === node.config.version ? undefined : getDeltaSince(node.config, request.configVersion)
   return { answer, delta }
@@ -108,16 +108,16 @@
   let asking: Promise<void> | undefined
   const ask = async (): Promise<void> => {
     asking ??= syncOnce(syncing).finally(() => { asking = undefined })
-    lastAskedAt = presentTime()
+    lastAskedAt = getCurrentTime()
     await asking
   }
   const timer = repeat(node.cfg.times.syncMs, ask, err => logSyncError(node, err))
   const syncing: Syncing = {
     node,
     control,
-    urge: () => {
+    syncSoon: () => {
       if (urgent !== undefined) return
-      const wait = Math.max(0, lastAskedAt + urgentMs - presentTime())
+      const wait = Math.max(0, lastAskedAt + urgentMs - getCurrentTime())
       urgent = setTimeout(() => {
         urgent = undefined
         ask().catch((err: unknown) => logSyncError(node, err))
@@ -129,7 +129,7 @@
       clearTimeout(urgent)
     }
   }
-  control?.onProgress.push(() => refreshLead(syncing))
+  control?.progressListeners.push(() => refreshLead(syncing))
   return syncing
 }
 
@@ -139,15 +139,15 @@
 
 async function syncOnce (syncing: Syncing): Promise<void> {
   const { node } = syncing
-  const startedAt = presentTime()
+  const startedAt = getCurrentTime()
   renewSelf(node, startedAt)
   for (const record of expireRecords(node.directory, startedAt)) {
     log(node.logs, 'member', 'info', 'Not heard in time.', { kind: record.kind, name: record.key, state: record.state })
     notifyChange(node)
   }
   refreshLead(syncing)
-  if (!leads(syncing.control)) await askParent(syncing, startedAt)
-  node.metrics.current.set(isLeaseValid(node.currency, presentTime()) ? 1 : 0)
+  if (!isLeading(syncing.control)) await askParent(syncing, startedAt)
+  node.metrics.current.set(isLeaseValid(node.configLease, getCurrentTime()) ? 1 : 0)
   node.metrics.configVersion.set(node.config.version)
 }
 
@@ -161,7 +161,7 @@
 /** While this VM leads, its configuration comes from its own log and its lease from its quorum. */
 function refreshLead (syncing: Syncing): void {
   const { node, control } = syncing
-  if (control?.replica === undefined || !leads(control)) return
+  if (control?.replica === undefined || !isLeading(control)) return
   node.leader = node.cfg.vm
   const { machine, replica } = control
   if (machine.config.version > node.config.version) {
@@ -169,7 +169,7 @@
     logVersion(node)
     notifyChange(node)
   }
-  renewConfigLease(node.currency, replica.quorumConfirmedAt, 0)
+  renewConfigLease(node.configLease, replica.quorumConfirmedAt, 0)
 }
 
 function logVersion (node: Node): void {
@@ -208,7 +208,7 @@
 
 function takeReply (syncing: Syncing, request: SyncRequest, reply: SyncReply, parent: VmRecord['key'], askedAt: Millis): void {
   const { node } = syncing
-  const now = presentTime()
+  const now = getCurrentTime()
   const before = node.directory.seq
   applySyncAnswer(node.uplink, node.directory, request, reply.answer, now)
   if (reply.answer.leader !== '') node.leader = brandId<VmId>(reply.answer.leader)
@@ -219,7 +219,7 @@
     return
   }
   // The lease speaks for the configuration that came with it; without that one it means nothing.
-  if (isWhole) renewConfigLease(node.currency, askedAt, reply.answer.confirmedAgeMs)
+  if (isWhole) renewConfigLease(node.configLease, askedAt, reply.answer.confirmedAgeMs)
 }
 
 function takeConfig (node: Node, reply: SyncReply): boolean {
--- a/packages/daemon/src/core/rpc/rpcClient.ts
+++ b/packages/daemon/src/core/rpc/rpcClient.ts
@@ -8,7 +8,7 @@
 import { LynxError, errorTemplates, isLynxError, getErrorMessage } from '@lynxcourse/base'
 import type { ErrorCode, Millis } from '@lynxcourse/base'
 import type { Metrics } from '../../utils/metrics.js'
-import { resetUnanswered } from '../../utils/resetUnanswered.js'
+import { resetIfUnanswered } from '../../utils/resetIfUnanswered.js'
 import { supportedEncoding, decompressText } from './compression.js'
 
 /** Configuration of an RPC client. */
@@ -65,7 +65,7 @@
  */
 function createResettingConnector (connect: buildConnector.connector): buildConnector.connector {
   return (options, callback) => connect(options, (...result) => {
-    if (result[0] === null) resetUnanswered(result[1])
+    if (result[0] === null) resetIfUnanswered(result[1])
     callback(...result)
   })
 }
--- a/packages/daemon/src/core/rpc/rpcServer.ts
+++ b/packages/daemon/src/core/rpc/rpcServer.ts
@@ -7,13 +7,13 @@
 import { LynxError, isLynxError, getErrorMessage } from '@lynxcourse/base'
 import type { z } from 'zod'
 import type { Metrics } from '../../utils/metrics.js'
-import { Cancel } from '../../utils/cancel.js'
-import { presentTime } from '../../utils/clock.js'
+import { CancelSignal } from '../../utils/cancelSignal.js'
+import { getCurrentTime } from '../../utils/clock.js'
 import { listen, readBody } from '../../utils/httpServer.js'
-import type { LoopWatch } from '../../utils/loopWatch.js'
+import type { LoopMonitor } from '../../utils/loopMonitor.js'
 import { createRateLimit, takeToken } from '../../utils/rateLimit.js'
 import type { RateLimit } from '../../utils/rateLimit.js'
-import { lookAtSender } from '../../utils/senderLook.js'
+import { checkSenderConnected } from '../../utils/senderCheck.js'
 import type { TlsFiles } from '../../plugins/tlsFiles.js'
 import { shouldCompress, compressText, supportedEncoding } from './compression.js'
 
@@ -37,7 +37,7 @@
    */
   readonly ensureConnected: () => Promise<void>
   /** Aborted when the connection closes or the response has been sent. */
-  readonly gone: Cancel
+  readonly gone: CancelSignal
 }
 
 export type RpcHandler<Params> = (params: Params, call: RpcCall) => unknown
@@ -61,7 +61,7 @@
 }
 
 /** Creates the server. Its methods have to be added before it listens. */
-export function createRpcServer (limits: RpcLimits, metrics: Metrics, tls: TlsFiles | undefined, loop: LoopWatch): RpcServer {
+export function createRpcServer (limits: RpcLimits, metrics: Metrics, tls: TlsFiles | undefined, loop: LoopMonitor): RpcServer {
   const methods = new JSONRPCServer<RpcCall>({ errorListener: () => undefined })
   methods.mapErrorToJSONRPCErrorResponse = (id, err) => {
     const data = isLynxError(err) ? { code: err.code, step: err.step, field: err.field, peer: err.peer } : undefined
@@ -92,15 +92,15 @@
   res.writeHead(status, { 'content-type': 'application/json', connection: 'close' }).end(JSON.stringify(body))
 }
 
-async function handleRequest (methods: JSONRPCServer<RpcCall>, maxBytes: number, rateLimit: RateLimit, loop: LoopWatch, req: IncomingMessage, res: ServerResponse): Promise<void> {
+async function handleRequest (methods: JSONRPCServer<RpcCall>, maxBytes: number, rateLimit: RateLimit, loop: LoopMonitor, req: IncomingMessage, res: ServerResponse): Promise<void> {
   if (req.method !== 'POST' || req.url !== '/rpc') throw new LynxError('badRpc', 'expected POST /rpc', { step: 'receive' })
   const caller = identifyCaller(req)
-  if (!takeToken(rateLimit, caller.address, presentTime())) {
+  if (!takeToken(rateLimit, caller.address, getCurrentTime())) {
     throw new LynxError('overCapacity', `more than ${rateLimit.perSecond} messages per second`, { step: 'receive', peer: caller.address })
   }
   const body = await readBody(req, maxBytes)
-  const ensureConnected = async (): Promise<void> => await lookAtSender(loop.looks, req.socket, 'receive')
-  const gone = new Cancel()
+  const ensureConnected = async (): Promise<void> => await checkSenderConnected(loop.polls, req.socket, 'receive')
+  const gone = new CancelSignal()
   res.once('close', () => gone.abort())
   const answer = await methods.receiveJSON(body.toString('utf8'), { ...caller, ensureConnected, gone })
   const text = JSON.stringify(answer ?? null)
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -7,7 +7,7 @@
 import { leaveFleet, startFleetDaemon } from './core/fleet/fleetDaemon.js'
 import type { FleetDaemon } from './core/fleet/fleetDaemon.js'
 import { reloadFleetSettings } from './core/fleet/fleetNode.js'
-import { OwnCallerDialect, OwnServerDialect } from './core/gateway/dialects.js'
+import { DefaultCallerDialect, DefaultServerDialect } from './core/gateway/dialects.js'
 import { log } from './utils/logging.js'
 import { readAnySettings, readCallerBlocks } from './utils/readSettings.js'
 
@@ -48,7 +48,7 @@
 async function start (file: string): Promise<Running> {
   const settings = readAnySettings(file)
   if (settings.kind === 'fleet') {
-    const vm = await startFleetDaemon(settings.cfg, { callers: new OwnCallerDialect(), servers: new OwnServerDialect() })
+    const vm = await startFleetDaemon(settings.cfg, { callers: new DefaultCallerDialect(), servers: new DefaultServerDialect() })
     process.on('SIGHUP', () => reloadFleetFile(vm, file))
     return { leave: async () => await leaveFleet(vm), [Symbol.asyncDispose]: async () => await vm[Symbol.asyncDispose]() }
   }
--- a/packages/daemon/src/types/fleetFile.ts
+++ b/packages/daemon/src/types/fleetFile.ts
@@ -76,7 +76,7 @@
 export type FleetFileInput = z.input<typeof fleetFileSchema>
 
 /** Turns checked settings into those that the daemon works with. */
-export function fleetSettingsOf (given: z.output<typeof fleetFileSchema>): FleetSettings {
+export function resolveFleetSettings (given: z.output<typeof fleetFileSchema>): FleetSettings {
   const domains = Object.entries(given.regions as Record<string, readonly FailureDomainId[]>)
   return {
     name: given.vm,
--- a/packages/daemon/src/utils/cancel.ts
+++ b/packages/daemon/src/utils/cancelSignal.ts
@@ -5,7 +5,7 @@
  */
 import { EventEmitter } from 'node:events'
 
-export class Cancel extends EventEmitter {
+export class CancelSignal extends EventEmitter {
   aborted = false
 
   /** Tells all listeners, once. */
@@ -17,8 +17,8 @@
 }
 
 /** A cancel that follows another one. */
-export function linkedCancel (outer: Cancel): Cancel {
-  const inner = new Cancel()
+export function createLinkedSignal (outer: CancelSignal): CancelSignal {
+  const inner = new CancelSignal()
   if (outer.aborted) inner.abort()
   outer.on('abort', () => inner.abort())
   return inner
--- a/packages/daemon/src/utils/clock.ts
+++ b/packages/daemon/src/utils/clock.ts
@@ -9,6 +9,6 @@
  * Unix milliseconds that never go back while the process lives: the wall clock at start plus what a
  * monotonic clock counted since. A stepped wall clock can so neither end nor stretch a lease.
  */
-export function presentTime (): Millis {
+export function getCurrentTime (): Millis {
   return startedAt + performance.now()
 }
--- a/packages/daemon/src/utils/headers.ts
+++ b/packages/daemon/src/utils/headers.ts
@@ -13,7 +13,7 @@
 }
 
 /** A server's headers as its caller gets them. */
-export function passedHeaders (raw: IncomingHttpHeaders): HeaderMap {
+export function removeHopByHopHeaders (raw: IncomingHttpHeaders): HeaderMap {
   const headers: HeaderMap = {}
   for (const [name, value] of Object.entries(raw)) {
     if (value !== undefined && !isHopByHop(name)) headers[name] = value
--- a/packages/daemon/src/utils/httpServer.ts
+++ b/packages/daemon/src/utils/httpServer.ts
@@ -3,14 +3,14 @@
 import { LynxError, getErrorMessage } from '@lynxcourse/base'
 
 /** Host and port of `IP:port`. */
-export function splitAddress (address: string): { host: string, port: number } {
+export function parseAddress (address: string): { host: string, port: number } {
   const colon = address.lastIndexOf(':')
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) }
 }
 
 /** Listens on `IP:port`; port 0 takes a free one. */
 export async function listen (server: Server, address: string): Promise<void> {
-  const { host, port } = splitAddress(address)
+  const { host, port } = parseAddress(address)
   await new Promise<void>((resolve, reject) => {
     const fail = (err: Error): void => reject(new LynxError('badSettings', `listen on ${address}: ${getErrorMessage(err)}`, { step: 'listen', cause: err }))
     server.once('error', fail)
--- a/packages/daemon/src/utils/lineBudget.ts
+++ b/packages/daemon/src/utils/lineBudget.ts
@@ -17,7 +17,7 @@
 const burstLines = 400
 
 /** Takes one line from the budget: how many lines were skipped before it, or undefined when there is no room for it. */
-export function takeLine (budget: LineBudget, key: string, now: Millis): number | undefined {
+export function takeLineToken (budget: LineBudget, key: string, now: Millis): number | undefined {
   let bucket = budget.get(key)
   if (bucket === undefined) {
     bucket = { tokens: burstLines, at: now, skipped: 0 }
--- a/packages/daemon/src/utils/logging.ts
+++ b/packages/daemon/src/utils/logging.ts
@@ -1,8 +1,8 @@
 /** Logs: winston, one fixed prefix for each part, short sentences, fields after them. */
 import { Writable } from 'node:stream'
 import winston from 'winston'
-import { presentTime } from './clock.js'
-import { takeLine } from './lineBudget.js'
+import { getCurrentTime } from './clock.js'
+import { takeLineToken } from './lineBudget.js'
 import type { LineBudget } from './lineBudget.js'
 import { openLogStream } from './logStream.js'
 
@@ -52,7 +52,7 @@
 }
 
 /** Logs that go nowhere, for tests. */
-export function silentLogs (): Logs {
+export function createSilentLogs (): Logs {
   return { format: winston.format.simple(), stream: new Writable({ write: (_chunk, _encoding, done) => done() }), level: 'error', parts: {}, budget: new Map() }
 }
 
@@ -67,7 +67,7 @@
  */
 export function log (logs: Logs, part: LogPart, level: LogLevel, message: string, fields: LogFields = {}): void {
   if (!isLogged(logs, part, level)) return
-  const skipped = takeLine(logs.budget, `${part} ${level}`, presentTime())
+  const skipped = takeLineToken(logs.budget, `${part} ${level}`, getCurrentTime())
   if (skipped === undefined) return
   const counted = skipped === 0 ? fields : { ...fields, skipped }
   const info = logs.format.transform({ level, message, part, ...counted, [levelKey]: level }, logs.format.options)
--- a/packages/daemon/src/utils/socketLooks.ts
+++ b/packages/daemon/src/utils/pollPhase.ts
@@ -7,10 +7,10 @@
  */
 import { setImmediate as checkPhase } from 'node:timers/promises'
 import type { Millis } from '@lynxcourse/base'
-import { presentTime } from './clock.js'
+import { getCurrentTime } from './clock.js'
 
 /** One look of the event loop at all its sockets. */
-export interface Look {
+export interface PollPhase {
   /** What had come by then has been read, up to what the loop reads of one socket in a turn. */
   readonly beganAt: Millis
   /** When all that it found had been handled. */
@@ -18,59 +18,59 @@
 }
 
 /** The looks of one event loop. */
-export interface Looks {
+export interface PollTracker {
   /** The look that is waited for and has not begun. */
-  next: Promise<Look> | undefined
+  next: Promise<PollPhase> | undefined
   /** Connections accepted so far, and how many of them there were when no further one waited. */
-  accepts: number
-  settledAccepts: number
+  acceptCount: number
+  drainedAcceptCount: number
   /** Ends once no connection waits to be accepted, with when its last turn began. */
-  accepting: Promise<Millis> | undefined
+  acceptQueueDrain: Promise<Millis> | undefined
 }
 
 /** Work waits for connections that are to be accepted for this long at most. */
 const longestAcceptingMs: Millis = 150
 
 /** No look yet. */
-export function createLooks (): Looks {
-  return { next: undefined, accepts: 0, settledAccepts: 0, accepting: undefined }
+export function createPollTracker (): PollTracker {
+  return { next: undefined, acceptCount: 0, drainedAcceptCount: 0, acceptQueueDrain: undefined }
 }
 
 /** Waits until the loop has looked at all sockets once more, and no connection waits to be accepted. */
-export async function nextLook (looks: Looks): Promise<Look> {
-  looks.next ??= lookOnce(looks)
-  return await looks.next
+export async function waitForPoll (polls: PollTracker): Promise<PollPhase> {
+  polls.next ??= lookOnce(polls)
+  return await polls.next
 }
 
 /** A timer's callback that acts after a look: what it would decide on may lie unread. */
-export function afterLook (looks: Looks, act: () => void): () => Promise<void> {
+export function afterPoll (polls: PollTracker, act: () => void): () => Promise<void> {
   return async () => {
-    await nextLook(looks)
+    await waitForPoll(polls)
     act()
   }
 }
 
-async function lookOnce (looks: Looks): Promise<Look> {
+async function lookOnce (looks: PollTracker): Promise<PollPhase> {
   await checkPhase()
   // Who asks from here on waits for the look after this one.
   looks.next = undefined
-  let beganAt = presentTime()
+  let beganAt = getCurrentTime()
   await checkPhase()
-  if (looks.accepts !== looks.settledAccepts) beganAt = await (looks.accepting ??= acceptAll(looks))
-  return { beganAt, endedAt: presentTime() }
+  if (looks.acceptCount !== looks.drainedAcceptCount) beganAt = await (looks.acceptQueueDrain ??= acceptAll(looks))
+  return { beganAt, endedAt: getCurrentTime() }
 }
 
 /** The loop accepts one connection in each turn, so it goes on without work until none waits. */
-async function acceptAll (looks: Looks): Promise<Millis> {
-  const until = presentTime() + longestAcceptingMs
+async function acceptAll (looks: PollTracker): Promise<Millis> {
+  const until = getCurrentTime() + longestAcceptingMs
   let before: number
   let turnBeganAt: Millis
   do {
-    before = looks.accepts
-    turnBeganAt = presentTime()
+    before = looks.acceptCount
+    turnBeganAt = getCurrentTime()
     await checkPhase()
-  } while (looks.accepts !== before && presentTime() < until)
-  looks.settledAccepts = looks.accepts
-  looks.accepting = undefined
+  } while (looks.acceptCount !== before && getCurrentTime() < until)
+  looks.drainedAcceptCount = looks.acceptCount
+  looks.acceptQueueDrain = undefined
   return turnBeganAt
 }
--- a/packages/daemon/src/utils/readSettings.ts
+++ b/packages/daemon/src/utils/readSettings.ts
@@ -6,7 +6,7 @@
 import type { RegionId } from '@lynxcourse/base'
 import { parse } from 'yaml'
 import type { z } from 'zod'
-import { fleetFileSchema, fleetSettingsOf } from '../types/fleetFile.js'
+import { fleetFileSchema, resolveFleetSettings } from '../types/fleetFile.js'
 import type { FleetSettings } from '../types/fleetSettings.js'
 import { settingsSchema } from '../types/settings.js'
 import type { Settings } from '../types/settings.js'
@@ -52,7 +52,7 @@
   if (!isFleetFile(raw)) return { kind: 'service', cfg: check(settingsSchema, raw, file, '') }
   const other = Object.keys(raw).find(key => key !== 'fleet')
   if (other !== undefined) throw new LynxError('badSettings', `${file}: ${other}: unknown beside fleet`, { step: 'check', field: other })
-  return { kind: 'fleet', cfg: fleetSettingsOf(check(fleetFileSchema, raw.fleet, file, 'fleet.')) }
+  return { kind: 'fleet', cfg: resolveFleetSettings(check(fleetFileSchema, raw.fleet, file, 'fleet.')) }
 }
 
 function isFleetFile (raw: unknown): raw is { readonly fleet: unknown } {
--- a/packages/daemon/src/utils/resetUnanswered.ts
+++ b/packages/daemon/src/utils/resetIfUnanswered.ts
@@ -9,7 +9,7 @@
  *
  * @param socket one over TCP without TLS
  */
-export function resetUnanswered (socket: Socket): void {
+export function resetIfUnanswered (socket: Socket): void {
   const destroy = socket.destroy.bind(socket)
   let answeredBytes = 0
   socket.on('readable', () => { answeredBytes = socket.bytesWritten })
--- a/packages/daemon/src/utils/senderLook.ts
+++ b/packages/daemon/src/utils/senderCheck.ts
@@ -7,17 +7,17 @@
  */
 import type { Socket } from 'node:net'
 import { LynxError } from '@lynxcourse/base'
-import { nextLook } from './socketLooks.js'
-import type { Looks } from './socketLooks.js'
+import { waitForPoll } from './pollPhase.js'
+import type { PollTracker } from './pollPhase.js'
 
 /**
  * Waits for a look at the sender's connection.
  *
  * @throws LynxError `cancelled` if the sender closed it
  */
-export async function lookAtSender (looks: Looks, socket: Socket, step: string): Promise<void> {
+export async function checkSenderConnected (polls: PollTracker, socket: Socket, step: string): Promise<void> {
   const peer = socket.remoteAddress ?? 'unknown'
-  await nextLook(looks)
+  await waitForPoll(polls)
   // The end of what the sender writes is read a turn of the event loop before the connection counts as closed.
   if (socket.destroyed || socket.readableEnded) throw new LynxError('cancelled', 'its sender closed the connection', { step, peer })
 }
--- a/packages/daemon/src/utils/checkedBody.ts
+++ b/packages/daemon/src/utils/validation.ts
@@ -8,14 +8,14 @@
  * @param step what is being done, for the error
  * @throws LynxError `badRequest` naming the field
  */
-export function checkBody<Schema extends z.ZodType> (schema: Schema, text: string, step: string): z.output<Schema> {
+export function parseJsonBody<Schema extends z.ZodType> (schema: Schema, text: string, step: string): z.output<Schema> {
   let raw: unknown
   try {
     raw = JSON.parse(text)
   } catch (err) {
     throw new LynxError('badRequest', `body: ${getErrorMessage(err)}`, { step, field: 'body', cause: err })
   }
-  return checkValue(schema, raw, step, '')
+  return validateValue(schema, raw, step, '')
 }
 
 /**
@@ -24,7 +24,7 @@
  * @param at where it stands in the whole, for the error; empty at the top
  * @throws LynxError `badRequest` naming the field
  */
-export function checkValue<Schema extends z.ZodType> (schema: Schema, value: unknown, step: string, at: string): z.output<Schema> {
+export function validateValue<Schema extends z.ZodType> (schema: Schema, value: unknown, step: string, at: string): z.output<Schema> {
   const checked = schema.safeParse(value)
   if (checked.success) return checked.data
   const issue = checked.error.issues[0]
--- a/packages/faults/__tests__/matrix.test.ts
+++ b/packages/faults/__tests__/matrix.test.ts
@@ -12,7 +12,7 @@
   test(`${name}: at every step`, () => {
     for (const step of steps) {
       const result = runCell({ step, faults: [name] }, seed)
-      assert.ok(result.struck, `${step}: the fault did not strike`)
+      assert.ok(result.wasInjected, `${step}: the fault did not strike`)
       assert.deepEqual(result.violations, [], `at ${step}`)
     }
   })
--- a/packages/faults/src/core/matrix.ts
+++ b/packages/faults/src/core/matrix.ts
@@ -24,10 +24,10 @@
   readonly cell: Cell
   readonly seed: number
   /** Whether the step was passed and the faults struck. */
-  readonly struck: boolean
+  readonly wasInjected: boolean
   readonly violations: readonly string[]
   /** A majority of disks was lost at once: safe, but it stands still until operators found it anew. */
-  readonly standsStill: boolean
+  readonly lacksQuorum: boolean
   readonly requests: number
   readonly accepted: number
 }
@@ -73,7 +73,7 @@
   runFor(scene, warmUpMs)
   checkAllAnswered(scene)
   const { checks } = scene.world
-  return { cell, seed, struck: struck(), violations: checks.violations, standsStill: checks.majorityLost, requests: checks.requests.size, accepted: checks.accepted }
+  return { cell, seed, wasInjected: struck(), violations: checks.violations, lacksQuorum: checks.majorityLost, requests: checks.requests.size, accepted: checks.accepted }
 }
 
 function armFaults (scene: Scene, cell: Cell): () => boolean {
--- a/packages/placement/__tests__/placement.test.ts
+++ b/packages/placement/__tests__/placement.test.ts
@@ -5,7 +5,7 @@
 import type { ServerId } from '@lynxcourse/base'
 import { updateWarmProbability, recordServerFull, recordObjectUse, recordLoadReport, recordSharedQueueDepth, placeRequest } from '@lynxcourse/placement'
 import type { FleetServer } from '@lynxcourse/placement'
-import { desk, kochi, mumbai, route, server, createTestFleet, request, getTargetOrReason } from './support/fleet.js'
+import { desk, kochi, mumbai, createRoute, server, createTestFleet, request, getTargetOrReason } from './support/fleet.js'
 
 test('a warm server is preferred to the primary server by hash; a local server is preferred to a remote one', () => {
   const [first, second, remote] = [server('first'), server('second'), server('remote', mumbai)]
@@ -13,7 +13,7 @@
   assert.notEqual(getTargetOrReason(fleet, request({ object: '' })), 'remote')
   const primary = getTargetOrReason(fleet, request())
   const other = primary === 'first' ? second : first
-  recordObjectUse(fleet.warmth, other.facts.id, 'read|7', 900)
+  recordObjectUse(fleet.warmObjects, other.facts.id, 'read|7', 900)
   assert.equal(getTargetOrReason(fleet, request()), other.facts.id)
 })
 
@@ -28,8 +28,8 @@
 test('requests go only to the home regions of their route, and never to closed or tried servers', () => {
   const remote = server('remote', mumbai)
   const fleet = createTestFleet(server('local'), remote, server('closed', mumbai, { isClosed: true }))
-  assert.equal(getTargetOrReason(fleet, request({ route: route('read', { homes: [mumbai] }) })), 'remote')
-  assert.equal(getTargetOrReason(fleet, request({ route: route('read', { homes: [mumbai] }), tried: new Set([remote.facts.id]) })), 'noServer')
+  assert.equal(getTargetOrReason(fleet, request({ route: createRoute('read', { homes: [mumbai] }) })), 'remote')
+  assert.equal(getTargetOrReason(fleet, request({ route: createRoute('read', { homes: [mumbai] }), tried: new Set([remote.facts.id]) })), 'noServer')
 })
 
 /** Guards against this failure: at twice the capacity, every request is answered late. */
@@ -37,8 +37,8 @@
   const busy = server('busy')
   recordLoadReport(busy, 6, 1000)
   const fleet = createTestFleet(busy)
-  const mostUrgent = placeRequest(fleet, request({ route: route('read', { rank: 0 }) }), 1000)
-  const leastUrgent = placeRequest(fleet, request({ route: route('read', { rank: 2 }) }), 1000)
+  const mostUrgent = placeRequest(fleet, request({ route: createRoute('read', { rank: 0 }) }), 1000)
+  const leastUrgent = placeRequest(fleet, request({ route: createRoute('read', { rank: 2 }) }), 1000)
   assert.equal(mostUrgent.type, 'send')
   assert.equal(leastUrgent.type, 'refuse')
   assert.ok(leastUrgent.type === 'refuse' && leastUrgent.reason === 'busy' && leastUrgent.retryAfterMs >= 60)
@@ -105,7 +105,7 @@
   const newPrimary = getTargetOrReason(fleet, request())
   for (let n = 0; n < 100; n++) updateWarmProbability(fleet, request(), 'primary', true)
   const warmServer = [...fleet.byId.values()].find(({ facts }) => facts.id !== newPrimary) as FleetServer
-  recordObjectUse(fleet.warmth, warmServer.facts.id, 'read|7', 900)
+  recordObjectUse(fleet.warmObjects, warmServer.facts.id, 'read|7', 900)
   recordLoadReport(warmServer, 2, 950)
   assert.equal(getTargetOrReason(fleet, request()), warmServer.facts.id)
   recordLoadReport(warmServer, 12, 950)
@@ -116,7 +116,7 @@
 test('a request waits at its warm primary server if cold work might exceed its deadline', () => {
   const fleet = createTestFleet(...['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(id => server(id)))
   const primary = getTargetOrReason(fleet, request())
-  recordObjectUse(fleet.warmth, brandId<ServerId>(primary), 'read|7', 900)
+  recordObjectUse(fleet.warmObjects, brandId<ServerId>(primary), 'read|7', 900)
   recordLoadReport(fleet.byId.get(brandId<ServerId>(primary)) as FleetServer, 7, 950)
   assert.notEqual(getTargetOrReason(fleet, request({ deadline: 2200 })), primary, 'a cold server is selected while the deadline leaves time for cold work')
   assert.equal(getTargetOrReason(fleet, request({ deadline: 1239 })), primary)
--- a/packages/placement/__tests__/requestSteps.test.ts
+++ b/packages/placement/__tests__/requestSteps.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check'
 import { beginSend, getConcurrency, createCallerLiveness, createLoadObservations, endSend, isServerUnresponsive, decideNextStep, recordPoll, startRequest } from '@lynxcourse/placement'
 import type { CallerLiveness, EntryState, DecisionConditions, RequestState, RequestStep, SendOutcome } from '@lynxcourse/placement'
-import { desk, createTestFleet, request, route, server } from './support/fleet.js'
+import { desk, createTestFleet, request, createRoute, server } from './support/fleet.js'
 
 const seed = 53
 console.log(`seed ${seed}`)
@@ -39,7 +39,7 @@
 
 /** Runs a request to its final step; its sends have the given outcomes, each after `tookMs`. */
 function runRequest (entry: EntryState, isIdempotent: boolean, maxAttempts: number, outcomes: readonly SendOutcome[], tookMs: number): Course {
-  const { tried: _, ...incoming } = request({ route: route('read', { isIdempotent, maxAttempts }), arrivedAt: startedAt, deadline: startedAt + 1000 })
+  const { tried: _, ...incoming } = request({ route: createRoute('read', { isIdempotent, maxAttempts }), arrivedAt: startedAt, deadline: startedAt + 1000 })
   let now = startedAt
   const run = startRequest(entry, incoming, createPolledCaller(), conditions, now)
   const sent: SendOutcome[] = []
@@ -111,7 +111,7 @@
  */
 test('a send is stranded if it is overdue at a closed server that has answered nothing since the send started', () => {
   const entry = createEntry()
-  const { tried: _, ...incoming } = request({ route: route('read', { isIdempotent: false }), arrivedAt: startedAt, deadline: startedAt + 60_000 })
+  const { tried: _, ...incoming } = request({ route: createRoute('read', { isIdempotent: false }), arrivedAt: startedAt, deadline: startedAt + 60_000 })
   const step = decideNextStep(entry, startRequest(entry, incoming, createPolledCaller(), conditions, startedAt), conditions, startedAt)
   assert.ok(step.type === 'send')
   const { placement: placed } = step
--- a/packages/placement/__tests__/support/fleet.ts
+++ b/packages/placement/__tests__/support/fleet.ts
@@ -3,9 +3,9 @@
 import type { FailureDomainId, RegionId, ServerId, ServiceId } from '@lynxcourse/base'
 import { createFleet, createFleetServer, placeRequest } from '@lynxcourse/placement'
 import type { Fleet, FleetServer, PlacementRequest, ServerFacts } from '@lynxcourse/placement'
-import { route } from '@lynxcourse/state/testing'
+import { createRoute } from '@lynxcourse/state/testing'
 
-export { route }
+export { createRoute }
 
 const seed = 23
 
@@ -33,7 +33,7 @@
 
 /** Creates a request for one object that is far from its deadline. */
 export function request (parts: Partial<PlacementRequest> = {}): PlacementRequest {
-  return { route: route('read'), service: desk, object: 'read|7', tried: new Set(), arrivedAt: 1000, deadline: 2200, ...parts }
+  return { route: createRoute('read'), service: desk, object: 'read|7', tried: new Set(), arrivedAt: 1000, deadline: 2200, ...parts }
 }
 
 /** Returns the ID of the server that is selected for a request, or the reason of its refusal. */
--- a/packages/placement/src/core/request/fleet.ts
+++ b/packages/placement/src/core/request/fleet.ts
@@ -27,7 +27,7 @@
   readonly setup: FleetSetup
   readonly byId: Map<ServerId, FleetServer>
   byService: Map<ServiceId, FleetServer[]>
-  readonly warmth: WarmObjects
+  readonly warmObjects: WarmObjects
   readonly workModel: WorkModel
   /** Smoothed time that a request occupies a slot, by service. */
   readonly meanSlotTimes: Map<ServiceId, Millis>
@@ -57,7 +57,7 @@
     setup,
     byId: new Map(),
     byService: new Map(),
-    warmth: createWarmObjects(),
+    warmObjects: createWarmObjects(),
     workModel: new Map(),
     meanSlotTimes: new Map(),
     roundTripTimes: new Map(),
--- a/packages/placement/src/core/request/learning.ts
+++ b/packages/placement/src/core/request/learning.ts
@@ -119,5 +119,5 @@
   if (!placement.isCold && waitMs === 0) recordWorkTime(times, wasFast, serverMs)
   const mean = fleet.meanSlotTimes.get(request.service) ?? times.coldMs
   fleet.meanSlotTimes.set(request.service, mean + (Math.min(serverMs, times.coldMs) - mean) * meanSlotTimeSmoothing)
-  if (request.object !== '') recordObjectUse(fleet.warmth, server.facts.id, request.object, now)
+  if (request.object !== '') recordObjectUse(fleet.warmObjects, server.facts.id, request.object, now)
 }
--- a/packages/placement/src/core/request/scoring.ts
+++ b/packages/placement/src/core/request/scoring.ts
@@ -88,7 +88,7 @@
 
 /** Returns whether the server is in the planned region, not the object's primary server there, and recently handled the object. */
 function isWarmNonPrimary (fleet: Fleet, request: PlacementRequest, { facts }: FleetServer, hashRanks: ReadonlyMap<ServerId, HashRank>, region: RegionId | undefined, now: Millis): boolean {
-  return facts.region === region && hashRanks.get(facts.id) !== 'primary' && isWarm(fleet.warmth, facts.id, request.object, now)
+  return facts.region === region && hashRanks.get(facts.id) !== 'primary' && isWarm(fleet.warmObjects, facts.id, request.object, now)
 }
 
 function estimateServiceUtilization (fleet: Fleet, service: ServiceId, now: Millis): number {
@@ -102,8 +102,8 @@
  */
 function findCandidates (fleet: Fleet, request: PlacementRequest, open: readonly FleetServer[], hashRanks: ReadonlyMap<ServerId, HashRank>, utilization: number, now: Millis): FleetServer[] {
   if (utilization > primaryOnlyUtilization) return open.filter(server => hashRanks.get(server.facts.id) === 'primary')
-  const holders = getWarmCandidates(fleet.warmth, request.object)
-  return open.filter(({ facts: { id } }) => hashRanks.has(id) || (holders.has(id) && isWarm(fleet.warmth, id, request.object, now)))
+  const holders = getWarmCandidates(fleet.warmObjects, request.object)
+  return open.filter(({ facts: { id } }) => hashRanks.has(id) || (holders.has(id) && isWarm(fleet.warmObjects, id, request.object, now)))
 }
 
 /** Returns the region that the plan assigns to an object. A request without an object gets a random region, with the same shares. */
@@ -184,7 +184,7 @@
 function scoreServer (fleet: Fleet, request: PlacementRequest, server: FleetServer, input: ScoreInput, now: Millis): ScoredServer {
   const { facts } = server
   const { times, places, workWeight } = input
-  const wasWarm = places !== undefined && isWarm(fleet.warmth, facts.id, request.object, now)
+  const wasWarm = places !== undefined && isWarm(fleet.warmObjects, facts.id, request.object, now)
   const place = adjustHashRank(places?.get(facts.id), wasWarm, input)
   const warmProbability = wasWarm ? 1 : place === undefined ? 0 : estimateWarmProbability(fleet, request, place)
   const slowdown = Math.max(1, getSlowdown(server, now) / (fleet.meanSlowdowns.get(facts.service) ?? 1))
--- a/packages/replay/__tests__/loadPatterns.test.ts
+++ b/packages/replay/__tests__/loadPatterns.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import { dirname, join } from 'node:path'
 import { fileURLToPath } from 'node:url'
-import { playPattern, readPattern } from '@lynxcourse/replay'
+import { replayPattern, readPattern } from '@lynxcourse/replay'
 import type { Figures } from '@lynxcourse/replay'
 import { smallPattern } from './support/smallPattern.js'
 
@@ -21,7 +21,7 @@
  * and 0.86, while seven slots of ten of the whole fleet were free.
  */
 test('callers of a region with few servers are served about as well as the others, from the first height of their demand on', () => {
-  const runs = seeds.map(seed => playPattern(smallPattern({ seconds: 36 }), seed))
+  const runs = seeds.map(seed => replayPattern(smallPattern({ seconds: 36 }), seed))
   const [north, south, west] = ['north', 'south', 'west'].map(region => meanOf(runs, run => run.byRegion[region] ?? 0)) as [number, number, number]
   assert.ok(south >= 0.9 * (north + west) / 2, `south ${south}, north ${north}, west ${west}`)
 })
@@ -32,7 +32,7 @@
  * Each object that moved took four times its slot time once more, and filled the servers that it came to, which were named in turn.
  */
 test('objects keep their servers: for three first touches at most two requests find their object cold since it moved', () => {
-  const runs = [playPattern({ ...readPattern(join(patterns, 'uneven-regions.yaml')), seconds: 24 }, 1)]
+  const runs = [replayPattern({ ...readPattern(join(patterns, 'uneven-regions.yaml')), seconds: 24 }, 1)]
   const first = meanOf(runs, run => run.cold.first ?? 0)
   const moved = meanOf(runs, run => Object.entries(run.cold).filter(([cause]) => cause.startsWith('moved')).reduce((sum, [, part]) => sum + part, 0))
   assert.ok(moved <= first * 2 / 3, `moved ${moved}, first ${first}`)
--- a/packages/replay/__tests__/replay.test.ts
+++ b/packages/replay/__tests__/replay.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test'
 import { brandId, isLynxError } from '@lynxcourse/base'
 import type { RegionId, ServerId, ServiceId } from '@lynxcourse/base'
-import { arriveAt, createBackend, createTimeline, playPattern, runUntil, readPattern } from '@lynxcourse/replay'
+import { arriveAt, createBackend, createTimeline, replayPattern, runUntil, readPattern } from '@lynxcourse/replay'
 import type { Backend, BackendEnd, Job } from '@lynxcourse/replay'
 import { smallPattern } from './support/smallPattern.js'
 
@@ -20,13 +20,13 @@
 
 test('one seed gives the same figures twice, another one others', () => {
   const pattern = smallPattern({ seconds: 4 })
-  assert.deepEqual(playPattern(pattern, 7), playPattern(pattern, 7))
-  assert.notDeepEqual(playPattern(pattern, 7), playPattern(pattern, 8))
+  assert.deepEqual(replayPattern(pattern, 7), replayPattern(pattern, 7))
+  assert.notDeepEqual(replayPattern(pattern, 7), replayPattern(pattern, 8))
 })
 
 test('a mechanism that is left out changes what happens', () => {
   const pattern = smallPattern({ seconds: 4 })
-  assert.notDeepEqual(playPattern(pattern, 7, new Set(['regionPlan'])), playPattern(pattern, 7))
+  assert.notDeepEqual(replayPattern(pattern, 7, new Set(['regionPlan'])), replayPattern(pattern, 7))
 })
 
 test('a server works on one request a slot, lets few wait, turns others away, and is fast where its object is warm', () => {
--- a/packages/replay/src/core/play.ts
+++ b/packages/replay/src/core/replayPattern.ts
@@ -19,7 +19,7 @@
  * @param seed equal seeds give equal figures
  * @param without mechanisms that are left out
  */
-export function playPattern (pattern: Pattern, seed: number, without: ReadonlySet<Mechanism> = new Set()): Figures {
+export function replayPattern (pattern: Pattern, seed: number, without: ReadonlySet<Mechanism> = new Set()): Figures {
   const world = createWorld(pattern, seed, without)
   startExchanges(world)
   planDisturbances(world)
--- a/packages/routing/__tests__/routeTable.test.ts
+++ b/packages/routing/__tests__/routeTable.test.ts
@@ -5,13 +5,13 @@
 import { brandId } from '@lynxcourse/base'
 import type { ServiceId } from '@lynxcourse/base'
 import { buildRouteTable, matchRoute, selectService } from '@lynxcourse/routing'
-import { route } from '@lynxcourse/state/testing'
+import { createRoute } from '@lynxcourse/state/testing'
 
 const seed = 23
 console.log(`seed ${seed}`)
 
 test('the longest path prefix of the host matches, whatever the port', () => {
-  const table = buildRouteTable([route('a', { pathPrefix: '/a/' }), route('ab', { pathPrefix: '/a/b/' }), route('other', { host: 'b.example', pathPrefix: '/' })])
+  const table = buildRouteTable([createRoute('a', { pathPrefix: '/a/' }), createRoute('ab', { pathPrefix: '/a/b/' }), createRoute('other', { host: 'b.example', pathPrefix: '/' })])
   assert.equal(matchRoute(table, 'A.example:80', '/a/b/c')?.name, 'ab')
   assert.equal(matchRoute(table, 'a.example', '/a/bc')?.name, 'a')
   assert.equal(matchRoute(table, 'a.example', '/b/'), undefined)
@@ -25,7 +25,7 @@
     const picker = new Map()
     const picked = new Map<string, number>()
     for (let sent = 0; sent < count; sent++) {
-      const name = selectService(picker, route('x', { service: undefined, split }))
+      const name = selectService(picker, createRoute('x', { service: undefined, split }))
       picked.set(name, (picked.get(name) ?? 0) + 1)
     }
     const total = list.reduce((sum, weight) => sum + weight, 0)
--- a/packages/state/__tests__/routes.test.ts
+++ b/packages/state/__tests__/routes.test.ts
@@ -8,7 +8,7 @@
   applyDelta, serializeStateMachine
 } from '@lynxcourse/state'
 import type { BackendAnnouncement, ChangeAnswer, StateMachine, RouteChangeId, Route, RouteCommand, RouteSet, Upstream } from '@lynxcourse/state'
-import { route } from './support/route.js'
+import { createRoute } from './support/route.js'
 
 const charts = { claim: loadChart('claim'), drain: loadChart('drain'), shift: loadChart('shift') }
 const desk = brandId<ServiceId>('desk')
@@ -47,49 +47,49 @@
 
 test('a route change that is resent because its answer was lost succeeds again and changes nothing', () => {
   const machine = createTestMachine()
-  const command = createReplaceCommand('one', 0, 5, createRouteSet(route('read')))
+  const command = createReplaceCommand('one', 0, 5, createRouteSet(createRoute('read')))
   assert.equal(getCode(apply(machine, command)), 'ok')
   const version = machine.config.version
   assert.equal(getCode(apply(machine, command)), 'ok')
   assert.equal(machine.config.version, version)
-  assert.equal(getCode(apply(machine, createReplaceCommand('two', 5, 9, createRouteSet(route('read'), route('write'))))), 'ok')
+  assert.equal(getCode(apply(machine, createReplaceCommand('two', 5, 9, createRouteSet(createRoute('read'), createRoute('write'))))), 'ok')
   assert.equal(getCode(apply(machine, command)), 'ok', 'also after a later change')
   assert.equal(getRoutesVersion(machine.config), 9)
 })
 
 test('of two route changes based on one version the first wins, even if both set the same version', () => {
   const machine = createTestMachine()
-  apply(machine, createReplaceCommand('one', 0, 5, createRouteSet(route('read'))))
-  assert.equal(getCode(apply(machine, createReplaceCommand('left', 5, 8, createRouteSet(route('left'))))), 'ok')
-  assert.equal(getCode(apply(machine, createReplaceCommand('right', 5, 8, createRouteSet(route('right'))))), 'versionConflict')
+  apply(machine, createReplaceCommand('one', 0, 5, createRouteSet(createRoute('read'))))
+  assert.equal(getCode(apply(machine, createReplaceCommand('left', 5, 8, createRouteSet(createRoute('left'))))), 'ok')
+  assert.equal(getCode(apply(machine, createReplaceCommand('right', 5, 8, createRouteSet(createRoute('right'))))), 'versionConflict')
   assert.deepEqual(findRouteSet(machine.config)?.routes.map(item => item.name), ['left'])
 })
 
 test('an invalid route change is rejected with the name of the item and changes nothing', () => {
   const machine = createTestMachine()
-  apply(machine, createReplaceCommand('one', 0, 5, createRouteSet(route('read'))))
+  apply(machine, createReplaceCommand('one', 0, 5, createRouteSet(createRoute('read'))))
   const cases: Array<[RouteSet, RegExp]> = [
-    [createRouteSet(route('x', { service: brandId<ServiceId>('nobody') })), /route 'x'.*'nobody' is not known/],
-    [createRouteSet(route('x', { timeoutMs: 0 })), /route 'x'.*timeout/],
-    [createRouteSet(route('x', { aimMs: 61_001 })), /route 'x'.*objective/],
-    [createRouteSet(route('x', { service: undefined, split: [{ service: desk, weight: 0 }] })), /weights add up to 0/],
-    [createRouteSet(route('x', { pathPrefix: '/p' })), /pathPrefix/],
-    [createRouteSet(route('x', { pathPrefix: '/p/' }), route('y', { pathPrefix: '/p/' })), /pathPrefix is taken/]
+    [createRouteSet(createRoute('x', { service: brandId<ServiceId>('nobody') })), /route 'x'.*'nobody' is not known/],
+    [createRouteSet(createRoute('x', { timeoutMs: 0 })), /route 'x'.*timeout/],
+    [createRouteSet(createRoute('x', { aimMs: 61_001 })), /route 'x'.*objective/],
+    [createRouteSet(createRoute('x', { service: undefined, split: [{ service: desk, weight: 0 }] })), /weights add up to 0/],
+    [createRouteSet(createRoute('x', { pathPrefix: '/p' })), /pathPrefix/],
+    [createRouteSet(createRoute('x', { pathPrefix: '/p/' }), createRoute('y', { pathPrefix: '/p/' })), /pathPrefix is taken/]
   ]
   cases.forEach(([set, expected], index) => {
     const answer = apply(machine, createReplaceCommand(`bad-${index}`, 5, 6, set))
     assert.equal(getCode(answer), 'badRequest')
     assert.match(answer.ok ? '' : answer.detail, expected)
   })
-  assert.equal(getCode(apply(machine, createReplaceCommand('old', 5, 5, createRouteSet(route('z'))))), 'badRequest')
+  assert.equal(getCode(apply(machine, createReplaceCommand('old', 5, 5, createRouteSet(createRoute('z'))))), 'badRequest')
   assert.deepEqual(findRouteSet(machine.config)?.routes.map(item => item.name), ['read'])
 })
 
 test('an update adds and removes items by name in one version', () => {
   const machine = createTestMachine()
-  apply(machine, createReplaceCommand('one', 0, 5, createRouteSet(route('read'), route('write'))))
+  apply(machine, createReplaceCommand('one', 0, 5, createRouteSet(createRoute('read'), createRoute('write'))))
   const versionBefore = machine.config.version
-  const update: RouteCommand = { type: 'updateRoutes', order: 'two' as RouteChangeId, baseVersion: 5, routesVersion: 7, putRoutes: [route('extra')], putUpstreams: [], removeRoutes: ['write'], removeUpstreams: [], limits: undefined }
+  const update: RouteCommand = { type: 'updateRoutes', order: 'two' as RouteChangeId, baseVersion: 5, routesVersion: 7, putRoutes: [createRoute('extra')], putUpstreams: [], removeRoutes: ['write'], removeUpstreams: [], limits: undefined }
   assert.equal(getCode(apply(machine, update)), 'ok')
   const delta = getDeltaSince(machine.config, versionBefore)
   assert.equal(delta.full, false)
@@ -135,7 +135,7 @@
 
 test('a snapshot preserves routes, evacuations, servers and accepted route changes', () => {
   const machine = createTestMachine()
-  const command = createReplaceCommand('one', 0, 5, createRouteSet(route('read')))
+  const command = createReplaceCommand('one', 0, 5, createRouteSet(createRoute('read')))
   apply(machine, command)
   apply(machine, { type: 'announce', facts: createFacts('s') })
   apply(machine, { type: 'evacuate', failureDomain: brandId<FailureDomainId>('kochi-a'), isActive: true })
--- a/packages/state/__tests__/support/route.ts
+++ b/packages/state/__tests__/support/route.ts
@@ -4,7 +4,7 @@
 import type { Route } from '@lynxcourse/state'
 
 /** Returns a sticky, idempotent route to the service `desk`. */
-export function route (name: string, overrides: Partial<Route> = {}): Route {
+export function createRoute (name: string, overrides: Partial<Route> = {}): Route {
   return {
     name,
     host: 'a.example',
--- a/scripts/bench/memberHost.ts
+++ b/scripts/bench/memberHost.ts
@@ -1,5 +1,5 @@
 /** Runs many entry daemons in one process, to measure their cost and how fast changes reach them. */
-import { settingsSchema, silentLogs, startDaemon } from '@lynxcourse/daemon'
+import { settingsSchema, createSilentLogs, startDaemon } from '@lynxcourse/daemon'
 import type { Daemon } from '@lynxcourse/daemon'
 import { serveCommands } from '../support/childOrders.js'
 import { buildSettings, tidewiseRegions } from '../support/topology.js'
@@ -36,9 +36,9 @@
     vm: `member-${number}`, region: region?.region ?? '', failureDomain: region?.domains[0] ?? '', isControl: false, ip, http: `${ip}:0`, rpc: `${ip}:0`, metrics: `${ip}:0`
   }
   const cfg = settingsSchema.parse(buildSettings(plan, [...control, plan], ''))
-  const daemon = await startDaemon(cfg, cfg.callerBlocks, { logs: silentLogs(), seed: number })
+  const daemon = await startDaemon(cfg, cfg.callerBlocks, { logs: createSilentLogs(), seed: number })
   let version = 0
-  daemon.node.onChange.push(() => {
+  daemon.node.changeListeners.push(() => {
     const currentVersion = daemon.node.config.version
     if (currentVersion === version) return
     for (let reachedVersion = version + 1; reachedVersion <= currentVersion; reachedVersion++) {
@@ -60,7 +60,7 @@
       return {}
     case 'versions': {
       const versions = [...reachedVersions].map(([version, { count, last }]) => [version, count, last] as const)
-      const current = daemons.filter(daemon => Number.isFinite(daemon.node.currency.confirmedAt)).length
+      const current = daemons.filter(daemon => Number.isFinite(daemon.node.configLease.confirmedAt)).length
       return { versions, nodes: daemons.length, current } satisfies MemberVersions
     }
     case 'cost': {
--- a/scripts/faults.ts
+++ b/scripts/faults.ts
@@ -23,8 +23,8 @@
   if (first === undefined) throw new Error('the cell has no results')
   const failed = results.find(result => result.violations.length > 0)
   if (failed !== undefined) return { cell: first.cell, verdict: 'FAILED', note: `seed ${failed.seed}: ${failed.violations[0]}` }
-  if (results.some(result => !result.struck)) return { cell: first.cell, verdict: 'did not strike', note: '' }
-  const isBlocked = results.some(result => result.standsStill)
+  if (results.some(result => !result.wasInjected)) return { cell: first.cell, verdict: 'did not strike', note: '' }
+  const isBlocked = results.some(result => result.lacksQuorum)
   return { cell: first.cell, verdict: isBlocked ? 'stands still' : 'proved', note: `${results.reduce((sum, result) => sum + result.requests, 0)} requests` }
 }
 
--- a/scripts/replay.ts
+++ b/scripts/replay.ts
@@ -6,7 +6,7 @@
 import { isLynxError } from '@lynxcourse/base'
 import { isMechanism, mechanisms } from '@lynxcourse/placement'
 import type { Mechanism } from '@lynxcourse/placement'
-import { playPattern, readPattern } from '@lynxcourse/replay'
+import { replayPattern, readPattern } from '@lynxcourse/replay'
 import type { Figures, Pattern } from '@lynxcourse/replay'
 import { plotSeconds } from './replay/plot.js'
 import { computeMeans, buildSpreadRows } from './replay/spread.js'
@@ -49,7 +49,7 @@
 
 function playSeeds (pattern: Pattern, { seeds, without }: Options): Figures[] {
   return Array.from({ length: seeds }, (_, index) => {
-    const figures = playPattern(pattern, index + 1, without)
+    const figures = replayPattern(pattern, index + 1, without)
     process.stderr.write(`seed ${index + 1} of ${seeds}: benefit ${figures.benefit.toFixed(3)}\n`)
     return figures
   })
--- a/scripts/soak/soakRun.ts
+++ b/scripts/soak/soakRun.ts
@@ -1,6 +1,6 @@
 /** One run of the soak: builds the system, lets callers and faults at it, and judges what was seen. */
 import { getErrorMessage } from '@lynxcourse/base'
-import { createOwned } from '@lynxcourse/daemon'
+import { createResourceStack } from '@lynxcourse/daemon'
 import { request } from 'undici'
 import { sleep, until } from '../support/processes.js'
 import { keepCalling } from './caller.js'
@@ -41,7 +41,7 @@
 
 /** Plays a plan; the folder takes settings, state and logs. */
 export async function runSoak (plan: SoakPlan, size: SoakSize, folder: string): Promise<SoakResult> {
-  await using stack = createOwned()
+  await using stack = createResourceStack()
   const world = await buildWorld(plan.seed, size, folder, stack)
   const { ledger, operator } = world
   let isOver = false
--- a/scripts/soak/soakWorld.ts
+++ b/scripts/soak/soakWorld.ts
@@ -3,8 +3,8 @@
 import { join } from 'node:path'
 import { brandId, createRandom } from '@lynxcourse/base'
 import type { FailureDomainId, RegionId, ServiceId } from '@lynxcourse/base'
-import { own } from '@lynxcourse/daemon'
-import type { FleetFileInput, Owned } from '@lynxcourse/daemon'
+import { addResource } from '@lynxcourse/daemon'
+import type { FleetFileInput, ResourceStack } from '@lynxcourse/daemon'
 import { createControlClient } from './controlClient.js'
 import type { ControlClient } from './controlClient.js'
 import type { SoakSize } from './faultPlan.js'
@@ -36,21 +36,21 @@
 const domains = Object.values(regions).flat().map(name => brandId<FailureDomainId>(name))
 
 /** Builds a world whose VMs are not started yet; what it opens is owned by the stack. */
-export async function buildWorld (seed: number, size: SoakSize, folder: string, stack: Owned): Promise<SoakWorld> {
+export async function buildWorld (seed: number, size: SoakSize, folder: string, stack: ResourceStack): Promise<SoakWorld> {
   const random = createRandom(seed + 1)
   const ledger = createLedger()
   mkdirSync(folder, { recursive: true })
   const vms: SoakVm[] = []
   for (let place = 0; place < size.controls + size.entries; place++) {
-    vms.push(own(stack, await createSoakVm(settingsOf(place, size, folder), folder, ledger)))
+    vms.push(addResource(stack, await createSoakVm(settingsOf(place, size, folder), folder, ledger)))
   }
   const controls = vms.slice(0, size.controls)
   const servers: StubServer[] = []
   for (let place = 0; place < size.servers; place++) {
-    servers.push(own(stack, await createStubServer(place, services[place % services.length] as ServiceId, domains[Math.floor(place / services.length) % domains.length] as FailureDomainId, ledger, random)))
+    servers.push(addResource(stack, await createStubServer(place, services[place % services.length] as ServiceId, domains[Math.floor(place / services.length) % domains.length] as FailureDomainId, ledger, random)))
   }
   const client = createControlClient(controls.map(vm => vm.rpc.address), random)
-  own(stack, client.rpc)
+  addResource(stack, client.rpc)
   const seeds = controls.slice(0, 3).map(vm => vm.rpc.address)
   return { size, ledger, vms, seeds, servers, domains, services, client, operator: createOperator(client, ledger, services) }
 }
