--- a/scripts/__tests__/knownRed.test.ts
+++ b/scripts/__tests__/knownFailures.test.ts
@@ -1,8 +1,8 @@
 /** Checks which test runs pass, given the list of tests that are known to fail. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { checkRun, parseKnownFailures } from '../support/knownRed.js'
-import type { TestResult } from '../support/knownRed.js'
+import { checkRun, parseKnownFailures } from '../support/knownFailures.js'
+import type { TestResult } from '../support/knownFailures.js'
 
 const root = '/repository'
 const source = 'packages/daemon/__tests__/one.test.ts'
--- a/scripts/__tests__/realFaults.test.ts
+++ b/scripts/__tests__/realFaults.test.ts
@@ -9,7 +9,7 @@
 import { createRandom, createRequestId } from '@lynxcourse/base'
 import { Client, request } from 'undici'
 import { stringify } from 'yaml'
-import { checkHealth, ended, kill, runCliOrThrow, runCli, sleep, until } from '../support/processes.js'
+import { checkHealth, waitForExit, kill, runCliOrThrow, runCli, sleep, waitUntil } from '../support/processes.js'
 import type { DaemonProcess } from '../support/processes.js'
 import { restartVm, startSystem, stopSystem } from '../support/system.js'
 import type { SmallSystem } from '../support/system.js'
@@ -54,7 +54,7 @@
   await runCliOrThrow(system.rpc, ['service', 'pick', 'offers', 'desk', '--wait'])
   await announce()
   announceTimer = setInterval(() => { announce().catch(() => undefined) }, 1500)
-  for (const daemon of system.daemons) await until(`${daemon.plan.vm} serves`, async () => (await call(daemon)).status === 200)
+  for (const daemon of system.daemons) await waitUntil(`${daemon.plan.vm} serves`, async () => (await call(daemon)).status === 200)
 })
 
 after(async () => {
@@ -90,7 +90,7 @@
 
 async function findLeader (): Promise<DaemonProcess> {
   let leader: DaemonProcess | undefined
-  await until('a leader is elected', async () => {
+  await waitUntil('a leader is elected', async () => {
     const { stdout } = await runCli(getLiveAddresses(), ['status'])
     const rows = JSON.parse(stdout) as Array<{ vm: string, log: { role: string } | null }>
     leader = system.daemons.find(daemon => daemon.plan.vm === rows.find(row => row.log?.role === 'leader')?.vm)
@@ -103,7 +103,7 @@
   return createRequestId(Date.now(), random)
 }
 
-const waitUntilReady = async (daemon: DaemonProcess): Promise<void> => await until(`${daemon.plan.vm} is ready`, async () => await checkHealth(daemon.plan, '/readyz'))
+const waitUntilReady = async (daemon: DaemonProcess): Promise<void> => await waitUntil(`${daemon.plan.vm} is ready`, async () => await checkHealth(daemon.plan, '/readyz'))
 
 test('the leader is killed: acknowledged changes remain, and new changes and claims are accepted', async () => {
   // Guards against this failure: an accepted change is lost.
@@ -115,7 +115,7 @@
   assert.equal(await getProfileVersion('desk'), before + 1)
   await publish('desk', { queueLimit: 112 }, before + 1)
   const other = system.daemons.find(daemon => daemon !== leader) as DaemonProcess
-  await until('a claim is granted', async () => (await call(other, createId())).outcome === 'done')
+  await waitUntil('a claim is granted', async () => (await call(other, createId())).outcome === 'done')
   restartVm(system, leader)
   await waitUntilReady(leader)
   assert.equal((await call(leader)).status, 200)
@@ -127,7 +127,7 @@
   const before = await getProfileVersion('desk')
   leader.child.kill('SIGSTOP')
   const others = system.daemons.filter(daemon => daemon !== leader)
-  await until('another VM is the leader', async () => {
+  await waitUntil('another VM is the leader', async () => {
     const { stdout } = await runCli(others.filter(daemon => daemon.plan.isControl).map(daemon => daemon.plan.rpc), ['status'])
     return (JSON.parse(stdout) as Array<{ log: { role: string } | null }>).some(row => row.log?.role === 'leader')
   })
@@ -157,7 +157,7 @@
   await kill(first.child)
   rmSync(join(folder, first.plan.vm), { recursive: true, force: true })
   restartVm(system, first)
-  await until('the VM is a voter under a new incarnation', async () => {
+  await waitUntil('the VM is a voter under a new incarnation', async () => {
     const { stdout } = await runCli([first.plan.rpc], ['status'])
     const log = (JSON.parse(stdout) as Array<{ log: { id: string, members: Array<{ id: string, voter: boolean }> } | null }>)[0]?.log
     return log?.members.some(member => member.id === log.id && member.voter) ?? false
@@ -194,7 +194,7 @@
   const other = system.daemons.find(daemon => daemon.plan.isControl) as DaemonProcess
   const id = createId()
   const lost = call(holder, id, '/slow').then(() => 'answered', () => 'lost')
-  await until('the server has started the request', async () => runs.get(id) === 1)
+  await waitUntil('the server has started the request', async () => runs.get(id) === 1)
   await kill(holder.child)
   assert.equal(await lost, 'lost')
   for (let tries = 0; tries < 3; tries++) assert.equal((await call(other, id)).outcome, 'unknown')
@@ -211,7 +211,7 @@
   await sleep(50)
   leaver.child.kill('SIGTERM')
   for (const reply of await open) assert.equal(reply.outcome, 'done')
-  assert.equal(await ended(leaver.child), 0)
+  assert.equal(await waitForExit(leaver.child), 0)
   restartVm(system, leaver)
   await waitUntilReady(leaver)
 })
--- a/scripts/bench/bareServers.ts
+++ b/scripts/bench/bareServers.ts
@@ -2,7 +2,7 @@
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { Pool } from 'undici'
-import { serveCommands } from '../support/childOrders.js'
+import { serveCommands } from '../support/childCommands.js'
 
 /** Which server to start: `fixed` and `target` answer with a body of `bytes` bytes, `pass` forwards requests to `target`. */
 export interface BareServerCommand {
--- a/scripts/bench/capacitySystem.ts
+++ b/scripts/bench/capacitySystem.ts
@@ -4,7 +4,7 @@
 import { createRandom, createRequestId } from '@lynxcourse/base'
 import { callPeer, createRpcClient } from '@lynxcourse/daemon'
 import type { RpcClient } from '@lynxcourse/daemon'
-import { forkScript, kill, runCliOrThrow, sleep, startDaemonProcess, until, checkHealth } from '../support/processes.js'
+import { forkScript, kill, runCliOrThrow, sleep, startDaemonProcess, waitUntil, checkHealth } from '../support/processes.js'
 import { planVms, buildSettings } from '../support/topology.js'
 import { findLeaderName, restartVm } from '../support/system.js'
 import type { SmallSystem } from '../support/system.js'
@@ -83,7 +83,7 @@
   const [entryPlan] = (await planVms(6)).filter(plan => !plan.isControl)
   if (entryPlan === undefined) return
   const entry = startDaemonProcess(entryPlan, buildSettings(entryPlan, [...system.plans, entryPlan], '', { log: { level: 'error' } }), system.folder)
-  await until('the entry VM is ready', async () => await checkHealth(entryPlan, '/readyz'))
+  await waitUntil('the entry VM is ready', async () => await checkHealth(entryPlan, '/readyz'))
   const bare = forkScript('../bench/bareServers.js', [])
   await sendCommand(bare, { kind: 'fixed', ip: '127.0.90.1', bytes: 10, target: '' })
   await sleep(5000)
@@ -103,7 +103,7 @@
     const startedAt = Date.now()
     const answer = await publish(client, system, `spread-${number}`, 0)
     let lastReachedAt = 0
-    await until('a change has reached all members', async () => {
+    await waitUntil('a change has reached all members', async () => {
       const states = await Promise.all(hosts.map(async host => await sendCommand<MemberVersions>(host, { type: 'versions' })))
       const nodes = states.reduce((sum, state) => sum + state.nodes, 0)
       const reached = states.map(state => state.versions.find(([version]) => version === answer.version))
@@ -144,7 +144,7 @@
   const changes = quick ? 30 : 500
   const measureReadyMs = async (): Promise<number> => {
     const startedAt = performance.now()
-    await until('the VM is ready', async () => await checkHealth(victim.plan, '/readyz'))
+    await waitUntil('the VM is ready', async () => await checkHealth(victim.plan, '/readyz'))
     return performance.now() - startedAt
   }
   await kill(victim.child)
@@ -158,7 +158,7 @@
   rmSync(join(system.folder, victim.plan.vm), { recursive: true, force: true })
   restartVm(system, victim)
   const emptiedAt = performance.now()
-  await until('the emptied VM is a voter again', async () => {
+  await waitUntil('the emptied VM is a voter again', async () => {
     const rows = JSON.parse((await runCliOrThrow([victim.plan.rpc], ['status'])).stdout) as Array<{ log: { id: string, members: Array<{ id: string, voter: boolean }> } | null }>
     const log = rows[0]?.log
     return log?.members.some(member => member.id === log.id && member.voter) ?? false
--- a/scripts/bench/claimPlacement.ts
+++ b/scripts/bench/claimPlacement.ts
@@ -7,7 +7,7 @@
 import { stringify } from 'yaml'
 import { startDelayProxy } from '../support/delayProxy.js'
 import type { DelayProxy } from '../support/delayProxy.js'
-import { ended, kill, sleep, startDaemonProcess } from '../support/processes.js'
+import { waitForExit, kill, sleep, startDaemonProcess } from '../support/processes.js'
 import type { DaemonProcess } from '../support/processes.js'
 import { initCluster, findLeaderName } from '../support/system.js'
 import { findFreePort, buildSettings, tidewiseRegions } from '../support/topology.js'
@@ -145,7 +145,7 @@
       })
     } finally {
       for (const daemon of group.daemons) daemon.child.kill('SIGKILL')
-      await Promise.all(group.daemons.map(async daemon => await ended(daemon.child)))
+      await Promise.all(group.daemons.map(async daemon => await waitForExit(daemon.child)))
       for (const proxy of group.proxies) await proxy[Symbol.asyncDispose]()
       rmSync(folder, { recursive: true, force: true })
     }
--- a/scripts/bench/loadClient.ts
+++ b/scripts/bench/loadClient.ts
@@ -1,6 +1,6 @@
 /** A load client in a separate process: several connections, each with one request in flight at a time. */
 import { Client } from 'undici'
-import { serveCommands } from '../support/childOrders.js'
+import { serveCommands } from '../support/childCommands.js'
 
 /** The target of the load, the number of connections and the duration. */
 export interface LoadCommand {
--- a/scripts/bench/memberHost.ts
+++ b/scripts/bench/memberHost.ts
@@ -1,7 +1,7 @@
 /** Runs many entry daemons in one process, to measure their cost and how fast changes reach them. */
 import { settingsSchema, createSilentLogs, startDaemon } from '@lynxcourse/daemon'
 import type { Daemon } from '@lynxcourse/daemon'
-import { serveCommands } from '../support/childOrders.js'
+import { serveCommands } from '../support/childCommands.js'
 import { buildSettings, tidewiseRegions } from '../support/topology.js'
 import type { VmPlan } from '../support/topology.js'
 
--- a/scripts/knownRedReporter.ts
+++ b/scripts/knownRedReporter.ts
@@ -1,8 +1,8 @@
 /** Test reporter of `npm test`: tolerates failures of the tests listed in `KNOWN-RED.txt`, and prints their results. */
 import { existsSync, readFileSync } from 'node:fs'
 import type { TestEvent } from 'node:test/reporters'
-import { checkRun, parseKnownFailures } from './support/knownRed.js'
-import type { TestResult } from './support/knownRed.js'
+import { checkRun, parseKnownFailures } from './support/knownFailures.js'
+import type { TestResult } from './support/knownFailures.js'
 
 const listFile = 'KNOWN-RED.txt'
 
--- a/scripts/soak/soakRun.ts
+++ b/scripts/soak/soakRun.ts
@@ -2,7 +2,7 @@
 import { getErrorMessage } from '@lynxcourse/base'
 import { createResourceStack } from '@lynxcourse/daemon'
 import { request } from 'undici'
-import { sleep, until } from '../support/processes.js'
+import { sleep, waitUntil } from '../support/processes.js'
 import { sendRequests } from './caller.js'
 import { createCallers } from './callers.js'
 import { callUntilAnswered } from './controlClient.js'
@@ -80,8 +80,8 @@
 
 async function startAll (system: SoakSystem): Promise<void> {
   for (const vm of system.vms) startVm(vm, system.seeds, true)
-  await until('the first routes are accepted', async () => await changeRoutes(system.operator))
-  for (const vm of system.vms) await until(`${vm.name} is ready`, async () => await isReady(vm))
+  await waitUntil('the first routes are accepted', async () => await changeRoutes(system.operator))
+  for (const vm of system.vms) await waitUntil(`${vm.name} is ready`, async () => await isReady(vm))
 }
 
 async function isReady (vm: SoakVm): Promise<boolean> {
@@ -98,7 +98,7 @@
   }
   for (const server of system.servers) setFault(server.proxy, 'none')
   for (const vm of system.vms) {
-    await until(`${vm.name} is ready again`, async () => await isReady(vm), recoveryMs).catch((err: unknown) => system.history.recordedViolations.push(`recover: ${getErrorMessage(err)}`))
+    await waitUntil(`${vm.name} is ready again`, async () => await isReady(vm), recoveryMs).catch((err: unknown) => system.history.recordedViolations.push(`recover: ${getErrorMessage(err)}`))
   }
 }
 
--- a/scripts/soak/vmProcess.ts
+++ b/scripts/soak/vmProcess.ts
@@ -6,7 +6,7 @@
 import { fileURLToPath } from 'node:url'
 import type { FleetFileInput } from '@lynxcourse/daemon'
 import { stringify } from 'yaml'
-import { ended, kill, sleep } from '../support/processes.js'
+import { waitForExit, kill, sleep } from '../support/processes.js'
 import { startFaultProxy } from './faultProxy.js'
 import type { FaultProxy } from './faultProxy.js'
 import type { SoakHistory } from './history.js'
@@ -88,7 +88,7 @@
   if (child === undefined) return
   vm.isEnding = true
   child.kill('SIGTERM')
-  const hasExited = await Promise.race([ended(child).then(() => true), sleep(stopTimeoutMs).then(() => false)])
+  const hasExited = await Promise.race([waitForExit(child).then(() => true), sleep(stopTimeoutMs).then(() => false)])
   if (hasExited) return
   if (!vm.isPaused) vm.history.recordedViolations.push(`stop: ${vm.name} had not exited ${stopTimeoutMs} ms after SIGTERM`)
   await killVm(vm)
--- a/scripts/support/fakeServers.ts
+++ b/scripts/support/fakeServers.ts
@@ -6,7 +6,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { Client } from 'undici'
-import { serveCommands } from './childOrders.js'
+import { serveCommands } from './childCommands.js'
 
 /** Identity and capacity of one fake server. */
 export interface FakeServerPlan {
--- a/scripts/support/processes.ts
+++ b/scripts/support/processes.ts
@@ -33,7 +33,7 @@
 }
 
 /** Resolves with the exit code of a process when it has exited; with null if a signal ended it. */
-export async function ended (child: ChildProcess): Promise<number | null> {
+export async function waitForExit (child: ChildProcess): Promise<number | null> {
   if (child.exitCode !== null || child.signalCode !== null) return child.exitCode
   return await new Promise(resolve => child.once('exit', code => resolve(code)))
 }
@@ -41,11 +41,11 @@
 /** Kills a process with SIGKILL and waits until it has exited. */
 export async function kill (child: ChildProcess): Promise<void> {
   child.kill('SIGKILL')
-  await ended(child)
+  await waitForExit(child)
 }
 
 /** Polls a condition until it is true, and throws an error after the timeout. An error of the condition counts as false. */
-export async function until (description: string, condition: () => Promise<boolean>, timeoutMs = 20_000): Promise<void> {
+export async function waitUntil (description: string, condition: () => Promise<boolean>, timeoutMs = 20_000): Promise<void> {
   const deadline = Date.now() + timeoutMs
   while (Date.now() < deadline) {
     if (await condition().catch(() => false)) return
--- a/scripts/support/system.ts
+++ b/scripts/support/system.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path'
 import type { SettingsInput } from '@lynxcourse/daemon'
 import { stringify } from 'yaml'
-import { checkHealth, ended, runCliOrThrow, startDaemonProcess, until } from './processes.js'
+import { checkHealth, waitForExit, runCliOrThrow, startDaemonProcess, waitUntil } from './processes.js'
 import type { CliResult, DaemonProcess } from './processes.js'
 import { planVms, buildSettings } from './topology.js'
 import type { VmPlan } from './topology.js'
@@ -44,9 +44,9 @@
 
 /** Initializes the cluster of the control VMs once all VMs answer, and waits until all VMs are ready. */
 export async function initCluster (plans: readonly VmPlan[]): Promise<void> {
-  for (const plan of plans) await until(`${plan.vm} answers`, async () => await checkHealth(plan, '/healthz'))
+  for (const plan of plans) await waitUntil(`${plan.vm} answers`, async () => await checkHealth(plan, '/healthz'))
   await runCliOrThrow(plans.filter(plan => plan.isControl).map(plan => plan.rpc), ['cluster', 'init'])
-  for (const plan of plans) await until(`${plan.vm} is ready`, async () => await checkHealth(plan, '/readyz'))
+  for (const plan of plans) await waitUntil(`${plan.vm} is ready`, async () => await checkHealth(plan, '/readyz'))
 }
 
 /** Returns the name of the leader; undefined if none of the VMs at the addresses is the leader. */
@@ -72,5 +72,5 @@
 /** Kills all daemons with SIGKILL and waits until they have exited. */
 export async function stopSystem (system: SmallSystem): Promise<void> {
   for (const { child } of system.daemons) child.kill('SIGKILL')
-  await Promise.all(system.daemons.map(async ({ child }) => await ended(child)))
+  await Promise.all(system.daemons.map(async ({ child }) => await waitForExit(child)))
 }
