--- a/packages/daemon/src/core/entry/finalAnswers.ts
+++ b/packages/daemon/src/core/entry/finalAnswers.ts
@@ -24,8 +24,8 @@
 /** Returns the stored answer of a request that completed earlier. */
 export function restoreStoredAnswer (answer: StoredAnswer | undefined): FinalAnswer {
   if (answer?.body === undefined) {
-    const body = Buffer.from(`${JSON.stringify({ outcome: 'done', detail: 'the request completed earlier; its answer was too large to be stored' })}\n`)
-    return { outcome: 'done', status: answer?.status ?? 200, headers: { 'content-type': 'application/json' }, body, retryAfterMs: undefined, server: undefined, detail: 'the request completed earlier' }
+    const body = Buffer.from(`${JSON.stringify({ outcome: 'done', detail: 'done before; its answer was too large to be kept' })}\n`)
+    return { outcome: 'done', status: answer?.status ?? 200, headers: { 'content-type': 'application/json' }, body, retryAfterMs: undefined, server: undefined, detail: 'done before' }
   }
   return {
     outcome: 'done',
@@ -34,7 +34,7 @@
     body: Buffer.from(answer.body, 'base64'),
     retryAfterMs: undefined,
     server: undefined,
-    detail: 'the request completed earlier'
+    detail: 'done before'
   }
 }
 
--- a/packages/daemon/src/core/entry/forwarding.ts
+++ b/packages/daemon/src/core/entry/forwarding.ts
@@ -29,7 +29,7 @@
   const startedAt = recordRequestRead(entry.loop, req.socket, getCurrentTime())
   const { node } = entry
   if (entry.open >= node.cfg.limits.maxRequests) {
-    await writeAnswer(node, res, createAnswer('refused', 'this VM is at its limit of concurrent requests; the request was not sent to a server', fullRetryMs, 503))
+    await writeAnswer(node, res, createAnswer('refused', 'this VM is full; nothing was tried', fullRetryMs, 503))
     return
   }
   entry.open += 1
--- a/packages/daemon/src/core/entry/lookups.ts
+++ b/packages/daemon/src/core/entry/lookups.ts
@@ -49,7 +49,7 @@
   const profile = getProfile(entry, service)
   // Without a lease on the configuration, this VM could name VMs that left or are being drained.
   if (!isLeaseValid(entry.node.configLease, now) && profile?.whenIsolated !== 'local') {
-    rejectLookup(entry, res, 503, 'this VM has no current configuration; ask another VM')
+    rejectLookup(entry, res, 503, 'this VM can not learn the present state; ask another')
     return
   }
   if (profile === undefined) {
--- a/packages/daemon/src/core/entry/serveOnce.ts
+++ b/packages/daemon/src/core/entry/serveOnce.ts
@@ -128,16 +128,16 @@
   if (claimed?.result === 'refused' && claimed.code === 'registerFull') {
     return createAnswer('unknown', claimed.detail, getRetryDelayMs(serving), 503)
   }
-  return createAnswer('refused', `Idempotency-Key: ${claimed?.result === 'refused' ? claimed.detail : 'unusable'}`, undefined, 400)
+  return createAnswer('refused', `Idempotency-Key: ${claimed?.result === 'refused' ? claimed.detail : 'not usable'}`, undefined, 400)
 }
 
 /** Returns the answer for a request whose id is already claimed by an earlier copy. */
 function answerTakenId (state: string, answer: StoredAnswer | undefined): FinalAnswer {
   switch (state) {
     case 'done': return restoreStoredAnswer(answer)
-    case 'notRun': return createAnswer('not-run', 'an earlier request with this id was rejected; use a new id', undefined)
-    case 'unknown': return createAnswer('unknown', 'an earlier request with this id may have run', undefined)
-    default: return createAnswer('unknown', 'an earlier request with this id is in progress', inProgressRetryMs, 409)
+    case 'notRun': return createAnswer('not-run', 'this id was refused before; give the request a new one', undefined)
+    case 'unknown': return createAnswer('unknown', 'an earlier copy may have run', undefined)
+    default: return createAnswer('unknown', 'an earlier copy is under way', inProgressRetryMs, 409)
   }
 }
 
--- a/packages/routing/src/core/onceFlow.ts
+++ b/packages/routing/src/core/onceFlow.ts
@@ -93,10 +93,10 @@
     case 'lost':
       applyEvent(flow, 'fail')
       applyEvent(flow, 'giveUp')
-      return { type: 'answer', callerOutcome: 'unknown', reason: 'the request was sent, but no complete response arrived', record: 'unknown' }
+      return { type: 'answer', callerOutcome: 'unknown', reason: 'sent, but no whole answer came', record: 'unknown' }
     default:
       applyEvent(flow, 'shed')
-      return mayTryAgain ? { type: 'getSlot' } : refuse(flow, event === 'shed' ? 'servers shed' : 'servers cannot be reached')
+      return mayTryAgain ? { type: 'getSlot' } : refuse(flow, event === 'shed' ? 'servers shed' : 'servers can not be reached')
   }
 }
 
@@ -106,5 +106,5 @@
  */
 export function continueAfterRecord (isRecorded: boolean, reason: string): OnceEffect {
   if (isRecorded) return { type: 'answer', callerOutcome: 'notRun', reason, record: undefined }
-  return { type: 'answer', callerOutcome: 'unknown', reason: `${reason}; this copy of the request was not sent, but the register did not confirm that no other copy runs`, record: undefined }
+  return { type: 'answer', callerOutcome: 'unknown', reason: `${reason}; this copy was not sent, but the register could not rule out others`, record: undefined }
 }
