--- a/packages/placement/__tests__/loadBoard.test.ts
+++ b/packages/placement/__tests__/loadBoard.test.ts
@@ -159,7 +159,7 @@
   const previous = { full: [], plans: [], silent: [], weights: { version: 4, servers: [] } }
   const changed = { ...previous, silent: [server], weights: { version: 5, servers: [[server, 0.5] as const] } }
   assert.deepEqual(describeLoadChanges(previous, changed), [
-    { message: 'Servers stopped answering all VMs.', fields: { servers: 'i-1' } },
+    { message: 'Servers answer no VM.', fields: { servers: 'i-1' } },
     { message: 'Server weights published.', fields: { version: 5, servers: 1, least: 0.5, most: 0.5 } }
   ])
   assert.deepEqual(describeLoadChanges(changed, changed), [])
--- a/packages/placement/src/core/board/loadLog.ts
+++ b/packages/placement/src/core/board/loadLog.ts
@@ -43,7 +43,7 @@
   const lines: LogLine[] = []
   const silent = after.silent.filter(id => !before.silent.includes(id))
   const retried = before.silent.filter(id => !after.silent.includes(id))
-  if (silent.length > 0) lines.push({ message: 'Servers stopped answering all VMs.', fields: { servers: silent.join() } })
+  if (silent.length > 0) lines.push({ message: 'Servers answer no VM.', fields: { servers: silent.join() } })
   if (retried.length > 0) lines.push({ message: 'Silent servers are tried again.', fields: { servers: retried.join() } })
   const { weights } = after
   if (weights !== undefined && weights.version !== before.weights?.version && weights.servers.length > 0) {
