--- a/packages/base/src/core/chart.ts
+++ b/packages/base/src/core/chart.ts
@@ -1,7 +1,7 @@
 /**
  * State charts. A chart is a YAML file that `xstate` interprets. A transition by xstate takes about 16 µs, which is too
  * slow for the request path. Therefore each chart is compiled at start into a table (state, event) -> state, and a
- * transition is a table look-up.
+ * transition is a table lookup.
  */
 import { createMachine, getInitialSnapshot, transition } from 'xstate'
 import { parse } from 'yaml'
--- a/packages/daemon/src/core/daemon.ts
+++ b/packages/daemon/src/core/daemon.ts
@@ -118,7 +118,7 @@
 }
 
 /**
- * Takes the VM out of service without aborting requests: removes it from look-ups, waits until the answers that callers
+ * Takes the VM out of service without aborting requests: removes it from lookups, waits until the answers that callers
  * have cached expire, then waits for the requests in flight, for at most `times.stopMs`.
  */
 export async function leaveGracefully (daemon: Daemon): Promise<void> {
--- a/packages/daemon/src/core/entry/entry.ts
+++ b/packages/daemon/src/core/entry/entry.ts
@@ -36,7 +36,7 @@
   readonly attemptChart: Chart
   readonly claiming: ClaimClient
   lookupIndex: LookupIndex
-  /** Look-up answers by service and region, one for each bucket of callers; cleared by `refreshRoutingState`. */
+  /** Lookup answers by service and region, one for each bucket of callers; cleared by `refreshRoutingState`. */
   lookupCache: Map<ServiceId, Map<RegionId | undefined, LookupAnswer[]>>
   /** Cache of the profiles by service; cleared by `refreshRoutingState`. */
   profiles: Map<ServiceId, Profile>
@@ -52,7 +52,7 @@
   /** Source of queue order numbers and claim tokens. */
   nextSequence: number
   /**
-   * Look-ups answered since the last update of the metrics; updating a labelled counter for each look-up costs too
+   * Lookups answered since the last update of the metrics; updating a labelled counter for each lookup costs too
    * much.
    */
   uncountedLookups: number
--- a/packages/daemon/src/core/entry/lookupAnswer.ts
+++ b/packages/daemon/src/core/entry/lookupAnswer.ts
@@ -1,4 +1,4 @@
-/** Cached answers to look-ups, shared by callers. */
+/** Cached answers to lookups, shared by callers. */
 
 /** A serialized answer. */
 export interface LookupAnswer {
--- a/packages/daemon/src/core/entry/lookups.ts
+++ b/packages/daemon/src/core/entry/lookups.ts
@@ -1,4 +1,4 @@
-/** Answers look-ups: which entry VMs a caller should use for a service. */
+/** Answers lookups: which entry VMs a caller should use for a service. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { ServiceId } from '@lynxcourse/base'
 import { isLeaseValid } from '@lynxcourse/membership'
@@ -28,7 +28,7 @@
 
 const queryCache = new Map<string, LookupQuery>()
 
-/** Body of an answer to a look-up. */
+/** Body of an answer to a lookup. */
 export interface LookupBody {
   readonly service: string
   /** Version of the configuration that the answer is based on. */
@@ -37,7 +37,7 @@
   readonly vms: ReadonlyArray<{ readonly vm: string, readonly region: string, readonly ip: string, readonly port: number }>
 }
 
-/** Answers a look-up. */
+/** Answers a lookup. */
 export function answerLookup (entry: EntryState, req: IncomingMessage, res: ServerResponse): void {
   const { service, client } = parseQuery(req.url ?? '')
   if (service === undefined) {
--- a/packages/daemon/src/types/fleetSettings.ts
+++ b/packages/daemon/src/types/fleetSettings.ts
@@ -16,7 +16,7 @@
   readonly staleMs: Millis
   /** Interval of the exchange of presence among control VMs. */
   readonly presenceMs: Millis
-  /** Look-ups no longer return an entry VM that was not seen for this long. */
+  /** Lookups no longer return an entry VM that was not seen for this long. */
   readonly presenceStaleMs: Millis
   /** A backend server that was not seen for this long counts as lost. */
   readonly missMs: Millis
@@ -26,7 +26,7 @@
   readonly staleConnectionMs: Millis
   /** Timeout of a graceful stop, from the signal to the exit of the process. */
   readonly stopMs: Millis
-  /** Time for which callers may cache the answer to a look-up. */
+  /** Time for which callers may cache the answer to a lookup. */
   readonly lookupTtlMs: Millis
 }
 
--- a/packages/faults/src/core/entryModel.ts
+++ b/packages/faults/src/core/entryModel.ts
@@ -1,4 +1,4 @@
-/** An entry VM of the model: its configuration lease, its reports and its look-ups. */
+/** An entry VM of the model: its configuration lease, its reports and its lookups. */
 import { createHolderId } from '@lynxcourse/base'
 import type { DrainId, Incarnation, VmId } from '@lynxcourse/base'
 import { createHolderLimits, collectUsages, applyGrants } from '@lynxcourse/limits'
@@ -130,7 +130,7 @@
   return world.servers.filter(server => !drains.some(drain => isDrainTarget(drain.target.kind, drain.target.name, server)))
 }
 
-/** Performs a look-up, which is answered if some server accepts new work. */
+/** Performs a lookup, which is answered if some server accepts new work. */
 export function performLookup (world: World, entry: EntryModel): void {
   enterStep(world, 'lookup', entry.host)
   if (!entry.host.isAlive || entry.host.isFrozen || !mayAct(world, entry)) return
--- a/packages/faults/src/core/scene.ts
+++ b/packages/faults/src/core/scene.ts
@@ -84,7 +84,7 @@
   })
 }
 
-/** Starts the steady load: once-only requests of which some are duplicated, reads, look-ups and profile changes. */
+/** Starts the steady load: once-only requests of which some are duplicated, reads, lookups and profile changes. */
 export function startLoad (scene: Scene): void {
   const { world, alice } = scene
   publishNextCap(scene)
--- a/packages/membership/__tests__/membership.test.ts
+++ b/packages/membership/__tests__/membership.test.ts
@@ -74,7 +74,7 @@
 })
 
 test('a VM whose parent changed is not lost', () => {
-  // Guards against this failure: the former parent's record of a healthy VM expires and removes the VM from look-ups.
+  // Guards against this failure: the former parent's record of a healthy VM expires and removes the VM from lookups.
   const root = createTestNode('root')
   const [first, second, child] = ['p1', 'p2', 'child'].map(createTestNode) as [TestNode, TestNode, TestNode]
   sync(child, first, 0)
--- a/packages/routing/__tests__/routing.test.ts
+++ b/packages/routing/__tests__/routing.test.ts
@@ -1,4 +1,4 @@
-/** Address blocks, look-ups, server policies, admission and the flow of once-only requests. */
+/** Address blocks, lookups, server policies, admission and the flow of once-only requests. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
--- a/packages/routing/src/core/blockTable.ts
+++ b/packages/routing/src/core/blockTable.ts
@@ -1,6 +1,6 @@
 /**
  * Maps callers' address blocks to regions. The table consists of sorted typed arrays, with 6 bytes for each interval,
- * and an index by the top 16 bits of the address. Look-ups neither allocate nor hash.
+ * and an index by the top 16 bits of the address. Lookups neither allocate nor hash.
  */
 import ipaddr from 'ipaddr.js'
 import { LynxError } from '@lynxcourse/base'
@@ -144,7 +144,7 @@
   let address = 0
   let octet = -1
   let octets = 0
-  // Parsed by hand, because this runs for each look-up and the regular expressions of ipaddr.js take microseconds.
+  // Parsed by hand, because this runs for each lookup and the regular expressions of ipaddr.js take microseconds.
   for (let position = start; position <= text.length; position++) {
     const digit = position < text.length ? text.charCodeAt(position) - zeroCode : dotDigit
     if (digit === dotDigit) {
--- a/packages/routing/src/core/lookup.ts
+++ b/packages/routing/src/core/lookup.ts
@@ -1,4 +1,4 @@
-/** Answers look-ups: which entry VMs a caller may use, in order. */
+/** Answers lookups: which entry VMs a caller may use, in order. */
 import { rankByHash } from '@lynxcourse/base'
 import type { RegionId, VmId } from '@lynxcourse/base'
 import type { EntryVm } from '../types/view.js'
--- a/packages/routing/src/core/regionOrder.ts
+++ b/packages/routing/src/core/regionOrder.ts
@@ -26,7 +26,7 @@
 
 const maxPercent = 100
 
-/** Number of buckets for callers' address blocks. Callers of a bucket share look-up answers and are shifted together. */
+/** Number of buckets for callers' address blocks. Callers of a bucket share lookup answers and are shifted together. */
 export const callerBucketCount = 512
 
 /**
--- a/packages/routing/src/routing.ts
+++ b/packages/routing/src/routing.ts
@@ -1,5 +1,5 @@
 /**
- * Routing at an entry VM: look-ups, the order of regions, admission, the choice of a backend server, retries and the
+ * Routing at an entry VM: lookups, the order of regions, admission, the choice of a backend server, retries and the
  * state of pooled connections.
  */
 export * from './internal.js'
--- a/packages/routing/src/types/view.ts
+++ b/packages/routing/src/types/view.ts
@@ -1,14 +1,14 @@
 /** Routing's view of the rest of the system. */
 import type { FailureDomainId, RegionId, ServerId, ServiceId, ShiftId, VmId } from '@lynxcourse/base'
 
-/** An entry VM that a look-up may return to callers. */
+/** An entry VM that a lookup may return to callers. */
 export interface EntryVm {
   readonly vm: VmId
   readonly region: RegionId
   readonly failureDomain: FailureDomainId
   /** `IP:port`. */
   readonly http: string
-  /** No recent heartbeat; look-ups list the VM last. */
+  /** No recent heartbeat; lookups list the VM last. */
   readonly suspected: boolean
 }
 
--- a/packages/steering/src/core/shiftPlan.ts
+++ b/packages/steering/src/core/shiftPlan.ts
@@ -25,7 +25,7 @@
 }
 
 export interface ShiftTimes {
-  /** Lifetime of cached look-ups. */
+  /** Lifetime of cached lookups. */
   readonly lookupTtlMs: Millis
   /** Longest delay before a change of load shows in the reports. */
   readonly reportLagMs: Millis
@@ -94,7 +94,7 @@
   return { type: 'step', percent: Math.min(shift.targetPercent, shift.percent + size) }
 }
 
-/** Waits until callers' cached look-ups have expired and the reports include the whole effect of the last step. */
+/** Waits until callers' cached lookups have expired and the reports include the whole effect of the last step. */
 function planSettling (shift: ShiftView, times: ShiftTimes, now: Millis): ShiftStep {
   const settledAt = shift.steppedAt + times.lookupTtlMs + times.reportLagMs
   if (now < settledAt) return { type: 'wait', reason: 'caches' }
--- a/scripts/bench/capacityModules.ts
+++ b/scripts/bench/capacityModules.ts
@@ -1,4 +1,4 @@
-/** Measures the slopes of single modules: the look-up table, the directory and the state machine. */
+/** Measures the slopes of single modules: the lookup table, the directory and the state machine. */
 import { brandId, loadChart, createRandom, createRequestId } from '@lynxcourse/base'
 import { answerSyncRequest, buildSyncRequest, createDirectory, createUplink, defaultMembershipTimes, putRecord, applySyncAnswer } from '@lynxcourse/membership'
 import type { ServerRecord, VmRecord } from '@lynxcourse/membership'
@@ -22,7 +22,7 @@
   return { value, bytes: measureHeapBytes() - before }
 }
 
-/** Measures the size and build time of the look-up table by number of blocks. */
+/** Measures the size and build time of the lookup table by number of blocks. */
 export function measureBlocks (figures: CapacityFigures, quick: boolean): void {
   const sizes = quick ? [50_000, 100_000, 200_000] : [215_000, 430_000, 860_000]
   const bytes: Array<[number, number]> = []
--- a/scripts/bench/path.ts
+++ b/scripts/bench/path.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- path`: compares look-ups and forwarding with bare servers in one run. */
+/** `npm run bench -- path`: compares lookups and forwarding with bare servers in one run. */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -42,7 +42,7 @@
   return blocks
 }
 
-/** Measures how often per second one core can call a look-up function. */
+/** Measures how often per second one core can call a lookup function. */
 function measureRate (work: (address: number) => unknown): number {
   const random = createRandom(2)
   const addresses = Uint32Array.from({ length: 1 << 16 }, () => Math.floor(random() * 2 ** 32))
@@ -57,7 +57,7 @@
   return addresses.length * rounds / seconds
 }
 
-/** Creates a function that makes the whole decision of a look-up: block, caller region, order of regions, order of VMs. */
+/** Creates a function that makes the whole decision of a lookup: block, caller region, order of regions, order of VMs. */
 function createWholeLookup (table: BlockTable): (address: number) => unknown {
   const places = Array.from({ length: 41 }, (_, n) => brandId<RegionId>(`region-${n}`))
   const index = buildLookupIndex(places.flatMap(region => [1, 2, 3].map(n => ({ vm: brandId<never>(`${region}-${n}`), region, failureDomain: brandId<never>('d'), http: '127.0.0.1:1', suspected: false }))))
@@ -74,7 +74,7 @@
   }
 }
 
-/** Measures the look-up table and the look-up decision at the target size of 860,000 blocks. */
+/** Measures the lookup table and the lookup decision at the target size of 860,000 blocks. */
 export function measureLookups (): object {
   const blocks = generateBlocks(860_000)
   const startedAt = performance.now()
--- a/scripts/support/callers.ts
+++ b/scripts/support/callers.ts
@@ -5,11 +5,11 @@
 
 interface LookupVm { readonly ip: string, readonly port: number, readonly vm: string }
 
-/** The callers of one /24 block, which share a look-up cache and connections. */
+/** The callers of one /24 block, which share a lookup cache and connections. */
 export interface CallerGroup {
   readonly region: RegionPlan
   readonly agent: Agent
-  /** Addresses (`IP:port`) of the VMs that answer look-ups, in the order in which the callers try them. */
+  /** Addresses (`IP:port`) of the VMs that answer lookups, in the order in which the callers try them. */
   readonly lookupVms: readonly string[]
   cache: Map<string, { readonly vms: readonly LookupVm[], readonly until: number }>
 }
