--- a/scripts/bench/capacityPage.ts
+++ b/scripts/bench/capacityPage.ts
@@ -158,7 +158,7 @@
     `${serversPerSite} servers a site, ${claimsPerNode} claims a second and node, ${itemBytes} bytes a change. Not measured: anything over 300 nodes, networks with real delays or losses, disks other than this machine's.`, '',
     'Limits of the target: 2 % of a core, 64 MB and 24 KB/s a node for control; 8 s for a change; 42 control VMs.', '',
     '## Entry VM', '',
-    'Mechanism: asks one parent twice a second (`membership/core/tree.ts`), reports to the leader twice a second, holds the directory and the look-up table. Control memory is the slope of nodes that share a process plus the state; the whole process is beside it, since Node and the libraries alone take ' + `${formatNumber(figures.single['bareProcessMb'] ?? NaN)} MB.`, '',
+    'Mechanism: asks one parent twice a second (`membership/core/syncTree.ts`), reports to the leader twice a second, holds the directory and the look-up table. Control memory is the slope of nodes that share a process plus the state; the whole process is beside it, since Node and the libraries alone take ' + `${formatNumber(figures.single['bareProcessMb'] ?? NaN)} MB.`, '',
     ...formatTable(['size', 'records', 'processor, %', 'control memory, MB', 'whole process, MB', 'bytes/s', 'first sync, MB', 'look-ups/s', 'control connections'], formatEntryRows(getSlope, figures)), '',
     '## Relay (a control VM that does not lead)', '',
     'Mechanism: answers the nodes of its region, passes their records up and changes down. One core is set aside.', '',
